--- a/crates/fate/src/lib.rs
+++ b/crates/attempt-outcome/src/lib.rs
@@ -6,7 +6,7 @@
 //! of a referenced txn by its mark counts from the first submission that may have run, from when it was sent.
 //!
 //! ```
-//! use juniperdock_fate::{Effect, Ending, Fate, Place, Verdict};
+//! use juniperdock_attempt_outcome::{Effect, Ending, Fate, Place, Verdict};
 //! use std::time::Duration;
 //!
 //! let ms = Duration::from_millis;
--- a/crates/fate/tests/histories.rs
+++ b/crates/attempt-outcome/tests/histories.rs
@@ -1,6 +1,6 @@
 //! The record of a txn beside a plain list of all that happened to it, on long random histories.
 
-use juniperdock_fate::{Barred, Effect, Ending, Fate, Place, Scope, State, Verdict};
+use juniperdock_attempt_outcome::{Barred, Effect, Ending, Fate, Place, Scope, State, Verdict};
 use proptest::prelude::*;
 use std::time::Duration;
 
--- a/crates/fate/tests/model.rs
+++ b/crates/attempt-outcome/tests/model.rs
@@ -2,8 +2,8 @@
 //! goes by the real records of tenure and fate; the world keeps what is true. Each guard is also taken out,
 //! in the model's front, and the checker must find what it guards against.
 
-use juniperdock_fate::{Barred, Effect, Ending, Fate, Place, Scope, Verdict};
-use juniperdock_tenure::{Claim, Role, Tenure};
+use juniperdock_attempt_outcome::{Barred, Effect, Ending, Fate, Place, Scope, Verdict};
+use juniperdock_primary_tracker::{Claim, Role, Tenure};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::time::Duration;
 
--- a/crates/door/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -12,7 +12,7 @@
 /// Ids in the order in which they were first met; the index of a forgotten one goes to the next new one.
 ///
 /// ```
-/// use juniperdock_door::Indices;
+/// use juniperdock_deployment::Indices;
 ///
 /// let mut members = Indices::default();
 /// assert_eq!(members.index("m-7".to_owned()), 0);
--- a/crates/duties/src/lib.rs
+++ b/crates/fleet-tasks/src/lib.rs
@@ -34,7 +34,7 @@
 /// What a duty is called, and the group or part that it is about.
 ///
 /// ```
-/// use juniperdock_duties::{care, moving, name};
+/// use juniperdock_fleet_tasks::{care, moving, name};
 /// assert_eq!((name(care(2)), name(moving(7))), ("care 2".to_owned(), "move 7".to_owned()));
 /// ```
 pub fn name(duty: Duty) -> String {
--- a/crates/duties/tests/stories.rs
+++ b/crates/fleet-tasks/tests/stories.rs
@@ -1,9 +1,9 @@
 //! What one front does for all, one story for each failure met.
 
-use juniperdock_duties::{
+use juniperdock_fleet_tasks::{
     Act, Asks, Care, Fact, Move, Outcome, SHARDS, Step, hold, release, say, step, words,
 };
-use juniperdock_duties::{End, Roll, RollStep, Rolling, Sees, Serves};
+use juniperdock_fleet_tasks::{End, Roll, RollStep, Rolling, Sees, Serves};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/front/src/acceptor.rs
+++ b/crates/front/src/acceptor.rs
@@ -2,7 +2,7 @@
 
 use crate::client;
 use crate::clients::{MIN_REST, SharedClients};
-use juniperdock_link::{BufferLimits, Door, Link, spawn};
+use juniperdock_connection::{BufferLimits, Door, Link, spawn};
 use std::net::TcpStream;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
--- a/crates/front/src/client.rs
+++ b/crates/front/src/client.rs
@@ -8,7 +8,7 @@
 use crate::mail::{Answer, Arrival, ToDesk};
 use crate::mailbox::Mailbox;
 use crate::request_log::{CloseReason, RequestEvent};
-use juniperdock_link::{Failure, Link, PeerWatch};
+use juniperdock_connection::{Failure, Link, PeerWatch};
 use juniperdock_pg as pg;
 use juniperdock_pipeline::{ArrivalTimes, Limits, Overdue, Pipeline, Reply, Request, Start};
 use juniperdock_request_guard::{ClientPresence, RequestGuard, Violation};
--- a/crates/front/src/client/drain.rs
+++ b/crates/front/src/client/drain.rs
@@ -5,7 +5,7 @@
 use crate::clients::MIN_REST;
 use crate::mail::{Answer, ToDesk};
 use crate::request_log::{CloseReason, RequestEvent};
-use juniperdock_link::Failure;
+use juniperdock_connection::Failure;
 use juniperdock_pg as pg;
 use juniperdock_request_guard::{Debt, EndedBy};
 use std::sync::atomic::Ordering;
--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -6,10 +6,10 @@
 //! tells the worker of, so that the worker never has to wait for a thread that does not run.
 
 use crate::mail::ToDesk;
-use juniperdock_door::Origin;
-use juniperdock_link::{Timer, TimerSetter};
+use juniperdock_connection::{Timer, TimerSetter};
+use juniperdock_deployment::Origin;
 use juniperdock_server_clock::{ServerClock, Told, Verdict};
-use juniperdock_wheel::{Key, Wheel};
+use juniperdock_timer_wheel::{Key, Wheel};
 use may::sync::mpsc::{Sender, channel};
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/crates/front/src/connect.rs
+++ b/crates/front/src/connect.rs
@@ -2,7 +2,7 @@
 //! tries again after a pause while this machine is short of something.
 
 use crate::clock::{Clock, SHORTAGE_PAUSE};
-use juniperdock_link::{Bell, BufferLimits, ConnectError, Connecting, Link};
+use juniperdock_connection::{Bell, BufferLimits, ConnectError, Connecting, Link};
 use std::fmt;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/front/src/desk.rs
+++ b/crates/front/src/desk.rs
@@ -10,15 +10,15 @@
 use crate::request_log::{RequestEvent, RequestLog};
 use crate::worker_watch::WorkerWatch;
 use host::{OpenRequest, RouterHost};
-use juniperdock_door::{Indices, span};
-use juniperdock_duties as duties;
-use juniperdock_duties::Care;
-use juniperdock_held::Most;
+use juniperdock_deployment::{Indices, span};
+use juniperdock_fleet_tasks as fleet_tasks;
+use juniperdock_fleet_tasks::Care;
+use juniperdock_primary_tracker::Step;
 use juniperdock_request_guard::Withheld;
 use juniperdock_router::host::{Ending, Host, Listed, Phase, Report};
 use juniperdock_router::routing::Router;
 use juniperdock_server_list::{KnownServer, ProbeQueue, ServerEntry, ServerList, ServerState, ServerTable};
-use juniperdock_tenure::Step;
+use juniperdock_wait_queue::Most;
 use may::sync::mpsc::{Receiver, Sender};
 use serde_json::Value;
 use std::collections::HashMap;
@@ -50,7 +50,7 @@
     /// How far ahead this process's time was when the servers were listed.
     listed_ahead: Duration,
     /// Groups whose change was ordered of all fronts, by which order, and what was last told of it.
-    watched: Vec<(u64, u64, duties::Step)>,
+    watched: Vec<(u64, u64, fleet_tasks::Step)>,
     log: slog::Logger,
 }
 
@@ -154,10 +154,10 @@
         self.watched.retain_mut(|(group, order, told)| {
             let plan = cells.known(group).and_then(|at| tenure.plan(at));
             let step = match plan.map(|plan| plan.step) {
-                Some(Step::Emptying) => duties::Step::Emptying,
-                Some(Step::Awaiting) => duties::Step::Awaiting,
-                Some(Step::Done) => duties::Step::Done,
-                Some(Step::Undone(_)) | None => duties::Step::Undone,
+                Some(Step::Emptying) => fleet_tasks::Step::Emptying,
+                Some(Step::Awaiting) => fleet_tasks::Step::Awaiting,
+                Some(Step::Done) => fleet_tasks::Step::Done,
+                Some(Step::Undone(_)) | None => fleet_tasks::Step::Undone,
             };
             if std::mem::replace(told, step) != step {
                 circle(ToFellows::Step { group: *group, order: *order, step });
@@ -178,13 +178,14 @@
             return;
         }
         match self.change(now, group, successor, off) {
-            Ok(_) if !off => self.watched.push((group, order, duties::Step::Asked)),
+            Ok(_) if !off => self.watched.push((group, order, fleet_tasks::Step::Asked)),
             Ok(_) => {}
             Err(why) => {
                 slog::info!(self.log, "a change for all fronts can't be had here"; "group" => group, "why" => why);
                 let tells = self.circle.iter().filter(|_| !off);
-                tells
-                    .for_each(|circle| circle(ToFellows::Step { group, order, step: duties::Step::Refused }));
+                tells.for_each(|circle| {
+                    circle(ToFellows::Step { group, order, step: fleet_tasks::Step::Refused })
+                });
             }
         }
     }
@@ -195,7 +196,7 @@
         now: Duration,
         whole: bool,
         present: usize,
-        asks: [duties::Asks; duties::SHARDS as usize],
+        asks: [fleet_tasks::Asks; fleet_tasks::SHARDS as usize],
     ) {
         let rate = self.router.rate(now) * present as f64;
         let Some(care) = &mut self.host.care else { return };
--- a/crates/front/src/desk/memory.rs
+++ b/crates/front/src/desk/memory.rs
@@ -2,10 +2,10 @@
 
 use super::Desk;
 use crate::keep::machine_time;
-use juniperdock_door::span;
+use juniperdock_deployment::span;
+use juniperdock_primary_tracker::{GAP, KeptGroup, KeptSeat, Vacancies};
 use juniperdock_router::kept::KeptMember;
 use juniperdock_snapshot::{Memory, OfGroup, OfMember, OfType, Worth};
-use juniperdock_tenure::{GAP, KeptGroup, KeptSeat, Vacancies};
 use std::time::Duration;
 
 /// The least that one time is later than another.
--- a/crates/front/src/duties.rs
+++ b/crates/front/src/duties.rs
@@ -1,15 +1,15 @@
 //! Work on behalf of all fronts, where the operators' file has it: the rules of `juniperdock_lease` and
-//! `juniperdock_duties` meet the fellows' datagrams, the desk, the log and the operators. Nothing is decided here.
+//! `juniperdock_fleet_tasks` meet the fellows' datagrams, the desk, the log and the operators. Nothing is decided here.
 
 use crate::counters::Counters;
 use crate::fellows::Hands;
 use crate::mail::{ToDesk, Upgrade};
-use juniperdock_duties::{
+use juniperdock_fleet_tasks::{
     Act, Asks, Move, Outcome, ROLL, SHARDS, Step, care, cared, hold, moved, moving, name,
 };
-use juniperdock_duties::{Roll, RollStep, Rolling, Sees, Serves, release, say, step, words};
-use juniperdock_fellows::{Fellows, Liveness, Standing};
+use juniperdock_fleet_tasks::{Roll, RollStep, Rolling, Sees, Serves, release, say, step, words};
 use juniperdock_lease::{Duty, Event, Host, Office, Sight, order};
+use juniperdock_membership::{Fellows, Liveness, Standing};
 use may::sync::mpsc::Sender;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/front/src/fellows.rs
+++ b/crates/front/src/fellows.rs
@@ -1,13 +1,13 @@
 //! The actor that speaks with the other fronts, over one socket for datagrams. Who is there is found out by
-//! `juniperdock_fellows`; here it meets the socket, the clock, the log and the operators.
+//! `juniperdock_membership`; here it meets the socket, the clock, the log and the operators.
 
 use crate::clock::{Alarm, Clock};
 use crate::counters::Counters;
 use crate::duties::Duties;
 use crate::mail::{ToDesk, ToFellows, Upgrade};
-use juniperdock_charter as charter;
-use juniperdock_fellows::{Event, Fellows, Host, Keys, Refused, Standing, Times, life_at};
-use juniperdock_link::{Bell, Post, give_way, spawn};
+use juniperdock_connection::{Bell, Post, give_way, spawn};
+use juniperdock_membership::{Event, Fellows, Host, Keys, Refused, Standing, Times, life_at};
+use juniperdock_operator_config as operator_config;
 use may::sync::mpsc::{Receiver, Sender, channel};
 use serde_json::{Value, json};
 use std::collections::HashMap;
@@ -51,7 +51,7 @@
     pub name: String,
     pub listen: SocketAddr,
     pub peers: Vec<Option<SocketAddr>>,
-    pub laid_down: charter::Fellows,
+    pub laid_down: operator_config::Fellows,
     pub keys: Keys,
     pub seed: u64,
     pub desk: Sender<ToDesk>,
@@ -206,7 +206,7 @@
         let bell = post.bell();
         let mut alarm: Option<(Duration, Alarm)> = None;
         // One byte more than the longest, so that a longer one is seen to be longer.
-        let mut buffer = [0; juniperdock_fellows::LONGEST + 1];
+        let mut buffer = [0; juniperdock_membership::LONGEST + 1];
         loop {
             let Actor { circle, counters, log, .. } = &*self;
             let (bodies, mail) = (Vec::new(), &self.own);
@@ -313,7 +313,7 @@
 fn status(core: &Fellows, name: &str, now: Duration) -> Value {
     let (standing, since) = core.standing();
     let ago = |at: Duration| now.saturating_sub(at).as_millis() as u64;
-    let front = |f: &juniperdock_fellows::Fellow| {
+    let front = |f: &juniperdock_membership::Fellow| {
         json!({ "index": f.index, "state": f.liveness.name(), "incarnation": f.incarnation,
             "heard_ms_ago": f.heard.map(ago), "says": f.says.map(Standing::name) })
     };
--- a/crates/front/src/keep.rs
+++ b/crates/front/src/keep.rs
@@ -3,7 +3,7 @@
 use crate::clock::Clock;
 use crate::mail::ToDesk;
 use crate::whole;
-use juniperdock_charter::Snapshot;
+use juniperdock_operator_config::Snapshot;
 use juniperdock_snapshot::MachineTime;
 use may::sync::mpsc::Sender;
 use std::fs;
@@ -20,7 +20,7 @@
 /// The machine's own time, where it tells which run it is in.
 pub fn machine_time() -> Option<MachineTime> {
     let boot = fs::read_to_string(BOOT_ID).ok()?.trim().to_owned();
-    Some(MachineTime { boot, up_us: juniperdock_link::since_boot().as_micros() as i64 })
+    Some(MachineTime { boot, up_us: juniperdock_connection::since_boot().as_micros() as i64 })
 }
 
 /// Replaces the file; a draft of a front that was killed is in nobody's way.
--- a/crates/front/src/mail.rs
+++ b/crates/front/src/mail.rs
@@ -1,13 +1,13 @@
 //! The mail between actors. It stands below them all, so that none of them needs to know another.
 
 use crate::mailbox::Mailbox;
-use juniperdock_duties::{Asks, SHARDS, Step};
-use juniperdock_fellows::Keys;
-use juniperdock_held::Most;
-use juniperdock_link::Bell;
+use juniperdock_connection::Bell;
+use juniperdock_fleet_tasks::{Asks, SHARDS, Step};
+use juniperdock_membership::Keys;
 use juniperdock_request_guard::{AttemptPermit, RequestGuard};
 use juniperdock_router::host::{Ending, Report, Role};
 use juniperdock_server_list::ServerList;
+use juniperdock_wait_queue::Most;
 use may::sync::mpsc::Sender;
 use serde_json::Value;
 use std::net::{SocketAddr, TcpStream};
--- a/crates/front/src/mailbox.rs
+++ b/crates/front/src/mailbox.rs
@@ -1,6 +1,6 @@
 //! Mail for an actor that waits on its link: posting rings its bell.
 
-use juniperdock_link::Bell;
+use juniperdock_connection::Bell;
 use may::sync::mpsc::Sender;
 
 pub struct Mailbox<T> {
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -1,8 +1,8 @@
 //! `juniperdock`: the front, and the commands that operators give one that runs.
 
 use clap::{CommandFactory, Parser, Subcommand};
-use juniperdock_charter::{Charter, Fault};
 use juniperdock_front::{control, migrate, serve};
+use juniperdock_operator_config::{Charter, Fault};
 use serde_json::{Value, json};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -140,7 +140,7 @@
     let Some(path) = path else { return Ok(Charter::default()) };
     let whole = |why: String| vec![Fault { line: None, field: String::new(), why }];
     let text = std::fs::read_to_string(path).map_err(|e| whole(e.to_string()))?;
-    juniperdock_charter::read(&text)
+    juniperdock_operator_config::read(&text)
 }
 
 fn act(words: &Words) -> Result<(), String> {
@@ -155,7 +155,7 @@
     };
     if let Some(What::Check { schema }) = &words.what {
         if *schema {
-            println!("{:#}", juniperdock_charter::schema());
+            println!("{:#}", juniperdock_operator_config::schema());
             return Ok(());
         }
         let mut faults = read.as_ref().map_or_else(|faults| named(faults), |_| Vec::new());
--- a/crates/front/src/member.rs
+++ b/crates/front/src/member.rs
@@ -6,8 +6,8 @@
 use crate::counters::Counters;
 use crate::mail::{End, Job, ToDesk, ToMember};
 use crate::request_log::{RequestEvent, RequestLog};
-use juniperdock_door::{self as door, Origin};
-use juniperdock_link::{Bell, BufferLimits, Failure, Link, Reached, spawn};
+use juniperdock_connection::{Bell, BufferLimits, Failure, Link, Reached, spawn};
+use juniperdock_deployment::{self as deployment, Origin};
 use juniperdock_pg as pg;
 use juniperdock_router::host::{Ending, Report, Role};
 use juniperdock_server_clock::{Told, Verdict};
@@ -648,7 +648,7 @@
                     Some(("node_role", "leader")) => reply.role = Some(Role::Primary),
                     Some(("node_role", "follower")) => reply.role = Some(Role::Replica),
                     Some(("replay_position", ms)) => {
-                        reply.position_unix = ms.parse::<f64>().ok().and_then(door::micros);
+                        reply.position_unix = ms.parse::<f64>().ok().and_then(deployment::micros);
                     }
                     Some(("server_load", text)) => reply.load_text = Some(text.to_owned()),
                     _ => {}
@@ -707,7 +707,7 @@
     if fields().any(|(name, at)| name == "x0" && at.parse() == Ok(0.0)) {
         return Ok(Report::default());
     }
-    door::report(fields(), origin)
+    deployment::report(fields(), origin)
 }
 
 /// Reads what a server says of itself and judges its position; the report is dated by the origin as it is after that.
--- a/crates/front/src/migrate.rs
+++ b/crates/front/src/migrate.rs
@@ -14,7 +14,7 @@
 pub fn migrate(old: &Path, output: Option<&Path>, force: bool) -> Result<Value, String> {
     let at = |why: String| format!("{}: {why}", old.display());
     let text = fs::read_to_string(old).map_err(|e| at(e.to_string()))?;
-    let brought = juniperdock_terms::bring(&text).map_err(at)?;
+    let brought = juniperdock_settings::bring(&text).map_err(at)?;
     Told::of(brought.file.clone()).check().map_err(at)?;
     let output = output.filter(|_| !brought.already);
     if let Some(output) = output {
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -9,12 +9,12 @@
 use crate::told::{Told, TxnTypes};
 use crate::upgrade::{self, Taking};
 use crate::{control, desk, discovery_client, fellows, keep, member, signals};
-use juniperdock_charter as charter;
-use juniperdock_charter::{Charter, Fault, Form, Held, Log, Upgrade};
-use juniperdock_handover::Times;
-use juniperdock_held::Most;
-use juniperdock_link::{Door, spawn};
+use juniperdock_connection::{Door, spawn};
+use juniperdock_hot_restart::Times;
+use juniperdock_operator_config as operator_config;
+use juniperdock_operator_config::{Charter, Fault, Form, Held, Log, Upgrade};
 use juniperdock_server_list::{ProbeLimits, ProbeQueue};
+use juniperdock_wait_queue::Most;
 use may::sync::mpsc::{Sender, channel};
 use sd_notify::NotifyState;
 use slog::Drain;
@@ -57,7 +57,7 @@
 /// Starts to speak with the other fronts, where the operators' file and the settings have it. Whatever is wrong
 /// there keeps no front from serving: the log says why it goes without its fellows, and `check` says it before.
 fn fellows_of(
-    laid_down: &charter::Fellows,
+    laid_down: &operator_config::Fellows,
     told: &Told,
     clock: &Clock,
     counters: &Arc<Counters>,
@@ -276,7 +276,7 @@
     let Some(file) = file else { return Ok(Vec::new()) };
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
     let join = |faults: Vec<Fault>| faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ");
-    let new = juniperdock_charter::read(&text).map_err(join)?;
+    let new = juniperdock_operator_config::read(&text).map_err(join)?;
     let mut now = now.lock().unwrap_or_else(PoisonError::into_inner);
     if new.held != now.held {
         clients.clock.post(&clients.desk, ToDesk::Hold(most(&new.held), new.held.untaken_share));
@@ -371,7 +371,7 @@
             slog_async::Async::new(drain).chan_size(1024).build()
         }
         Form::Json => {
-            let monotonic_us = slog::FnValue(|_| juniperdock_link::monotonic().as_micros() as u64);
+            let monotonic_us = slog::FnValue(|_| juniperdock_connection::monotonic().as_micros() as u64);
             let drain = slog_json::Json::new(lines)
                 .add_default_keys()
                 .add_key_value(slog::o!("monotonic_us" => monotonic_us))
--- a/crates/front/src/signals.rs
+++ b/crates/front/src/signals.rs
@@ -6,7 +6,7 @@
 use crate::counters::Counters;
 use crate::mail::{ToDiscovery, ToFellows};
 use crate::told::Told;
-use juniperdock_link::{Bell, Door};
+use juniperdock_connection::{Bell, Door};
 use may::sync::mpsc::Sender;
 use signal_hook::consts::{SIGHUP, SIGTERM, SIGUSR1};
 use signal_hook::iterator::Signals;
--- a/crates/front/src/told.rs
+++ b/crates/front/src/told.rs
@@ -2,11 +2,11 @@
 //! reader gives the few values that one part needs, or says what was expected and where.
 
 use crate::configuration::{configuration, with_known};
-use juniperdock_door::{self as door, Indices};
+use juniperdock_deployment::{self as deployment, Indices};
 use juniperdock_router::host::Level;
 use juniperdock_router::routing::Router;
 use juniperdock_server_list::ServerList;
-use juniperdock_terms::term;
+use juniperdock_settings::term;
 use serde_json::Value;
 use std::net::{SocketAddr, ToSocketAddrs};
 use std::time::Duration;
@@ -57,7 +57,7 @@
     pub fn read() -> Result<Told, String> {
         let path = std::env::var("GW_CONFIG").map_err(|e| format!("GW_CONFIG: {e}"))?;
         let (whole, known) = with_known(&path)?;
-        juniperdock_terms::is_new(&whole).map_err(|why| format!("GW_CONFIG: {path}: {why}"))?;
+        juniperdock_settings::is_new(&whole).map_err(|why| format!("GW_CONFIG: {path}: {why}"))?;
         Ok(Told { path, whole, known })
     }
 
@@ -100,20 +100,20 @@
 
     /// A time in milliseconds among the terms.
     pub fn millis(&self, path: &str) -> Result<Duration, String> {
-        let ms = self.term(path).and_then(|ms| door::micros(ms.parse().ok()?));
-        ms.map(door::span).ok_or_else(|| format!("settings: expected a time in {path}"))
+        let ms = self.term(path).and_then(|ms| deployment::micros(ms.parse().ok()?));
+        ms.map(deployment::span).ok_or_else(|| format!("settings: expected a time in {path}"))
     }
 
     /// Makes routers of these terms, as often as one is needed.
     pub fn routers(&self) -> Result<impl Fn() -> Result<Router, String> + Send + use<>, String> {
         let (seed, terms) = (self.seed()?, self.whole["settings"].clone());
-        door::open(seed, &|path| term(&terms, path)).map_err(|why| format!("settings: {why}"))?;
-        Ok(move || Ok(door::open(seed, &|path| term(&terms, path))?.0))
+        deployment::open(seed, &|path| term(&terms, path)).map_err(|why| format!("settings: {why}"))?;
+        Ok(move || Ok(deployment::open(seed, &|path| term(&terms, path))?.0))
     }
 
     /// The txn types, as clients' actors need them.
     pub fn txn_types(&self) -> Result<TxnTypes, String> {
-        let (_, levels) = door::open(self.seed()?, &|path| self.term(path))?;
+        let (_, levels) = deployment::open(self.seed()?, &|path| self.term(path))?;
         let (mut names, mut longest) = (Indices::default(), Duration::ZERO);
         for i in 0..levels.len() {
             let name = self.term(&format!("Services.{i}.Name"));
--- a/crates/front/src/upgrade.rs
+++ b/crates/front/src/upgrade.rs
@@ -1,14 +1,14 @@
 //! Hands the front over to a process that succeeds it, or takes over from one. The rules are those of
-//! `juniperdock_handover`; here they meet processes, descriptors and clients' actors. On threads of its own,
+//! `juniperdock_hot_restart`; here they meet processes, descriptors and clients' actors. On threads of its own,
 //! for calls wait.
 
 use crate::client::CONNECTION_STACK;
 use crate::clients::{ClientTransfer, SharedClients, TransferResult};
 use crate::mail::{ToDesk, ToFellows};
-use juniperdock_handover::word::{self, Hears, LONGEST};
-use juniperdock_handover::{Do, Giver, Phase, SPOKEN, Stage, Taker, Times};
-use juniperdock_link::{Door, spawn};
-use juniperdock_passing::{Came, Line};
+use juniperdock_connection::{Door, spawn};
+use juniperdock_fd_passing::{Came, Line};
+use juniperdock_hot_restart::word::{self, Hears, LONGEST};
+use juniperdock_hot_restart::{Do, Giver, Phase, SPOKEN, Stage, Taker, Times};
 use std::collections::BTreeMap;
 use std::net::{TcpListener, TcpStream};
 use std::os::fd::{AsFd, OwnedFd};
--- a/crates/front/tests/calls.rs
+++ b/crates/front/tests/calls.rs
@@ -1,7 +1,7 @@
 //! The machine's calls fail for a while, through a library of ours in the process: nothing that passes ends anything.
 
 use juniperdock_fault_controls::{Controls, preload};
-use juniperdock_standins::{Client, Front, PATIENCE, address, message, txn};
+use juniperdock_test_support::{Client, Front, PATIENCE, address, message, txn};
 use std::io::Write;
 use std::net::TcpStream;
 use std::path::PathBuf;
--- a/crates/front/tests/clocks.rs
+++ b/crates/front/tests/clocks.rs
@@ -1,11 +1,11 @@
 //! The wall clock of a process is off when it starts, by seconds or an hour: it serves all the same, and reads nothing
 //! that is older than allowed.
 
+use juniperdock_connection::spawn;
 use juniperdock_fault_controls::{Controls, preload};
 use juniperdock_front::clock::Clock;
-use juniperdock_link::spawn;
 use juniperdock_server_clock::{Told, Verdict};
-use juniperdock_standins::{Front, address, txn};
+use juniperdock_test_support::{Front, address, txn};
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 use town::{PROGRAM, Town, until};
--- a/crates/front/tests/connects.rs
+++ b/crates/front/tests/connects.rs
@@ -1,6 +1,6 @@
 //! Connections to servers that never come up: their time-outs keep nobody else from having its turn.
 
-use juniperdock_standins::{Front, address, list, txn};
+use juniperdock_test_support::{Front, address, list, txn};
 use socket2::{Domain, SockAddr, Socket, Type};
 use std::net::SocketAddr;
 use std::path::Path;
--- a/crates/front/tests/desk.rs
+++ b/crates/front/tests/desk.rs
@@ -1,12 +1,12 @@
 //! The dispatcher alone, with actors of the test's own round it.
 
+use juniperdock_connection::{BufferLimits, Link};
 use juniperdock_front::clock::Clock;
 use juniperdock_front::counters::Counters;
 use juniperdock_front::desk::{Desk, Hire};
 use juniperdock_front::mail::{Answer, Arrival, Job, ToDesk, ToMember};
 use juniperdock_front::mailbox::Mailbox;
 use juniperdock_front::request_log::RequestLog;
-use juniperdock_link::{BufferLimits, Link};
 use juniperdock_request_guard::{ClientPresence, RequestGuard};
 use juniperdock_router::host::Ending;
 use juniperdock_router::host::Role;
--- a/crates/front/tests/discovery.rs
+++ b/crates/front/tests/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery that goes away and comes back, by several ways of failing, while descriptors are short and while fronts
 //! start.
 
-use juniperdock_standins::{Client, Front, PATIENCE, address, txn};
+use juniperdock_test_support::{Client, Front, PATIENCE, address, txn};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
@@ -119,7 +119,7 @@
     until(|| front.client().ask(&txn("order", 20_000, "first")).value.is_some());
     drop((watch, listener));
     // All that the front had open to its servers ends too.
-    town.members.iter().for_each(juniperdock_standins::Member::cut);
+    town.members.iter().for_each(juniperdock_test_support::Member::cut);
     let mut idle = fill(&front, SOCKETS);
     let listener = TcpListener::bind(at).expect("its address");
     let back = Instant::now();
--- a/crates/front/tests/endings.rs
+++ b/crates/front/tests/endings.rs
@@ -1,7 +1,7 @@
 //! A connection or a process ends while something is owed on it: an answer that is not out yet, a statement that is
 //! half read, statements behind one that is refused. Whatever was taken gets its final answer first.
 
-use juniperdock_standins::{Client, Does, Front, PATIENCE, address, message, row, txn};
+use juniperdock_test_support::{Client, Does, Front, PATIENCE, address, message, row, txn};
 use socket2::{Domain, Socket, Type};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
@@ -104,7 +104,7 @@
         Front::config(&town.known, FEW_DESCRIPTORS).replace("\"memory_mb\":192", "\"memory_mb\":4096");
     let front = Front::with(PROGRAM, address(), town.agent.at, &config, None);
     begin(&town, &front);
-    let long = [row(&vec![b'x'; LENGTH]), juniperdock_standins::wire::ready()].concat();
+    let long = [row(&vec![b'x'; LENGTH]), juniperdock_test_support::wire::ready()].concat();
     town.members.iter().for_each(|member| member.once(Does::Says(long.clone())));
     // Its machine takes next to nothing that it does not read.
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
--- a/crates/front/tests/migrate.rs
+++ b/crates/front/tests/migrate.rs
@@ -1,7 +1,7 @@
 //! `juniperdock migrate` as an operator runs it: the built program, files in a folder of its own, and a front on
 //! loopback addresses among stand-ins.
 
-use juniperdock_standins::{Agent, Front, Member, WATCH, address, list, txn};
+use juniperdock_test_support::{Agent, Front, Member, WATCH, address, list, txn};
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
--- a/crates/front/tests/moments.rs
+++ b/crates/front/tests/moments.rs
@@ -2,8 +2,8 @@
 //! side, or laid in wait while the front stands still; what a story waits for it sees, in the machine's own table of
 //! sockets where nothing else tells.
 
-use juniperdock_standins::wire::{Said, Store, parameter, ready, serve};
-use juniperdock_standins::{Client, Does, Front, PATIENCE, address, message, row, txn, unix_ms};
+use juniperdock_test_support::wire::{Said, Store, parameter, ready, serve};
+use juniperdock_test_support::{Client, Does, Front, PATIENCE, address, message, row, txn, unix_ms};
 use socket2::{Domain, SockRef, Socket, Type};
 use std::collections::BTreeSet;
 use std::io::{Read, Write};
--- a/crates/front/tests/pipeline.rs
+++ b/crates/front/tests/pipeline.rs
@@ -1,7 +1,7 @@
 //! Statements that a client sends before its earlier ones are answered: worked on at once, answered in their order,
 //! each in its own time.
 
-use juniperdock_standins::{Client, Does, Front, Member, PATIENCE, Reply, address, message, txn};
+use juniperdock_test_support::{Client, Does, Front, Member, PATIENCE, Reply, address, message, txn};
 use std::net::Shutdown;
 use std::time::Duration;
 use town::{PROGRAM, Town, until};
--- a/crates/front/tests/roll.rs
+++ b/crates/front/tests/roll.rs
@@ -1,8 +1,8 @@
 //! Which program a rolling upgrade may start.
 
-use juniperdock_charter::Upgrade;
 use juniperdock_front::mail;
 use juniperdock_front::serve::{beside, rolled};
+use juniperdock_operator_config::Upgrade;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
--- a/crates/front/tests/sockets.rs
+++ b/crates/front/tests/sockets.rs
@@ -1,6 +1,6 @@
 //! Stories on sockets: the built program among stand-ins. Each waits for what is to happen, never for a time.
 
-use juniperdock_standins::{Agent, Does, Front, PATIENCE, WATCH, error, list, message, row, txn};
+use juniperdock_test_support::{Agent, Does, Front, PATIENCE, WATCH, error, list, message, row, txn};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
 use std::process::Command;
--- a/crates/front/tests/town/mod.rs
+++ b/crates/front/tests/town/mod.rs
@@ -1,7 +1,7 @@
 //! The built program among stand-ins: one group, and what stories wait for.
 #![allow(dead_code)] // Not every file of stories uses all of it.
 
-use juniperdock_standins::{Agent, Front, Member, PATIENCE, WATCH, list};
+use juniperdock_test_support::{Agent, Front, Member, PATIENCE, WATCH, list};
 use std::time::Instant;
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_juniperdock");
--- a/crates/front/tests/upgrade.rs
+++ b/crates/front/tests/upgrade.rs
@@ -2,7 +2,7 @@
 //! fails.
 
 use juniperdock_lab::upgrade;
-use juniperdock_standins::{Agent, Client, Does, Front, Member, PATIENCE, WATCH, address, list, txn};
+use juniperdock_test_support::{Agent, Client, Does, Front, Member, PATIENCE, WATCH, address, list, txn};
 use std::os::unix::fs::PermissionsExt;
 use std::os::unix::net::UnixStream;
 use std::process::Command;
@@ -190,7 +190,8 @@
     until(|| town.members[0].seen.try_iter().any(|seen| seen.contains("id=long")));
     town.members[0].set(Does::Serves);
     // Half a statement is sent before the hand-over, the rest after it.
-    let whole = juniperdock_standins::message(b'Q', format!("{}\0", txn("lookup", 2000, "half")).as_bytes());
+    let whole =
+        juniperdock_test_support::message(b'Q', format!("{}\0", txn("lookup", 2000, "half")).as_bytes());
     std::io::Write::write_all(&mut half.stream, &whole[..20]).expect("sent");
     let (good, said) = town.command(&["upgrade"]);
     assert!(good, "{said}");
@@ -234,7 +235,7 @@
     let mut ahead = town.front.client();
     (0..200).for_each(|i| ahead.say(&txn("lookup", 5000, &format!("a{i}"))));
     until(|| town.command(&["upgrade"]).0);
-    let seen = |reply: juniperdock_standins::Reply, id: String| {
+    let seen = |reply: juniperdock_test_support::Reply, id: String| {
         reply.value.is_some_and(|value| String::from_utf8_lossy(&value).contains(&format!("id={id},")))
     };
     assert!((0..200).all(|i| seen(ahead.reply(), format!("a{i}"))), "each answered once, in order");
--- a/crates/front/tests/worker.rs
+++ b/crates/front/tests/worker.rs
@@ -1,8 +1,8 @@
 //! Who wakes the actors: the worker itself. Another thread that is stopped half-way through handing over what it has woken
 //! makes the worker spin until that thread runs again.
 
+use juniperdock_connection::spawn;
 use juniperdock_front::clock::Clock;
-use juniperdock_link::spawn;
 use std::sync::mpsc::channel;
 use std::thread::{ThreadId, current};
 use std::time::Duration;
--- a/crates/handover/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -19,7 +19,7 @@
 /// The highest version that both sides speak.
 ///
 /// ```
-/// use juniperdock_handover::agreed;
+/// use juniperdock_hot_restart::agreed;
 ///
 /// assert_eq!(agreed((1, 3), (2, 5)), Some(3));
 /// assert_eq!(agreed((1, 1), (2, 5)), None);
--- a/crates/handover/tests/stories.rs
+++ b/crates/hot-restart/tests/stories.rs
@@ -1,7 +1,7 @@
 //! Both sides, and each way in which one may fail the other.
 
-use juniperdock_handover::word::{self, Hears};
-use juniperdock_handover::{Do, Giver, Phase, SPOKEN, Stage, Taker, Times, Why};
+use juniperdock_hot_restart::word::{self, Hears};
+use juniperdock_hot_restart::{Do, Giver, Phase, SPOKEN, Stage, Taker, Times, Why};
 use proptest::prelude::*;
 use std::time::Duration;
 
--- a/crates/lab/src/circle.rs
+++ b/crates/lab/src/circle.rs
@@ -4,7 +4,9 @@
 use garde::Validate;
 use hdrhistogram::Histogram;
 use juniperdock_emulator::{Calendar, Stream};
-use juniperdock_fellows::{Event, Fellows, Host, Keys, Liveness, NEWEST, Refused, Standing, Times, life_at};
+use juniperdock_membership::{
+    Event, Fellows, Host, Keys, Liveness, NEWEST, Refused, Standing, Times, life_at,
+};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/crates/lab/src/fleet/play.rs
+++ b/crates/lab/src/fleet/play.rs
@@ -12,7 +12,7 @@
 use crate::sockets::{State, Town, client, list, settings};
 use juniperdock_emulator::{Entry, Note, Out, World};
 use juniperdock_router::host::{Ending, Listed};
-use juniperdock_standins::{Agent, WATCH, address};
+use juniperdock_test_support::{Agent, WATCH, address};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/crates/lab/src/fleet/relay.rs
+++ b/crates/lab/src/fleet/relay.rs
@@ -2,7 +2,7 @@
 //! lost, delayed, doubled, bent, replayed, forged or cut in one direction alone.
 
 use juniperdock_emulator::Stream;
-use juniperdock_fellows::{Event, Fellows, Host, Keys, NEWEST, Times};
+use juniperdock_membership::{Event, Fellows, Host, Keys, NEWEST, Times};
 use mio::net::UdpSocket;
 use mio::{Events, Interest, Poll, Token};
 use std::cmp::Reverse;
@@ -265,7 +265,7 @@
         let seed = self.chance.number();
         let forger = self.forgers[at].get_or_insert_with(|| {
             let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-            let life = juniperdock_fellows::life_at(unix) + FORGED_LIFE;
+            let life = juniperdock_membership::life_at(unix) + FORGED_LIFE;
             let keys = Keys::read(&["0f".repeat(32)]).expect("a key, though not theirs");
             let times = Times::of(Duration::from_millis(50));
             let core = Fellows::new(from, n, life, seed, NEWEST, times, keys);
--- a/crates/lab/src/fleet/schedule.rs
+++ b/crates/lab/src/fleet/schedule.rs
@@ -1,8 +1,8 @@
 //! What befalls a fleet of processes, from a file in JSON5 or drawn from a seed.
 
 use garde::Validate;
-use juniperdock_charter::{Fault, fault};
 use juniperdock_emulator::Stream;
+use juniperdock_operator_config::{Fault, fault};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
@@ -217,7 +217,7 @@
 
 /// Reads a schedule; every fault is told with its line and field.
 pub fn read(text: &str) -> Result<Schedule, Vec<Fault>> {
-    let schedule: Schedule = juniperdock_charter::read_as(text)?;
+    let schedule: Schedule = juniperdock_operator_config::read_as(text)?;
     let faults = schedule.impossible();
     if !faults.is_empty() {
         return Err(faults.into_iter().map(|(field, why)| fault(text, &field, why)).collect());
--- a/crates/lab/src/fronts.rs
+++ b/crates/lab/src/fronts.rs
@@ -3,7 +3,7 @@
 
 use crate::scenario::Scenario;
 use juniperdock_emulator::{Entry, Out, Stream, Told, World};
-use juniperdock_fellows::{Fellows, Keys, NEWEST, Times, life_at};
+use juniperdock_membership::{Fellows, Keys, NEWEST, Times, life_at};
 use juniperdock_router::host::{Effect, Host, Level, Listed, Standing, TxnType};
 use juniperdock_router::routing::Router;
 use std::collections::{BTreeSet, HashMap};
@@ -190,12 +190,12 @@
 /// Sends between fronts go through the world; what has changed is looked up where it is wanted.
 struct Letters<'a>(usize, &'a mut World);
 
-impl juniperdock_fellows::Host for Letters<'_> {
+impl juniperdock_membership::Host for Letters<'_> {
     fn send(&mut self, to: usize, datagram: &[u8]) {
         self.1.share(self.0, to, datagram);
     }
 
-    fn event(&mut self, _: juniperdock_fellows::Event) {}
+    fn event(&mut self, _: juniperdock_membership::Event) {}
 }
 
 struct Hands<'a> {
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -4,7 +4,7 @@
 use crate::scenario::{Load, Reads};
 use hdrhistogram::Histogram;
 use juniperdock_emulator::{Stream, Zipf};
-use juniperdock_standins::Client;
+use juniperdock_test_support::Client;
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -395,7 +395,7 @@
             find(&file).map(|scenario| println!("{}: no fault found", scenario.title)).map(|()| true)
         }
         What::Schema => {
-            println!("{:#}", juniperdock_charter::schema_of::<scenario::Scenario>());
+            println!("{:#}", juniperdock_operator_config::schema_of::<scenario::Scenario>());
             Ok(true)
         }
         What::Fleet {
@@ -414,7 +414,7 @@
             clock_steps,
         } => {
             if schema {
-                println!("{:#}", juniperdock_charter::schema_of::<fleet::Schedule>());
+                println!("{:#}", juniperdock_operator_config::schema_of::<fleet::Schedule>());
                 return Ok(true);
             }
             let schedule = match schedule {
@@ -539,12 +539,12 @@
         }
         What::Circle { file, seed, fronts, report, schema } => {
             if schema {
-                println!("{:#}", juniperdock_charter::schema_of::<circle::Circle>());
+                println!("{:#}", juniperdock_operator_config::schema_of::<circle::Circle>());
                 return Ok(true);
             }
             let text = file.as_ref().map_or(Ok("{}".to_owned()), std::fs::read_to_string);
             let text = text.map_err(|e| e.to_string())?;
-            let read: circle::Circle = juniperdock_charter::read_as(&text)
+            let read: circle::Circle = juniperdock_operator_config::read_as(&text)
                 .map_err(|faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))?;
             let sizes = if fronts.is_empty() { vec![read.fronts] } else { fronts };
             let mut rows = Vec::new();
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -3,7 +3,7 @@
 use crate::scenario::Scenario;
 use hdrhistogram::Histogram;
 use juniperdock_emulator::{Broken, How, Kind, Out, Told};
-use juniperdock_fellows::{Fellows, Standing};
+use juniperdock_membership::{Fellows, Standing};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
--- a/crates/lab/src/offices.rs
+++ b/crates/lab/src/offices.rs
@@ -3,8 +3,8 @@
 //! their look at the clock and the write. What is judged is what is true, not what any front says.
 
 use juniperdock_emulator::Stream;
-use juniperdock_fellows::{Event, Fellows, Host, Keys, NEWEST, Standing, Times, life_at};
 use juniperdock_lease::{DRIFT, Duties, Duty, Office, Sight};
+use juniperdock_membership::{Event, Fellows, Host, Keys, NEWEST, Standing, Times, life_at};
 use rayon::prelude::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -1,8 +1,8 @@
 //! What a front under test speaks to: an agent that tells the server list, and servers that share a few listeners. They
 //! speak the real wire formats and keep no data.
 
-use juniperdock_standins::wire::{Said, Store, parameter, ready, row, serve};
-use juniperdock_standins::{address, unix_ms};
+use juniperdock_test_support::wire::{Said, Store, parameter, ready, row, serve};
+use juniperdock_test_support::{address, unix_ms};
 use serde::{Deserialize, Serialize};
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, Write};
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -7,7 +7,7 @@
 pub mod process;
 
 use hollow::{Agent, Behaviour, GROUP, Servers};
-use juniperdock_standins::{Client, Front, address};
+use juniperdock_test_support::{Client, Front, address};
 use oorandom::Rand64;
 use serde::Serialize;
 use std::net::SocketAddr;
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -2,8 +2,8 @@
 //! with line and field.
 
 use garde::Validate;
-use juniperdock_charter::{Fault, fault};
 use juniperdock_emulator::{Crowd, Election, Ill, Kind, Log, Node, Shape, Trouble, What, Whom};
+use juniperdock_operator_config::{Fault, fault};
 use juniperdock_router::host::{ColdStart, Effect, Level, Scope, TxnType};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -366,7 +366,7 @@
 
 /// Reads a scenario; every fault is told with its line and field.
 pub fn read(text: &str) -> Result<Scenario, Vec<Fault>> {
-    let scenario: Scenario = juniperdock_charter::read_as(text)?;
+    let scenario: Scenario = juniperdock_operator_config::read_as(text)?;
     let faults = scenario.impossible();
     if !faults.is_empty() {
         return Err(faults.into_iter().map(|(field, why)| fault(text, &field, why)).collect());
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -5,11 +5,11 @@
 use crate::load::statement;
 use crate::measure::{Measure, Moment, Outcome};
 use crate::scenario::{OfKind, Reads, Runs, Scenario};
+use juniperdock_connection::monotonic;
 use juniperdock_emulator::{Entry, Out, Stream, Told, World};
-use juniperdock_link::monotonic;
 use juniperdock_router::host::{Ending, Listed, Report, Role};
-use juniperdock_standins::wire::{error, field, message, parameter, read_message, ready, row};
-use juniperdock_standins::{Agent, Client, Front, Reply, WATCH, address, unix_ms};
+use juniperdock_test_support::wire::{error, field, message, parameter, read_message, ready, row};
+use juniperdock_test_support::{Agent, Client, Front, Reply, WATCH, address, unix_ms};
 use std::collections::{HashMap, VecDeque};
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/lab/src/upgrade.rs
+++ b/crates/lab/src/upgrade.rs
@@ -6,9 +6,9 @@
 use crate::scenario::Scenario;
 use crate::sockets::{Ask, Ledger, State, Town, client, list, settings};
 use juniperdock_emulator::{Entry, Note, Out, Told, World};
-use juniperdock_handover::word::{self, Hears, LONGEST};
-use juniperdock_passing::{Came, Line};
-use juniperdock_standins::{Agent, Front, WATCH, address};
+use juniperdock_fd_passing::{Came, Line};
+use juniperdock_hot_restart::word::{self, Hears, LONGEST};
+use juniperdock_test_support::{Agent, Front, WATCH, address};
 use std::collections::HashMap;
 use std::fmt;
 use std::os::fd::AsFd;
@@ -326,7 +326,7 @@
 /// clients.
 pub fn successor(how: &str) -> bool {
     let Ok(line) = std::io::stdin().as_fd().try_clone_to_owned().map(Line::of) else { return false };
-    let (lowest, highest) = if how == "version" { (900, 901) } else { juniperdock_handover::SPOKEN };
+    let (lowest, highest) = if how == "version" { (900, 901) } else { juniperdock_hot_restart::SPOKEN };
     let (mut heard, mut ready) = (Heard::default(), false);
     let mut said = line.send(&word::hello(lowest, highest), None).is_ok();
     while said && let Ok(Came::Word(word, _)) = line.receive(LONGEST, Duration::from_secs(5)) {
--- a/crates/fellows/benches/view.rs
+++ b/crates/membership/benches/view.rs
@@ -3,7 +3,7 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use hmac::{Hmac, KeyInit, Mac};
-use juniperdock_fellows::{Event, Fellows, Host, Keys, Times};
+use juniperdock_membership::{Event, Fellows, Host, Keys, Times};
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
--- a/crates/fellows/src/fellows.rs
+++ b/crates/membership/src/fellows.rs
@@ -8,7 +8,7 @@
 use foca::{
     Codec, Config, Foca, Header, Message, NoCustomBroadcast, Notification, PeriodicParams, State, Timer,
 };
-use juniperdock_wheel::Wheel;
+use juniperdock_timer_wheel::Wheel;
 use oorandom::Rand64;
 use std::collections::VecDeque;
 use std::num::{NonZeroU8, NonZeroUsize};
--- a/crates/fellows/src/who.rs
+++ b/crates/membership/src/who.rs
@@ -24,7 +24,7 @@
 /// other fronts remember; one that they know in a later life goes above that.
 ///
 /// ```
-/// use juniperdock_fellows::life_at;
+/// use juniperdock_membership::life_at;
 /// use std::time::Duration;
 /// let early = life_at(Duration::from_secs(1_767_225_700));
 /// assert!(early > 0 && life_at(Duration::from_secs(1_767_225_701)) > early);
--- a/crates/fellows/src/window.rs
+++ b/crates/membership/src/window.rs
@@ -12,7 +12,7 @@
     /// Notes a number, counted from 1; false if it came before, or is so old that this can't be told.
     ///
     /// ```
-    /// let mut window = juniperdock_fellows::Window::default();
+    /// let mut window = juniperdock_membership::Window::default();
     /// assert!(window.take(7) && window.take(5) && !window.take(7) && !window.take(5));
     /// assert!(window.take(1000) && !window.take(6) && window.take(999));
     /// ```
--- a/crates/fellows/tests/fuzz.rs
+++ b/crates/membership/tests/fuzz.rs
@@ -3,7 +3,7 @@
 //! any_bytes_are_borne` goes on from there.
 
 use hmac::{Hmac, KeyInit, Mac};
-use juniperdock_fellows::{Event, Fellows, Host, Keys, LONGEST, Refused, Times};
+use juniperdock_membership::{Event, Fellows, Host, Keys, LONGEST, Refused, Times};
 use std::time::Duration;
 
 #[derive(Default)]
--- a/crates/fellows/tests/stories.rs
+++ b/crates/membership/tests/stories.rs
@@ -1,6 +1,8 @@
 //! Short stories of two or a few fronts, each with a guard that it fails without.
 
-use juniperdock_fellows::{Event, Fellows, Host, Keys, LONGEST, Liveness, Refused, Standing, Times, life_at};
+use juniperdock_membership::{
+    Event, Fellows, Host, Keys, LONGEST, Liveness, Refused, Standing, Times, life_at,
+};
 use std::collections::VecDeque;
 use std::time::Duration;
 
--- a/crates/charter/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -5,9 +5,9 @@
 //! one that is.
 //!
 //! ```
-//! let read = juniperdock_charter::read("{ log: { form: 'json' }, // as our collector wants it\n}").unwrap();
-//! assert_eq!(read.log.form, juniperdock_charter::Form::Json);
-//! let faults = juniperdock_charter::read("{\n  contrl: { path: 'x' },\n}").unwrap_err();
+//! let read = juniperdock_operator_config::read("{ log: { form: 'json' }, // as our collector wants it\n}").unwrap();
+//! assert_eq!(read.log.form, juniperdock_operator_config::Form::Json);
+//! let faults = juniperdock_operator_config::read("{\n  contrl: { path: 'x' },\n}").unwrap_err();
 //! assert_eq!(faults[0].to_string(), "line 2, contrl: not known here; did you mean control?");
 //! ```
 
--- a/crates/tenure/benches/events.rs
+++ b/crates/primary-tracker/benches/events.rs
@@ -1,7 +1,7 @@
 //! What an event costs beside the number of groups that there are, and what the records take.
 
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
-use juniperdock_tenure::{Claim, Role, Tenure};
+use juniperdock_primary_tracker::{Claim, Role, Tenure};
 use std::hint::black_box;
 use std::time::Duration;
 
--- a/crates/tenure/src/lib.rs
+++ b/crates/primary-tracker/src/lib.rs
@@ -11,7 +11,7 @@
 //! long changes took.
 //!
 //! ```
-//! use juniperdock_tenure::{Claim, Phase, Role, Tenure};
+//! use juniperdock_primary_tracker::{Claim, Phase, Role, Tenure};
 //! use std::time::Duration;
 //!
 //! let ms = Duration::from_millis;
--- a/crates/tenure/src/vacancy.rs
+++ b/crates/primary-tracker/src/vacancy.rs
@@ -14,7 +14,7 @@
 /// Counts of vacancies by their length, the newer ones weighing more. 24 bytes; a length is known within 42%.
 ///
 /// ```
-/// use juniperdock_tenure::Vacancies;
+/// use juniperdock_primary_tracker::Vacancies;
 /// use std::time::Duration;
 ///
 /// let mut of_late = Vacancies::default();
--- a/crates/tenure/tests/histories.rs
+++ b/crates/primary-tracker/tests/histories.rs
@@ -1,6 +1,6 @@
 //! Long random histories: what always holds, whatever is heard in whatever order.
 
-use juniperdock_tenure::{Claim, Phase, Role, Tenure};
+use juniperdock_primary_tracker::{Claim, Phase, Role, Tenure};
 use proptest::prelude::*;
 use std::time::Duration;
 
--- a/crates/tenure/tests/stories.rs
+++ b/crates/primary-tracker/tests/stories.rs
@@ -1,6 +1,6 @@
 //! One story for each way in which a group's primary changes, or seems to.
 
-use juniperdock_tenure::{Claim, FENCE, GAP, Phase, Plan, Reason, Role, Step, Tenure, Undo, Why};
+use juniperdock_primary_tracker::{Claim, FENCE, GAP, Phase, Plan, Reason, Role, Step, Tenure, Undo, Why};
 use std::time::Duration;
 
 const PRIMARY: Role = Role::Primary;
--- a/crates/router/src/host.rs
+++ b/crates/router/src/host.rs
@@ -3,8 +3,8 @@
 //! A host maps its own ids to small indices: members, groups, zones and txn types count from 0, and a txn
 //! keeps its index until the router releases it. All times are spans since the instance started.
 
-pub use juniperdock_fate::{Effect, Ending, Scope};
-pub use juniperdock_tenure::{Change, Phase, Plan, Role};
+pub use juniperdock_attempt_outcome::{Effect, Ending, Scope};
+pub use juniperdock_primary_tracker::{Change, Phase, Plan, Role};
 use std::time::Duration;
 
 /// What the router can have done. A host carries out each call in the order of the calls.
--- a/crates/router/src/kept.rs
+++ b/crates/router/src/kept.rs
@@ -1,8 +1,8 @@
 //! What a router leaves to the process after it, and takes up from the one before. Nothing is decided here.
 
 use crate::routing::Router;
+use juniperdock_primary_tracker::{KeptGroup, KeptSeat};
 use juniperdock_snapshot::Worth;
-use juniperdock_tenure::{KeptGroup, KeptSeat};
 use std::time::Duration;
 
 /// Of a member.
--- a/crates/router/src/routing.rs
+++ b/crates/router/src/routing.rs
@@ -8,9 +8,9 @@
 use crate::ring::Ring;
 pub use crate::state::Router;
 use crate::state::{Member, Tally, Txn, both};
-use juniperdock_fate::{Fate, Verdict};
-use juniperdock_held::{NoRoom, Rank, Wait};
-use juniperdock_tenure::Claim;
+use juniperdock_attempt_outcome::{Fate, Verdict};
+use juniperdock_primary_tracker::Claim;
+use juniperdock_wait_queue::{NoRoom, Rank, Wait};
 use oorandom::Rand64;
 use std::{cmp::Reverse, mem::take, time::Duration};
 
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -3,9 +3,9 @@
 use crate::host::{ColdStart, Host, Level, Plan, Standing, TxnType};
 use crate::ring::Ring;
 use crate::sessions::Sessions;
-use juniperdock_fate::{Fate, Place};
-use juniperdock_held::{Held, Most, Rank};
-use juniperdock_tenure::Tenure;
+use juniperdock_attempt_outcome::{Fate, Place};
+use juniperdock_primary_tracker::Tenure;
+use juniperdock_wait_queue::{Held, Most, Rank};
 use oorandom::Rand64;
 use std::collections::BTreeSet;
 use std::time::Duration;
--- a/crates/router/tests/primary.rs
+++ b/crates/router/tests/primary.rs
@@ -3,8 +3,8 @@
 mod fake;
 
 use fake::{Act, LOOSE, MARKED, ONCE, READ, Story, ms};
-use juniperdock_held::Most;
 use juniperdock_router::host::{Ending, Listed, Phase, Role};
+use juniperdock_wait_queue::Most;
 
 /// Member 0 has answered as primary; the others are replicas.
 fn steady() -> Story {
--- a/crates/terms/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -45,9 +45,9 @@
 ///
 /// ```
 /// let terms = serde_json::json!({ "Zones": ["a", "b"], "Tenants": [{ "QuotaRps": 3.5 }] });
-/// assert_eq!(juniperdock_terms::term(&terms, "Zones").as_deref(), Some("a,b"));
-/// assert_eq!(juniperdock_terms::term(&terms, "Tenants.0.QuotaRps").as_deref(), Some("3.5"));
-/// assert_eq!(juniperdock_terms::term(&terms, "Tenants.count").as_deref(), Some("1"));
+/// assert_eq!(juniperdock_settings::term(&terms, "Zones").as_deref(), Some("a,b"));
+/// assert_eq!(juniperdock_settings::term(&terms, "Tenants.0.QuotaRps").as_deref(), Some("3.5"));
+/// assert_eq!(juniperdock_settings::term(&terms, "Tenants.count").as_deref(), Some("1"));
 /// ```
 pub fn term(terms: &Value, path: &str) -> Option<String> {
     let mut at = terms;
@@ -98,7 +98,7 @@
         read.borrow_mut().insert(path.to_owned());
         term(&terms, path)
     };
-    let (_, levels) = juniperdock_door::open(0, &look).map_err(|why| format!("settings: {why}"))?;
+    let (_, levels) = juniperdock_deployment::open(0, &look).map_err(|why| format!("settings: {why}"))?;
     let mut read = read.into_inner();
     for kind in 0..levels.len() {
         read.extend(["Name", "HardLimit"].map(|key| format!("Services.{kind}.{key}")));
--- a/crates/simhost/src/fellows.rs
+++ b/crates/sim-adapter/src/fellows.rs
@@ -1,6 +1,6 @@
 //! What instances send each other, where the simulator lets them: the program's membership over SHARE and MEMO.
 
-use juniperdock_fellows::{Event, Fellows, Host, Keys, NEWEST, Times, life_at};
+use juniperdock_membership::{Event, Fellows, Host, Keys, NEWEST, Times, life_at};
 use std::fmt::Write;
 use std::time::Duration;
 
--- a/crates/simhost/src/line.rs
+++ b/crates/sim-adapter/src/line.rs
@@ -1,6 +1,6 @@
 //! One line of the wire: a name, then `name=value` parts in any order.
 
-use juniperdock_door as door;
+use juniperdock_deployment as deployment;
 use std::str::FromStr;
 use std::time::Duration;
 
@@ -43,12 +43,12 @@
     /// Milliseconds, exact to the microsecond.
     pub fn millis(&self, field: &str) -> Result<Option<i64>, String> {
         self.opt::<f64>(field)?
-            .map(|ms| door::micros(ms).ok_or_else(|| bad(self.name, field, &ms)))
+            .map(|ms| deployment::micros(ms).ok_or_else(|| bad(self.name, field, &ms)))
             .transpose()
     }
 
     pub fn span(&self, field: &str) -> Result<Option<Duration>, String> {
-        Ok(self.millis(field)?.map(door::span))
+        Ok(self.millis(field)?.map(deployment::span))
     }
 }
 
--- a/crates/simhost/src/world.rs
+++ b/crates/sim-adapter/src/world.rs
@@ -2,8 +2,8 @@
 
 use crate::fellows::{self, Letters, REMINDER};
 use crate::line::Line;
-use juniperdock_door::{self as door, Indices, Origin};
-use juniperdock_fellows::Fellows;
+use juniperdock_deployment::{self as deployment, Indices, Origin};
+use juniperdock_membership::Fellows;
 use juniperdock_router::host::{Ending, Host, Listed, Report, Role};
 use juniperdock_router::routing::Router;
 use std::collections::HashMap;
@@ -259,7 +259,7 @@
             for row in &rows {
                 let (member, group) =
                     (host.ids.stores.index(row.store.clone()), host.ids.cells.index(row.cell));
-                let up_for = row.came_up.map(|at| door::span(clock - at));
+                let up_for = row.came_up.map(|at| deployment::span(clock - at));
                 router.listed(now, member, group, row.zone, row.state, row.primary, up_for);
                 named.push(member);
             }
@@ -393,13 +393,14 @@
 
 fn report(line: &Line, ids: &Ids) -> Result<Report, String> {
     let fields = line.text("Stats").unwrap_or("").split(',').filter_map(|part| part.split_once(':'));
-    door::report(fields, &ids.origin).map_err(|why| format!("{}: {why}", line.name))
+    deployment::report(fields, &ids.origin).map_err(|why| format!("{}: {why}", line.name))
 }
 
 /// Reads what an instance is handed at its start.
 fn born(line: &Line, clock: i64, speaks: bool) -> Result<Instance, String> {
-    let (router, levels) = door::open(line.need("Entropy")?, &|path| line.text(path).map(str::to_owned))
-        .map_err(|why| format!("BORN: {why}"))?;
+    let (router, levels) =
+        deployment::open(line.need("Entropy")?, &|path| line.text(path).map(str::to_owned))
+            .map_err(|why| format!("BORN: {why}"))?;
     let zero = line.millis("Specifics.Zero")?.unwrap_or(clock);
     let ids = Ids {
         front: line.need("Front")?,
--- a/crates/standins/tests/agent.rs
+++ b/crates/test-support/tests/agent.rs
@@ -1,6 +1,6 @@
 //! The list's agent: watches end with it, so that many plays in one process do not slow each other down.
 
-use juniperdock_standins::{Agent, PATIENCE, WATCH};
+use juniperdock_test_support::{Agent, PATIENCE, WATCH};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
--- a/crates/wheel/benches/wheel.rs
+++ b/crates/timer-wheel/benches/timer_wheel.rs
@@ -2,7 +2,7 @@
 //! two alarms, one of which rings and one of which is no longer wanted.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use juniperdock_wheel::Wheel;
+use juniperdock_timer_wheel::Wheel;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::hint::black_box;
--- a/crates/wheel/src/lib.rs
+++ b/crates/timer-wheel/src/lib.rs
@@ -8,7 +8,7 @@
 //! anywhere.
 //!
 //! ```
-//! use juniperdock_wheel::Wheel;
+//! use juniperdock_timer_wheel::Wheel;
 //! use std::time::Duration;
 //!
 //! let ms = Duration::from_millis;
--- a/crates/wheel/tests/against_a_plain_one.rs
+++ b/crates/timer-wheel/tests/against_a_plain_one.rs
@@ -1,6 +1,6 @@
 //! The wheel beside a sorted list, on random histories over all its levels.
 
-use juniperdock_wheel::{Key, Wheel};
+use juniperdock_timer_wheel::{Key, Wheel};
 use proptest::prelude::*;
 use std::time::Duration;
 
--- a/crates/held/benches/held.rs
+++ b/crates/wait-queue/benches/wait_queue.rs
@@ -3,7 +3,7 @@
 //! is walked and sorted as the router did before; and ordered trees from the standard library.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use juniperdock_held::{Held, Most, Rank, Wait};
+use juniperdock_wait_queue::{Held, Most, Rank, Wait};
 use std::collections::BTreeSet;
 use std::hint::black_box;
 use std::time::Duration;
--- a/crates/held/src/heap.rs
+++ b/crates/wait-queue/src/heap.rs
@@ -9,7 +9,7 @@
 /// the depth.
 ///
 /// ```
-/// use juniperdock_held::Heap;
+/// use juniperdock_wait_queue::Heap;
 ///
 /// let mut heap = Heap::default();
 /// for (index, key) in [(3, 30), (1, 10), (2, 20)] {
--- a/crates/held/src/lib.rs
+++ b/crates/wait-queue/src/lib.rs
@@ -8,7 +8,7 @@
 //! *soft* time, which moves with how long the type takes of late (one heap a type), one by a *hard* time.
 //!
 //! ```
-//! use juniperdock_held::{Held, Most, Rank, Wait};
+//! use juniperdock_wait_queue::{Held, Most, Rank, Wait};
 //! use std::time::Duration;
 //!
 //! let ms = Duration::from_millis;
--- a/crates/held/tests/against_a_plain_one.rs
+++ b/crates/wait-queue/tests/against_a_plain_one.rs
@@ -1,6 +1,6 @@
 //! The store beside a plain list, on random histories: both must always say the same.
 
-use juniperdock_held::{Heap, Held, Most, NoRoom, Rank, Wait};
+use juniperdock_wait_queue::{Heap, Held, Most, NoRoom, Rank, Wait};
 use proptest::prelude::*;
 use std::time::Duration;
 
