--- a/crates/admission/src/entry.rs
+++ b/crates/admission/src/entry.rs
@@ -2,7 +2,7 @@
 
 use crate::fair::Fair;
 use crate::pace::Pace;
-use juniperdock_router::ring::Ring;
+use juniperdock_router::sliding_sum::SlidingSum;
 use oorandom::Rand64;
 use std::time::Duration;
 
@@ -39,7 +39,7 @@
 struct Kind {
     dense: f64,
     sla: Duration,
-    came: Ring,
+    came: SlidingSum,
 }
 
 #[derive(Clone, Debug)]
@@ -56,7 +56,7 @@
     /// `late`: mail older than that shows that the front is behind. `callers`: so many are told apart.
     /// `kinds`: of each txn type its value per work, and its SLA time.
     pub fn new(seed: u64, late: Duration, callers: usize, kinds: &[(f64, Duration)]) -> Entry {
-        let kind = |&(dense, sla): &(f64, Duration)| Kind { dense, sla, came: Ring::new(SPAN, 10) };
+        let kind = |&(dense, sla): &(f64, Duration)| Kind { dense, sla, came: SlidingSum::new(SPAN, 10) };
         let kinds = kinds.iter().map(kind).collect();
         Entry {
             late,
--- a/crates/admission/src/pace.rs
+++ b/crates/admission/src/pace.rs
@@ -1,6 +1,6 @@
 //! How much a front can take: learnt from how old its mail is when it comes to it.
 
-use juniperdock_router::ring::Ring;
+use juniperdock_router::sliding_sum::SlidingSum;
 use std::time::Duration;
 
 /// Mail is looked at over this time.
@@ -23,8 +23,8 @@
     late: Duration,
     /// The oldest mail of late, by when: newest last.
     oldest: [(Duration, Duration); 2],
-    done: Ring,
-    taken: Ring,
+    done: SlidingSum,
+    taken: SlidingSum,
     limit: Option<f64>,
     set: Duration,
     /// When mail was late last.
@@ -35,7 +35,7 @@
 
 impl Pace {
     pub fn new(late: Duration) -> Pace {
-        let ring = Ring::new(SPAN * 5, 10);
+        let ring = SlidingSum::new(SPAN * 5, 10);
         let oldest = [(Duration::ZERO, Duration::ZERO); 2];
         Pace {
             late,
--- a/crates/attempt-outcome/src/lib.rs
+++ b/crates/attempt-outcome/src/lib.rs
@@ -6,21 +6,21 @@
 //! of a referenced txn by its mark counts from the first submission that may have run, from when it was sent.
 //!
 //! ```
-//! use juniperdock_attempt_outcome::{Effect, Ending, Fate, Place, Verdict};
+//! use juniperdock_attempt_outcome::{Effect, AttemptOutcome, SubmissionHistory, Target, FinalAnswer};
 //! use std::time::Duration;
 //!
 //! let ms = Duration::from_millis;
-//! let mut fate = Fate::new(Effect::OnceOnly);
-//! let at = Place { member: 0, group: 7, zone: 0, term: 1 };
-//! assert_eq!(fate.bars(ms(5), 3, at), None);
+//! let mut fate = SubmissionHistory::new(Effect::OnceOnly);
+//! let at = Target { member: 0, group: 7, zone: 0, term: 1 };
+//! assert_eq!(fate.blocked_at(ms(5), 3, at), None);
 //! fate.sent(ms(5), at);
-//! assert_eq!(fate.verdict(), Verdict::Unknown);
-//! fate.ended(Ending::Full);
-//! assert_eq!((fate.bars(ms(9), 3, at), fate.verdict()), (None, Verdict::Decline));
+//! assert_eq!(fate.final_answer(), FinalAnswer::Unknown);
+//! fate.ended(AttemptOutcome::Full);
+//! assert_eq!((fate.blocked_at(ms(9), 3, at), fate.final_answer()), (None, FinalAnswer::Decline));
 //! fate.sent(ms(9), at);
-//! fate.ended(Ending::Dropped);
-//! assert!(fate.bars(ms(12), 3, at).is_some());
-//! assert_eq!(fate.verdict(), Verdict::Unknown);
+//! fate.ended(AttemptOutcome::Dropped);
+//! assert!(fate.blocked_at(ms(12), 3, at).is_some());
+//! assert_eq!(fate.final_answer(), FinalAnswer::Unknown);
 //! ```
 
 use std::time::Duration;
@@ -47,7 +47,7 @@
 
 /// How a submission or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Ending {
+pub enum AttemptOutcome {
     Committed,
     /// An error from the member; it may have had an effect.
     Errored,
@@ -69,16 +69,22 @@
     Misplaced,
 }
 
-impl Ending {
+impl AttemptOutcome {
     /// Whether this ending proves that nothing ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Ending::Full | Ending::Unreachable | Ending::Moot | Ending::Misplaced)
+        matches!(
+            self,
+            AttemptOutcome::Full
+                | AttemptOutcome::Unreachable
+                | AttemptOutcome::Moot
+                | AttemptOutcome::Misplaced
+        )
     }
 }
 
 /// Where a submission goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Place {
+pub struct Target {
     pub member: usize,
     pub group: usize,
     pub zone: usize,
@@ -89,8 +95,8 @@
 /// A submission that is out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Out {
-    pub at: Duration,
-    pub place: Place,
+    pub sent_at: Duration,
+    pub target: Target,
 }
 
 /// What is known of a txn's effect.
@@ -124,7 +130,7 @@
 
 /// The final answers that are true of a txn which no member has answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Verdict {
+pub enum FinalAnswer {
     /// Trying again is harmless.
     Decline,
     /// Whether it took effect is not known.
@@ -135,7 +141,7 @@
 
 /// The record of one txn, from its arrival to its final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Fate {
+pub struct SubmissionHistory {
     effect: Effect,
     out: Option<Out>,
     /// The first submission that may have run.
@@ -144,16 +150,16 @@
     ran: bool,
 }
 
-impl Fate {
-    pub fn new(effect: Effect) -> Fate {
-        Fate { effect, out: None, first: None, submissions: 0, ran: false }
+impl SubmissionHistory {
+    pub fn new(effect: Effect) -> SubmissionHistory {
+        SubmissionHistory { effect, out: None, first: None, submissions: 0, ran: false }
     }
 
     /// Why a submission may not go to that place now; `None` where it may. `most`: submissions in all.
-    pub fn bars(&self, now: Duration, most: u32, to: Place) -> Option<Barred> {
-        self.bars_everywhere(now, most).or_else(|| {
+    pub fn blocked_at(&self, now: Duration, most: u32, to: Target) -> Option<Barred> {
+        self.blocked_everywhere(now, most).or_else(|| {
             let Effect::Referenced { scope, .. } = self.effect else { return None };
-            let first = self.first?.place;
+            let first = self.first?.target;
             let inside = match scope {
                 Scope::Everywhere => true,
                 Scope::Zone => first.zone == to.zone,
@@ -164,13 +170,13 @@
     }
 
     /// Why no submission may go anywhere now.
-    pub fn bars_everywhere(&self, now: Duration, most: u32) -> Option<Barred> {
+    pub fn blocked_everywhere(&self, now: Duration, most: u32) -> Option<Barred> {
         match self.effect {
             _ if self.out.is_some() => Some(Barred::IsOut),
             _ if self.submissions >= most => Some(Barred::TooMany),
             _ if self.ran => Some(Barred::Ran),
             Effect::OnceOnly if self.first.is_some() => Some(Barred::OnceOnly),
-            Effect::Referenced { .. } if self.window_ends().is_some_and(|ends| now >= ends) => {
+            Effect::Referenced { .. } if self.window_end().is_some_and(|ends| now >= ends) => {
                 Some(Barred::WindowOver)
             }
             _ => None,
@@ -178,41 +184,41 @@
     }
 
     /// Until when it may be sent again, where it may have run and its stores remember marks for a while only.
-    pub fn window_ends(&self) -> Option<Duration> {
+    pub fn window_end(&self) -> Option<Duration> {
         match (self.effect, self.first) {
-            (Effect::Referenced { window, .. }, Some(first)) => Some(first.at + window),
+            (Effect::Referenced { window, .. }, Some(first)) => Some(first.sent_at + window),
             _ => None,
         }
     }
 
     /// Until when it could be sent again, should the submission that is out now turn out to be one that may
     /// have run. `None` where that would be its last.
-    pub fn would_last(&self) -> Option<Duration> {
+    pub fn resendable_until(&self) -> Option<Duration> {
         match (self.effect, self.first.or(self.out)) {
             (Effect::Repeatable, _) | (_, None) => Some(Duration::MAX),
-            (Effect::Referenced { window, .. }, Some(first)) => Some(first.at + window),
+            (Effect::Referenced { window, .. }, Some(first)) => Some(first.sent_at + window),
             (Effect::OnceOnly, Some(_)) => None,
         }
     }
 
     /// A submission goes out. The caller has asked `bars`.
-    pub fn sent(&mut self, now: Duration, place: Place) {
+    pub fn sent(&mut self, now: Duration, target: Target) {
         debug_assert!(self.out.is_none(), "one submission at a time");
-        self.out = Some(Out { at: now, place });
+        self.out = Some(Out { sent_at: now, target });
         self.submissions += 1;
     }
 
     /// The submission that was out has ended; gives what it was.
-    pub fn ended(&mut self, ending: Ending) -> Option<Out> {
+    pub fn ended(&mut self, ending: AttemptOutcome) -> Option<Out> {
         let out = self.out.take()?;
-        self.ran |= ending == Ending::Committed;
+        self.ran |= ending == AttemptOutcome::Committed;
         if !ending.never_ran() {
             self.first.get_or_insert(out);
         }
         Some(out)
     }
 
-    pub fn out(&self) -> Option<&Out> {
+    pub fn in_flight(&self) -> Option<&Out> {
         self.out.as_ref()
     }
 
@@ -222,7 +228,7 @@
     }
 
     /// No member has had it, as far as is known.
-    pub fn untaken(&self) -> bool {
+    pub fn none_may_have_run(&self) -> bool {
         self.first.is_none()
     }
 
@@ -236,17 +242,17 @@
     }
 
     /// The only final answer that is true now, if no member's answer is passed on.
-    pub fn verdict(&self) -> Verdict {
+    pub fn final_answer(&self) -> FinalAnswer {
         let harmless = match self.effect {
             Effect::Repeatable => true,
             Effect::Referenced { scope: Scope::Everywhere, .. } => true,
             Effect::Referenced { .. } | Effect::OnceOnly => self.first.is_none() && self.out.is_none(),
         };
         match self.effect {
-            Effect::Repeatable => Verdict::Decline,
-            _ if self.ran => Verdict::Committed,
-            _ if harmless => Verdict::Decline,
-            _ => Verdict::Unknown,
+            Effect::Repeatable => FinalAnswer::Decline,
+            _ if self.ran => FinalAnswer::Committed,
+            _ if harmless => FinalAnswer::Decline,
+            _ => FinalAnswer::Unknown,
         }
     }
 }
--- a/crates/attempt-outcome/tests/histories.rs
+++ b/crates/attempt-outcome/tests/histories.rs
@@ -1,21 +1,23 @@
 //! The record of a txn beside a plain list of all that happened to it, on long random histories.
 
-use juniperdock_attempt_outcome::{Barred, Effect, Ending, Fate, Place, Scope, State, Verdict};
+use juniperdock_attempt_outcome::{
+    AttemptOutcome, Barred, Effect, FinalAnswer, Scope, State, SubmissionHistory, Target,
+};
 use proptest::prelude::*;
 use std::time::Duration;
 
-const ENDINGS: [Ending; 11] = [
-    Ending::Committed,
-    Ending::Errored,
-    Ending::Invalid,
-    Ending::Spoilt,
-    Ending::Full,
-    Ending::TimedOut,
-    Ending::Unreachable,
-    Ending::Dropped,
-    Ending::Cancelled,
-    Ending::Moot,
-    Ending::Misplaced,
+const ENDINGS: [AttemptOutcome; 11] = [
+    AttemptOutcome::Committed,
+    AttemptOutcome::Errored,
+    AttemptOutcome::Invalid,
+    AttemptOutcome::Spoilt,
+    AttemptOutcome::Full,
+    AttemptOutcome::TimedOut,
+    AttemptOutcome::Unreachable,
+    AttemptOutcome::Dropped,
+    AttemptOutcome::Cancelled,
+    AttemptOutcome::Moot,
+    AttemptOutcome::Misplaced,
 ];
 
 fn effect() -> impl Strategy<Value = Effect> {
@@ -37,17 +39,17 @@
         effect in effect(),
         steps in proptest::collection::vec((0..200u64, 0..3usize, 0..ENDINGS.len() + 4), 1..60),
     ) {
-        let (mut fate, mut now) = (Fate::new(effect), Duration::from_secs(1));
+        let (mut fate, mut now) = (SubmissionHistory::new(effect), Duration::from_secs(1));
         // All submissions: when, where, and how they ended.
-        let mut all: Vec<(Duration, Place, Option<Ending>)> = Vec::new();
+        let mut all: Vec<(Duration, Target, Option<AttemptOutcome>)> = Vec::new();
         for (wait, where_to, what) in steps {
             now += Duration::from_millis(wait);
-            let place = Place { member: where_to, group: where_to / 2, zone: where_to % 2, term: 1 };
-            let bars = fate.bars(now, 5, place);
+            let place = Target { member: where_to, group: where_to / 2, zone: where_to % 2, term: 1 };
+            let bars = fate.blocked_at(now, 5, place);
             let out = all.last().is_some_and(|last| last.2.is_none());
-            let may = |e: &Option<Ending>| e.is_none_or(|e| !e.never_ran());
+            let may = |e: &Option<AttemptOutcome>| e.is_none_or(|e| !e.never_ran());
             let first = all.iter().find(|(_, _, ending)| may(ending)).copied();
-            let ran = all.iter().any(|(_, _, ending)| *ending == Some(Ending::Committed));
+            let ran = all.iter().any(|(_, _, ending)| *ending == Some(AttemptOutcome::Committed));
             if let Effect::OnceOnly = effect {
                 prop_assert!(bars.is_some() || first.is_none(), "a second effect");
             }
@@ -58,7 +60,7 @@
                     Scope::Group => from.group == place.group,
                 };
                 prop_assert!(bars.is_some() || inside && now < at + window, "outside its scope or window");
-                prop_assert_eq!(bars == Some(Barred::OutOfScope), !inside && fate.bars_everywhere(now, 5).is_none());
+                prop_assert_eq!(bars == Some(Barred::OutOfScope), !inside && fate.blocked_everywhere(now, 5).is_none());
             }
             prop_assert!(!out || bars == Some(Barred::IsOut));
             prop_assert!(!ran || bars.is_some());
@@ -66,11 +68,11 @@
             if first.is_none() && !out && all.len() < 5 {
                 prop_assert_eq!(bars, None, "nothing forbids it");
             }
-            let verdict = fate.verdict();
+            let verdict = fate.final_answer();
             match (effect, first) {
-                (Effect::Repeatable, _) | (_, None) => prop_assert_eq!(verdict, Verdict::Decline),
+                (Effect::Repeatable, _) | (_, None) => prop_assert_eq!(verdict, FinalAnswer::Decline),
                 (Effect::OnceOnly | Effect::Referenced { scope: Scope::Zone | Scope::Group, .. }, Some(_)) => {
-                    prop_assert_ne!(verdict, Verdict::Decline, "it may have run");
+                    prop_assert_ne!(verdict, FinalAnswer::Decline, "it may have run");
                 }
                 _ => {}
             }
--- a/crates/attempt-outcome/tests/model.rs
+++ b/crates/attempt-outcome/tests/model.rs
@@ -2,8 +2,10 @@
 //! goes by the real records of tenure and fate; the world keeps what is true. Each guard is also taken out,
 //! in the model's front, and the checker must find what it guards against.
 
-use juniperdock_attempt_outcome::{Barred, Effect, Ending, Fate, Place, Scope, Verdict};
-use juniperdock_primary_tracker::{Claim, Role, Tenure};
+use juniperdock_attempt_outcome::{
+    AttemptOutcome, Barred, Effect, FinalAnswer, Scope, SubmissionHistory, Target,
+};
+use juniperdock_primary_tracker::{Claim, PrimaryTracker, Role};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::time::Duration;
 
@@ -69,11 +71,11 @@
     // What is on the way to the front.
     reports: Vec<Report>,
     reported: u8,
-    answer: Option<(usize, Ending)>,
+    answer: Option<(usize, AttemptOutcome)>,
     // The front.
-    tenure: Tenure,
+    tenure: PrimaryTracker,
     naive: Option<(u8, usize)>,
-    fate: Fate,
+    fate: SubmissionHistory,
     out: u8,
     told: Option<Answer>,
     answers: u8,
@@ -129,16 +131,16 @@
     fn holder(&self, w: &World) -> Option<usize> {
         match self.0 {
             Without::Terms => w.naive.map(|(_, member)| member),
-            _ => w.tenure.holder(0),
+            _ => w.tenure.primary(0),
         }
     }
 
     fn hear(&self, w: &mut World, report: Report, answered: Option<u8>) {
         let role = if report.primary { Role::Primary } else { Role::Replica };
-        let proof = answered.unwrap_or(report.made);
-        let claim = Claim { role, date: at(report.made), proof: at(proof) };
+        let not_before = answered.unwrap_or(report.made);
+        let claim = Claim { role, made_at: at(report.made), not_before: at(not_before) };
         let before = self.holder(w);
-        w.tenure.heard(at(w.step), report.from, Some(claim), answered.is_some());
+        w.tenure.observe(at(w.step), report.from, Some(claim), answered.is_some());
         if report.primary {
             w.claimed[report.from] = w.claimed[report.from].max((report.made, report.term));
             w.naive = w.naive.max(Some((report.made, report.from)));
@@ -147,7 +149,7 @@
     }
 
     fn settle(&self, w: &mut World, before: Option<usize>) {
-        w.tenure.settle(at(w.step), 0, usize::from(w.fate.out().is_some()));
+        w.tenure.apply_rules(at(w.step), 0, usize::from(w.fate.in_flight().is_some()));
         w.tenure.take_changes();
         if let Some(holder) = self.holder(w).filter(|&holder| before != Some(holder)) {
             let term = w.claimed[holder].1;
@@ -156,8 +158,8 @@
         }
     }
 
-    fn bars(&self, w: &World, to: Place) -> Option<Barred> {
-        let bars = w.fate.bars(at(w.step), SENDS, to);
+    fn bars(&self, w: &World, to: Target) -> Option<Barred> {
+        let bars = w.fate.blocked_at(at(w.step), SENDS, to);
         bars.filter(|bars| match self.0 {
             Without::Window => *bars != Barred::WindowOver,
             Without::Turns => *bars != Barred::IsOut,
@@ -165,8 +167,8 @@
         })
     }
 
-    fn place(&self, w: &World, member: usize) -> Place {
-        Place { member, group: 0, zone: 0, term: w.tenure.term(0) }
+    fn place(&self, w: &World, member: usize) -> Target {
+        Target { member, group: 0, zone: 0, term: w.tenure.term(0) }
     }
 }
 
@@ -175,13 +177,13 @@
     type Action = Act;
 
     fn init_states(&self) -> Vec<World> {
-        let mut tenure = Tenure::default();
+        let mut tenure = PrimaryTracker::default();
         for member in 0..2 {
-            tenure.seat(member, 0);
+            tenure.add_member(member, 0);
             let role = if member == 0 { Role::Primary } else { Role::Replica };
-            tenure.heard(at(0), member, Some(Claim::at(role, at(0))), false);
+            tenure.observe(at(0), member, Some(Claim::at(role, at(0))), false);
         }
-        tenure.settle(at(0), 0, 0);
+        tenure.apply_rules(at(0), 0, 0);
         tenure.take_changes();
         let window = STEP * u32::from(WINDOW);
         vec![World {
@@ -201,7 +203,7 @@
             answer: None,
             tenure,
             naive: Some((0, 0)),
-            fate: Fate::new(Effect::Referenced { window, scope: Scope::Group }),
+            fate: SubmissionHistory::new(Effect::Referenced { window, scope: Scope::Group }),
             out: 0,
             told: None,
             answers: 0,
@@ -258,10 +260,10 @@
         if w.answer.is_some() {
             acts.extend([Act::AnswerComes, Act::AnswerLost]);
         }
-        if w.fate.out().is_some() && w.answer.is_none() {
+        if w.fate.in_flight().is_some() && w.answer.is_none() {
             acts.push(Act::CallOff);
         }
-        if self.1 == Part::Writes && w.told.is_none() && w.fate.out().is_none() {
+        if self.1 == Part::Writes && w.told.is_none() && w.fate.in_flight().is_none() {
             acts.push(Act::GiveUp);
         }
     }
@@ -296,13 +298,13 @@
                 self.hear(&mut w, report, None);
             }
             Act::Doubt(m) => {
-                w.tenure.doubt(at(w.step), m);
+                w.tenure.invalidate_claims(at(w.step), m);
                 self.settle(&mut w, before);
             }
             Act::Submit => {
                 let holder = before?;
                 let place = self.place(&w, holder);
-                let ends = w.fate.window_ends();
+                let ends = w.fate.window_end();
                 w.late |= ends.is_some_and(|ends| at(w.step) >= ends);
                 w.two_out |= w.out > 0;
                 w.after_answer |= w.told.is_some();
@@ -319,17 +321,17 @@
                 let found = w.queued.iter().position(|&(member, _)| member == m)?;
                 let (_, came) = w.queued.remove(found);
                 let ending = match () {
-                    () if w.believes[m] == 0 => Ending::Misplaced,
-                    () if w.primary != m => Ending::Errored,
+                    () if w.believes[m] == 0 => AttemptOutcome::Misplaced,
+                    () if w.primary != m => AttemptOutcome::Errored,
                     () => {
                         if !w.ran.iter().any(|ran| ran + WINDOW > came) {
                             w.ran.push(w.step);
                             w.runs += 1;
                         }
-                        Ending::Committed
+                        AttemptOutcome::Committed
                     }
                 };
-                if w.fate.out().is_some_and(|out| out.place.member == m) {
+                if w.fate.in_flight().is_some_and(|out| out.target.member == m) {
                     w.answer = Some((m, ending));
                 }
             }
@@ -337,26 +339,26 @@
                 let (m, ending) = w.answer.take()?;
                 let sent = w.fate.ended(ending)?;
                 w.out = 0;
-                let sent = ((sent.at - START).as_millis() / STEP.as_millis()) as u8;
+                let sent = ((sent.sent_at - START).as_millis() / STEP.as_millis()) as u8;
                 let (primary, term) = (w.believes[m] > 0, w.believes[m]);
                 let made = w.step;
                 self.hear(&mut w, Report { from: m, primary, made, term }, Some(sent));
-                if ending == Ending::Committed && w.told.is_none() {
+                if ending == AttemptOutcome::Committed && w.told.is_none() {
                     (w.told, w.answers) = (Some(Answer::Committed), w.answers + 1);
                 }
             }
             Act::AnswerLost => {
                 w.answer = None;
-                w.fate.ended(Ending::Dropped);
+                w.fate.ended(AttemptOutcome::Dropped);
                 w.out = 0;
             }
             Act::CallOff => {
-                w.fate.ended(Ending::Cancelled);
+                w.fate.ended(AttemptOutcome::Cancelled);
                 w.out = 0;
             }
             Act::GiveUp => {
-                let told = match w.fate.verdict() {
-                    Verdict::Decline => Answer::Declined,
+                let told = match w.fate.final_answer() {
+                    FinalAnswer::Decline => Answer::Declined,
                     _ if self.0 == Without::Truth => Answer::Declined,
                     _ => Answer::Unknown,
                 };
--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -1,7 +1,7 @@
 //! What every host of the router shares: the terms handed at start become the router's types, and ids that
 //! come in become small indices. Only translated here; nothing is chosen.
 
-use juniperdock_router::host::{ColdStart, Effect, Level, Report, Role, Scope, Standing, TxnType};
+use juniperdock_router::host::{ColdStart, Consistency, Effect, FrontInfo, Report, Role, Scope, TxnType};
 use juniperdock_router::routing::Router;
 use std::borrow::Borrow;
 use std::collections::HashMap;
@@ -180,16 +180,16 @@
             Some(v) => return Err(format!("expected a known effect in {}, found {v:?}", path("Effect"))),
         };
         let nth = |path: &str| self.text(path).and_then(|all| all.split(',').nth(i).map(str::to_owned));
-        let level = match nth("Specifics.ReadLevel").as_deref().unwrap_or("loose") {
-            "update" => Level::Write,
-            "latest" => Level::Fresh,
-            "own_writes" => Level::Session,
+        let consistency = match nth("Specifics.ReadLevel").as_deref().unwrap_or("loose") {
+            "update" => Consistency::Write,
+            "latest" => Consistency::Fresh,
+            "own_writes" => Consistency::Session,
             "recent" => {
                 let age = nth("Specifics.MaxAge").and_then(|age| micros(age.parse().ok()?));
                 let age = age.ok_or_else(|| format!("expected a time for {i} in Specifics.MaxAge"))?;
-                Level::Bounded(span(age))
+                Consistency::Bounded(span(age))
             }
-            "loose" | "" => Level::Loose,
+            "loose" | "" => Consistency::Loose,
             v => return Err(format!("expected a known read level, found {v:?}")),
         };
         Ok(TxnType {
@@ -197,19 +197,19 @@
             value: self.opt(&path("Value"))?.unwrap_or(1.0),
             late_value: self.opt(&path("LateWorth"))?.unwrap_or(0.0),
             effect,
-            level,
+            consistency,
         })
     }
 }
 
 /// Builds the router of one instance from the terms it is handed, and tells the level of each txn type.
-pub fn open(seed: u64, term: &dyn Fn(&str) -> Option<String>) -> Result<(Router, Vec<Level>), String> {
+pub fn open(seed: u64, term: &dyn Fn(&str) -> Option<String>) -> Result<(Router, Vec<Consistency>), String> {
     let terms = Terms(term);
     let kinds: usize = terms.opt("Services.count")?.unwrap_or(0);
     let types = (0..kinds).map(|i| terms.txn_type(i)).collect::<Result<Vec<_>, _>>()?;
-    let levels = types.iter().map(|kind| kind.level).collect();
-    let standing = Standing {
-        me: terms.opt("Me")?.unwrap_or(0),
+    let levels = types.iter().map(|kind| kind.consistency).collect();
+    let standing = FrontInfo {
+        index: terms.opt("Me")?.unwrap_or(0),
         fronts: terms.opt("Balancers")?.unwrap_or(1),
         zone: terms.opt("Zone")?.unwrap_or(0),
     };
@@ -220,7 +220,7 @@
         window: terms.span("Guarantees.OverloadFor")?.unwrap_or(Duration::from_secs(1)),
     };
     let mut router = Router::new(seed, standing, types, cold);
-    router.allow_submissions(terms.opt("Bounds.TryLimit")?.unwrap_or(1));
+    router.set_max_submissions(terms.opt("Bounds.TryLimit")?.unwrap_or(1));
     if terms.flag("Bounds.Cancel")? {
         router.allow_cancelling();
     }
@@ -228,18 +228,18 @@
     let reports = terms.text("LoadInfo.Via").is_none_or(|via| via != "off");
     router.allow_probes(terms.flag("Bounds.MayProbe")? && reports);
     if terms.flag("Bounds.RetryAfter")? {
-        router.allow_come_back(terms.span("Bounds.MaxRetryAfter")?.unwrap_or_default());
+        router.set_max_retry_after(terms.span("Bounds.MaxRetryAfter")?.unwrap_or_default());
     }
     if matches!(terms.text("Specifics.ServerChecks").as_deref(), Some("reject" | "hold")) {
-        router.members_check_reads();
+        router.assume_members_check_reads();
     }
     // By whom a session's writes are remembered says the term alone: where it is the router, a host may still tell an
     // age, and that of none would let a read pass by what its session wrote (rule 5).
     if terms.text("Specifics.SessionMarks").as_deref() == Some("client") {
-        router.clients_carry_marks();
+        router.trust_client_session_marks();
     }
     if terms.flag("Guarantees.GoneIsAdvice")? {
-        router.gone_is_advice();
+        router.treat_removal_as_advisory();
     }
     let tenants: usize = terms.opt("Tenants.count")?.unwrap_or(0);
     let quota = |i: usize| terms.within(&format!("Tenants.{i}.QuotaRps"), f64::MAX);
@@ -247,7 +247,7 @@
     let beyond = terms.within("OverShareWorth", 1.0)?.unwrap_or(1.0);
     // A tenant without a quota leaves nothing to share out by.
     if let Some(quotas) = quotas.filter(|quotas| !quotas.is_empty()) {
-        router.share_out(&quotas, beyond);
+        router.set_tenant_quotas(&quotas, beyond);
     }
     Ok((router, levels))
 }
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -199,5 +199,5 @@
     if line.is_empty() {
         return Ok(None);
     }
-    ServerList::read(line).map(Some).map_err(Failure::Malformed)
+    ServerList::parse(line).map(Some).map_err(Failure::Malformed)
 }
--- a/crates/discovery/tests/answer.rs
+++ b/crates/discovery/tests/answer.rs
@@ -29,7 +29,7 @@
 fn a_list_may_be_indented_over_lines_and_counts_once_it_is_whole() {
     let entry = r#"{"id":"m}\\\"{","addr":"127.0.0.1:5","cell":3,"state":"up"}"#;
     let line = format!(r#"{{"version":4,"full":true,"servers":[{entry}]}}"#);
-    let list = ServerList::read(line.as_bytes()).expect("a list");
+    let list = ServerList::parse(line.as_bytes()).expect("a list");
     let text = line.replace(',', ",\n  ").replace('[', "[\n ").replace(']', "\n]");
     let text = format!("HTTP/1.1 200 OK\r\n\r\n\n{text}\n\n{line}\n{}\r\n", text.replace('\n', "\r\n"));
     for piece in [1, 3, 4096] {
--- a/crates/emulator/src/audit.rs
+++ b/crates/emulator/src/audit.rs
@@ -1,6 +1,6 @@
 //! The five rules, looked at from where everything is known. Nothing here is shared with the router.
 
-use juniperdock_router::host::{Effect, Ending, Scope};
+use juniperdock_router::host::{AttemptOutcome, Effect, Scope};
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -30,7 +30,7 @@
     pub sent: Duration,
     pub group: usize,
     pub zone: usize,
-    pub ended: Option<Ending>,
+    pub ended: Option<AttemptOutcome>,
 }
 
 #[derive(Debug, Default)]
@@ -44,7 +44,15 @@
 }
 
 fn may_have_run(earlier: &Earlier) -> bool {
-    !matches!(earlier.ended, Some(Ending::Full | Ending::Unreachable | Ending::Moot | Ending::Misplaced))
+    !matches!(
+        earlier.ended,
+        Some(
+            AttemptOutcome::Full
+                | AttemptOutcome::Unreachable
+                | AttemptOutcome::Moot
+                | AttemptOutcome::Misplaced
+        )
+    )
 }
 
 impl Audit {
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -6,7 +6,7 @@
 use crate::group::Group;
 use crate::member::{Load, Member, Pending, Said};
 use crate::shape::{Ill, Shape, Trouble, What, Whom};
-use juniperdock_router::host::{Effect, Ending, Level, Listed, Report, Role};
+use juniperdock_router::host::{AttemptOutcome, Consistency, Effect, ListedState, Report, Role};
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 use xxhash_rust::xxh3::Xxh3;
@@ -45,7 +45,7 @@
     pub member: usize,
     pub group: usize,
     pub zone: usize,
-    pub state: Listed,
+    pub state: ListedState,
     /// Primary when the world began.
     pub primary: bool,
     /// When it last started; `None` for long ago.
@@ -81,7 +81,7 @@
         front: usize,
         txn: u32,
         member: usize,
-        ending: Ending,
+        ending: AttemptOutcome,
         role: Option<Role>,
         position: Option<Duration>,
         took: Duration,
@@ -91,7 +91,7 @@
     Probed {
         front: usize,
         member: usize,
-        ending: Ending,
+        ending: AttemptOutcome,
         report: Report,
     },
     Due {
@@ -141,7 +141,7 @@
         front: usize,
         txn: u32,
         member: usize,
-        ending: Ending,
+        ending: AttemptOutcome,
     },
     /// Work has come to a member that is cold, and what it can do in the window at this warmth, in seconds.
     Pressed {
@@ -185,7 +185,7 @@
     Expire(u32),
     Overdue(u32),
     Reach(u32),
-    Back(u32, Ending),
+    Back(u32, AttemptOutcome),
     Late(u32),
     ProbeReach(usize, u32, usize, Duration),
     ProbeBack(usize, u32, usize, Option<Said>),
@@ -228,7 +228,7 @@
     member: usize,
     sent: Duration,
     /// As its front knows it.
-    ended: Option<Ending>,
+    ended: Option<AttemptOutcome>,
     /// It came by a connection that was opened for it, or none came up.
     opened: bool,
     /// Its answer is on the way, or never will be.
@@ -363,7 +363,14 @@
                 (member.believes, member.was_primary, member.epoch) = (true, true, 1);
             }
             let crate::shape::Node { group, zone } = node;
-            world.entries.push(Entry { member, group, zone, state: Listed::Up, primary, started: LONG_AGO });
+            world.entries.push(Entry {
+                member,
+                group,
+                zone,
+                state: ListedState::Up,
+                primary,
+                started: LONG_AGO,
+            });
         }
         for (front, zone) in world.shape.fronts.clone().into_iter().enumerate() {
             let kept = VecDeque::new();
@@ -510,7 +517,7 @@
         }
         match out {
             Out::Listed { front, entry } => {
-                let stopped = entry.state != Listed::Up;
+                let stopped = entry.state != ListedState::Up;
                 self.audit.listed(self.now, front, entry.member, stopped);
             }
             Out::Ended { front, member, role: Some(Role::Replica), .. } => {
@@ -565,7 +572,7 @@
         let mut earlier = self.earlier(txn);
         if self.remote {
             // A member hears that a front has given one up only after the next may have come.
-            earlier.iter_mut().for_each(|e| e.ended = e.ended.or(Some(Ending::Cancelled)));
+            earlier.iter_mut().for_each(|e| e.ended = e.ended.or(Some(AttemptOutcome::Cancelled)));
         }
         let open = told.is_none() && now < expiry && its == front && life == self.fronts[front].life;
         let to = (member, self.members[member].group, self.members[member].zone);
@@ -574,7 +581,7 @@
         if to.1 != group {
             self.audit.breaks(2, now, || format!("front {front} sends txn {txn} to another group"));
         }
-        if let Level::Bounded(bound) = terms.level {
+        if let Consistency::Bounded(bound) = terms.consistency {
             let m = &self.members[member];
             let excused = m.believes || self.audit.excused(front, member, m.was_primary, m.epoch);
             let age = now.saturating_sub(self.truth(member));
@@ -597,16 +604,16 @@
         self.calendar.set(expiry.max(now), Event::Late(sub));
         let apart = self.apart(front, member);
         if !self.members[member].up {
-            self.back(sub, Ending::Unreachable, now + 2 * hop);
+            self.back(sub, AttemptOutcome::Unreachable, now + 2 * hop);
             return;
         }
         match self.members[member].connect(now, front, &self.shape) {
-            None => self.back(sub, Ending::Full, now + 4 * hop),
+            None => self.back(sub, AttemptOutcome::Full, now + 4 * hop),
             Some(true) => {
                 self.subs[sub as usize].opened = true;
                 if apart || self.members[member].hung > 0 {
                     self.members[member].rest(now, front, true);
-                    self.back(sub, Ending::Unreachable, now + self.shape.connect);
+                    self.back(sub, AttemptOutcome::Unreachable, now + self.shape.connect);
                 } else {
                     self.calendar.set(now + 3 * hop, Event::Reach(sub));
                 }
@@ -625,7 +632,7 @@
         }
         let member = self.subs[sub as usize].member;
         self.members[member].rest(self.now, front, true);
-        self.end(sub, Ending::Cancelled);
+        self.end(sub, AttemptOutcome::Cancelled);
     }
 
     /// A final answer of a front that is no row of a member.
@@ -686,7 +693,7 @@
     /// Whether a txn is a write.
     pub fn writes(&self, txn: u32) -> bool {
         let kind = self.calls[self.tries[txn as usize].call as usize].kind;
-        self.shape.kinds[kind].terms.level == Level::Write
+        self.shape.kinds[kind].terms.consistency == Consistency::Write
     }
 
     /// How many submissions of a txn there were.
@@ -852,13 +859,14 @@
                 if ended.is_none() {
                     let front = self.tries[txn as usize].front;
                     self.members[member].rest(self.now, front, true);
-                    self.end(sub, Ending::TimedOut);
+                    self.end(sub, AttemptOutcome::TimedOut);
                 }
             }
             Event::ProbeReach(front, life, member, sent) => self.probe_reaches(front, life, member, sent),
             Event::ProbeBack(front, life, member, said) => {
                 if self.fronts[front].life == life {
-                    let ending = if said.is_some() { Ending::Committed } else { Ending::Unreachable };
+                    let ending =
+                        if said.is_some() { AttemptOutcome::Committed } else { AttemptOutcome::Unreachable };
                     let report = said.map(|said| Report {
                         position: Some(said.position),
                         role: Some(if said.primary { Role::Primary } else { Role::Replica }),
@@ -1008,13 +1016,13 @@
     }
 
     /// The answer of a submission sets out, or is known to its front at that time.
-    fn back(&mut self, sub: u32, ending: Ending, at: Duration) {
+    fn back(&mut self, sub: u32, ending: AttemptOutcome, at: Duration) {
         self.subs[sub as usize].settled = true;
         self.calendar.set(at, Event::Back(sub, ending));
     }
 
     /// A member answers; what it says of itself goes along, unless its connection breaks.
-    fn reply(&mut self, sub: u32, ending: Ending) {
+    fn reply(&mut self, sub: u32, ending: AttemptOutcome) {
         let Sub { txn, member, settled, .. } = self.subs[sub as usize];
         if settled {
             return;
@@ -1025,7 +1033,13 @@
             self.subs[sub as usize].settled = true;
             return;
         }
-        if matches!(ending, Ending::Committed | Ending::Errored | Ending::Full | Ending::Misplaced) {
+        if matches!(
+            ending,
+            AttemptOutcome::Committed
+                | AttemptOutcome::Errored
+                | AttemptOutcome::Full
+                | AttemptOutcome::Misplaced
+        ) {
             let (role, position) = self.stand(member);
             let s = &mut self.subs[sub as usize];
             (s.role, s.position) = (Some(role), Some(position));
@@ -1034,20 +1048,20 @@
         self.back(sub, ending, self.now + hop);
     }
 
-    fn come_back(&mut self, sub: u32, ending: Ending) {
+    fn come_back(&mut self, sub: u32, ending: AttemptOutcome) {
         let Sub { txn, member, ended, .. } = self.subs[sub as usize];
         if ended.is_some() {
             return;
         }
         let Try { front, life, .. } = self.tries[txn as usize];
-        if self.fronts[front].life == life && !matches!(ending, Ending::Unreachable) {
-            self.members[member].rest(self.now, front, ending == Ending::Dropped);
+        if self.fronts[front].life == life && !matches!(ending, AttemptOutcome::Unreachable) {
+            self.members[member].rest(self.now, front, ending == AttemptOutcome::Dropped);
         }
         self.end(sub, ending);
     }
 
     /// The front hears how a submission ended. A row goes to the client at once.
-    fn end(&mut self, sub: u32, ending: Ending) {
+    fn end(&mut self, sub: u32, ending: AttemptOutcome) {
         let Sub { txn, member, sent, role, position, .. } = self.subs[sub as usize];
         self.subs[sub as usize].ended = Some(ending);
         self.jot(Note::Over { front: self.tries[txn as usize].front, txn, member, ending });
@@ -1056,7 +1070,7 @@
             return;
         }
         let here = !self.remote && self.fronts[front].stands == 0;
-        if ending == Ending::Committed && told.is_none() && here && self.now <= expiry {
+        if ending == AttemptOutcome::Committed && told.is_none() && here && self.now <= expiry {
             self.settle(txn, Told::Committed, None);
         }
         let over = self.tries[txn as usize].told.is_some();
@@ -1073,7 +1087,7 @@
         let Try { call, front, .. } = self.tries[txn as usize];
         let kind = self.calls[call as usize].kind;
         if !self.members[member].up {
-            let ending = if opened { Ending::Unreachable } else { Ending::Dropped };
+            let ending = if opened { AttemptOutcome::Unreachable } else { AttemptOutcome::Dropped };
             return self.back(sub, ending, self.now + self.hop(front, member));
         }
         if self.apart(front, member) {
@@ -1096,15 +1110,15 @@
         }
         let errors = self.members[member].errors;
         if errors > 0.0 && self.faults.share() < errors {
-            return self.reply(sub, Ending::Errored);
+            return self.reply(sub, AttemptOutcome::Errored);
         }
-        let write = self.shape.kinds[kind].terms.level == Level::Write;
+        let write = self.shape.kinds[kind].terms.consistency == Consistency::Write;
         let m = &self.members[member];
         if write && !m.believes {
-            return self.reply(sub, Ending::Misplaced);
+            return self.reply(sub, AttemptOutcome::Misplaced);
         }
         if write && m.drains || m.at_work() >= self.shape.slots && m.waiting.len() >= self.shape.waiting {
-            return self.reply(sub, Ending::Full);
+            return self.reply(sub, AttemptOutcome::Full);
         }
         if m.at_work() < self.shape.slots {
             self.set_to_work(sub, work);
@@ -1152,7 +1166,7 @@
 
     fn is_read(&self, sub: u32) -> bool {
         let call = self.tries[self.subs[sub as usize].txn as usize].call;
-        self.shape.kinds[self.calls[call as usize].kind].terms.level != Level::Write
+        self.shape.kinds[self.calls[call as usize].kind].terms.consistency != Consistency::Write
     }
 
     /// What is done at a member leaves it, and what waits begins.
@@ -1165,7 +1179,7 @@
                 self.members[member].blockers -= 1;
             }
             if self.is_read(sub) {
-                self.reply(sub, Ending::Committed)
+                self.reply(sub, AttemptOutcome::Committed)
             } else {
                 self.write_ends(sub)
             }
@@ -1190,7 +1204,7 @@
             if self.members[member].believes {
                 self.members[member].limbo.push(sub);
             } else {
-                self.reply(sub, Ending::Errored);
+                self.reply(sub, AttemptOutcome::Errored);
             }
             return;
         }
@@ -1199,7 +1213,7 @@
         if marked && self.groups[group].knows(mark, sent, self.shape.log.marks) {
             return match self.groups[group].place_of(mark).filter(|_| self.shape.log.synchronous) {
                 Some(place) => self.reply_once_replicated(sub, member, place),
-                None => self.reply(sub, Ending::Committed),
+                None => self.reply(sub, AttemptOutcome::Committed),
             };
         }
         let place = self.groups[group].commit(now, if marked { mark } else { 0 }, txn);
@@ -1229,7 +1243,7 @@
         if self.shape.log.synchronous {
             self.reply_once_replicated(sub, member, place);
         } else {
-            self.reply(sub, Ending::Committed);
+            self.reply(sub, AttemptOutcome::Committed);
         }
     }
 
@@ -1251,7 +1265,7 @@
                 .is_none_or(|write| write.here <= now)
         };
         if others.is_empty() || others.iter().any(has) {
-            self.reply(sub, Ending::Committed);
+            self.reply(sub, AttemptOutcome::Committed);
         } else {
             self.await_replica(sub, group, place);
         }
@@ -1267,11 +1281,11 @@
         if m.hung > 0 {
             self.members[member].unread.push(sub);
         } else if m.believes && self.groups[m.group].primary == Some(member) {
-            self.reply(sub, Ending::Committed);
+            self.reply(sub, AttemptOutcome::Committed);
         } else if m.believes {
             self.members[member].limbo.push(sub);
         } else {
-            self.reply(sub, Ending::Errored);
+            self.reply(sub, AttemptOutcome::Errored);
         }
     }
 
@@ -1402,7 +1416,7 @@
             if self.members[member].believes {
                 self.members[member].limbo.push(sub)
             } else {
-                self.reply(sub, Ending::Errored)
+                self.reply(sub, AttemptOutcome::Errored)
             }
         }
         self.reship(group);
@@ -1428,7 +1442,7 @@
         self.members[member].believes = false;
         self.follow_from(member);
         let limbo = std::mem::take(&mut self.members[member].limbo);
-        limbo.into_iter().for_each(|sub| self.reply(sub, Ending::Errored));
+        limbo.into_iter().for_each(|sub| self.reply(sub, AttemptOutcome::Errored));
         self.reship(group);
     }
 
@@ -1458,7 +1472,7 @@
                     self.subs[sub as usize].settled = true;
                 } else {
                     let hop = self.hop(front, member);
-                    self.back(sub, Ending::Dropped, self.now + hop);
+                    self.back(sub, AttemptOutcome::Dropped, self.now + hop);
                 }
             }
         }
@@ -1468,7 +1482,7 @@
         self.groups[group].unanswered.retain(|w| self.subs[w.0 as usize].member != member);
         for sub in unanswered {
             let hop = self.hop(self.tries[self.subs[sub as usize].txn as usize].front, member);
-            self.back(sub, Ending::Dropped, self.now + hop);
+            self.back(sub, AttemptOutcome::Dropped, self.now + hop);
         }
         self.doubt(group);
     }
@@ -1493,7 +1507,7 @@
         }
         self.reship(group);
         self.entries[member].started = Some(now);
-        self.entries[member].state = Listed::Up;
+        self.entries[member].state = ListedState::Up;
         self.tell(member);
     }
 
@@ -1559,7 +1573,7 @@
             What::ListWrong(whom) => {
                 let met = self.whom(whom);
                 for &member in &met {
-                    self.entries[member].state = Listed::Removed;
+                    self.entries[member].state = ListedState::Removed;
                     self.tell(member);
                 }
                 self.met[trouble] = met;
@@ -1594,7 +1608,7 @@
             Ill::Replaced => {
                 self.kill(member);
                 self.members[member].gone = true;
-                self.entries[member].state = Listed::Removed;
+                self.entries[member].state = ListedState::Removed;
                 self.tell(member);
             }
             Ill::Hung => self.members[member].hung += 1,
@@ -1608,7 +1622,7 @@
             Ill::Drained | Ill::Moved => {
                 if ill == Ill::Drained {
                     self.members[member].drains = true;
-                    self.entries[member].state = Listed::Draining;
+                    self.entries[member].state = ListedState::Draining;
                     self.tell(member);
                 }
                 if self.groups[group].primary == Some(member) {
@@ -1645,7 +1659,7 @@
             What::ListLate(by) => self.late = self.late.saturating_sub(by),
             What::ListWrong(_) => {
                 for member in met {
-                    self.entries[member].state = Listed::Up;
+                    self.entries[member].state = ListedState::Up;
                     self.tell(member);
                 }
             }
@@ -1662,11 +1676,11 @@
             }
             What::FrontKilled(front) => {
                 self.fronts[front].up = true;
-                let known = self.entries.iter().map(|e| Entry { state: Listed::Up, ..*e }).collect();
+                let known = self.entries.iter().map(|e| Entry { state: ListedState::Up, ..*e }).collect();
                 self.ready.push_back(Out::Born { front, known });
                 // The list as it stands comes behind the old one that it starts from.
                 for member in 0..self.entries.len() {
-                    if self.entries[member].state != Listed::Up {
+                    if self.entries[member].state != ListedState::Up {
                         let change = self.changes.len() as u32;
                         self.changes.push(self.entries[member]);
                         let late = self.lists.span(self.shape.list_late);
@@ -1693,7 +1707,8 @@
             }
             Out::Ended { front, txn, member, ending, role, position, took, .. } => {
                 let Try { told, expiry, .. } = self.tries[txn as usize];
-                if ending == Ending::Committed && told.is_none() && self.now <= expiry && !self.remote {
+                if ending == AttemptOutcome::Committed && told.is_none() && self.now <= expiry && !self.remote
+                {
                     self.settle(txn, Told::Committed, None);
                 }
                 let over = self.tries[txn as usize].told.is_some();
@@ -1766,7 +1781,7 @@
         (new.started, new.position) = (Some(now), now.saturating_sub(self.shape.log.copy));
         self.members.push(new);
         self.groups[group].members.push(member);
-        let (state, primary, started) = (Listed::Up, false, Some(now));
+        let (state, primary, started) = (ListedState::Up, false, Some(now));
         self.entries.push(Entry { member, group, zone, state, primary, started });
         self.follow_from(member);
         self.reship(group);
--- a/crates/emulator/tests/stories.rs
+++ b/crates/emulator/tests/stories.rs
@@ -1,7 +1,9 @@
 //! What the model does by itself, one story for each of its parts; and the calendar against a sorted list.
 
 use juniperdock_emulator::*;
-use juniperdock_router::host::{ColdStart, Effect, Ending, Level, Listed, Role, Scope, TxnType};
+use juniperdock_router::host::{
+    AttemptOutcome, ColdStart, Consistency, Effect, ListedState, Role, Scope, TxnType,
+};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -14,11 +16,11 @@
 
 /// One group of three, one front; clients come only if a story says so.
 fn shape(per_second: f64, troubles: Vec<Trouble>) -> Shape {
-    let kind = |name: &str, effect, level| Kind {
+    let kind = |name: &str, effect, consistency| Kind {
         name: name.to_owned(),
         part: 1.0,
         work: (ms(10), ms(10)),
-        terms: TxnType { sla: ms(300), value: 1.0, late_value: 0.0, effect, level },
+        terms: TxnType { sla: ms(300), value: 1.0, late_value: 0.0, effect, consistency },
         expiry: ms(2000),
     };
     let marked = Effect::Referenced { window: ms(2000), scope: Scope::Group };
@@ -26,8 +28,8 @@
         seed: 4,
         lasts: ms(10_000),
         kinds: vec![
-            kind("read", Effect::Repeatable, Level::Bounded(ms(300))),
-            kind("write", marked, Level::Write),
+            kind("read", Effect::Repeatable, Consistency::Bounded(ms(300))),
+            kind("write", marked, Consistency::Write),
         ],
         fronts: vec![0],
         members: (0..3).map(|_| Node { group: 0, zone: 0 }).collect(),
@@ -83,7 +85,7 @@
     world: &mut World,
     until: u64,
     mut to: impl FnMut(usize) -> Option<usize>,
-) -> Vec<(usize, usize, Ending, Duration)> {
+) -> Vec<(usize, usize, AttemptOutcome, Duration)> {
     let mut ended = Vec::new();
     while let Some(out) = world.next(ms(until)) {
         match out {
@@ -111,8 +113,8 @@
         sent += 1;
         (sent <= 20).then_some(0)
     });
-    let committed: Vec<_> = ended.iter().filter(|e| e.2 == Ending::Committed).collect();
-    let full = ended.iter().filter(|e| e.2 == Ending::Full).count();
+    let committed: Vec<_> = ended.iter().filter(|e| e.2 == AttemptOutcome::Committed).collect();
+    let full = ended.iter().filter(|e| e.2 == AttemptOutcome::Full).count();
     assert_eq!(committed.len() + full, 20);
     assert!(full >= 6 && committed.len() >= 12, "eight at work, four wait: {full} full");
     // Eight at once on two cores take four times as long as one; nothing is done faster than its work.
@@ -133,11 +135,11 @@
     let next = world.primary(0).expect("one is elected");
     assert_ne!(next, 0);
     let ended = run(&mut world, 5000, |kind| (kind == WRITE).then_some(next));
-    assert!(ended.iter().filter(|e| e.2 == Ending::Committed).count() > 30);
+    assert!(ended.iter().filter(|e| e.2 == AttemptOutcome::Committed).count() > 30);
     // Back, it takes no writes, and has soon what was written meanwhile.
     let ended = run(&mut world, 6000, |kind| (kind == WRITE).then_some(0));
     let at_old: Vec<_> = ended.iter().filter(|e| e.1 == 0).collect();
-    assert!(at_old.len() > 10 && at_old.iter().all(|e| e.2 == Ending::Misplaced));
+    assert!(at_old.len() > 10 && at_old.iter().all(|e| e.2 == AttemptOutcome::Misplaced));
     assert!(world.age(0).expect("it runs") < ms(100));
     assert!(world.audit.kept(), "{:?}", world.audit.broken);
 }
@@ -157,7 +159,7 @@
                 sent += 1;
             }
             Out::Arrived { txn, .. } => world.answer(0, txn, Told::Declined, None),
-            Out::Ended { ending: Ending::Committed, .. } => committed += 1,
+            Out::Ended { ending: AttemptOutcome::Committed, .. } => committed += 1,
             _ => {}
         }
     }
@@ -172,10 +174,11 @@
     // Those on new connections never came up; what it had read, or would read, it can't commit.
     let during = ended.iter().filter(|e| e.3 > ms(260)).collect::<Vec<_>>();
     assert!(
-        during.len() >= 5 && during.iter().all(|e| matches!(e.2, Ending::TimedOut | Ending::Errored)),
+        during.len() >= 5
+            && during.iter().all(|e| matches!(e.2, AttemptOutcome::TimedOut | AttemptOutcome::Errored)),
         "{during:?}"
     );
-    assert!(ended.iter().filter(|e| e.2 == Ending::Unreachable).count() > 20);
+    assert!(ended.iter().filter(|e| e.2 == AttemptOutcome::Unreachable).count() > 20);
     assert_ne!(world.primary(0), Some(0));
     assert!(world.audit.kept(), "{:?}", world.audit.broken);
 }
@@ -224,7 +227,7 @@
             _ => {}
         }
     }
-    assert_eq!(listed, [(1, Listed::Removed), (3, Listed::Up)]);
+    assert_eq!(listed, [(1, ListedState::Removed), (3, ListedState::Up)]);
     let age = world.age(3).expect("it runs");
     assert!(age > ms(500), "{age:?}: its copy is 3 s old");
     run(&mut world, 6000, |kind| (kind == WRITE).then_some(0));
@@ -246,14 +249,14 @@
         }
     };
     let (ending, role, position) = ask(100, 0);
-    assert_eq!((ending, role), (Ending::Committed, Some(Role::Primary)));
+    assert_eq!((ending, role), (AttemptOutcome::Committed, Some(Role::Primary)));
     assert!(position.is_some_and(|at| at >= ms(101)));
     let (_, role, position) = ask(300, 1);
     assert!(
         role == Some(Role::Replica) && position.is_some_and(|at| at < ms(301) && at > ms(280)),
         "{position:?}"
     );
-    assert_eq!(ask(1200, 1), (Ending::Unreachable, None, None));
+    assert_eq!(ask(1200, 1), (AttemptOutcome::Unreachable, None, None));
 }
 
 proptest! {
--- a/crates/fd-passing/src/lib.rs
+++ b/crates/fd-passing/src/lib.rs
@@ -14,29 +14,29 @@
 use std::time::Duration;
 
 /// One end of a line.
-pub struct Line(OwnedFd);
+pub struct PacketSocket(OwnedFd);
 
 /// What came in.
-pub enum Came {
+pub enum Received {
     /// A packet, and the descriptor that came with it.
-    Word(Vec<u8>, Option<OwnedFd>),
+    Packet(Vec<u8>, Option<OwnedFd>),
     /// Nothing in that time.
-    Nothing,
+    TimedOut,
     /// The other end has ended.
-    End,
+    Closed,
 }
 
-impl Line {
+impl PacketSocket {
     /// Two ends of a new line. Neither outlives an exec unless it is handed to the new program.
-    pub fn pair() -> Result<(Line, OwnedFd), String> {
+    pub fn pair() -> Result<(PacketSocket, OwnedFd), String> {
         let pair = socketpair(AddressFamily::UNIX, SocketType::SEQPACKET, SocketFlags::CLOEXEC, None);
         let (here, there) = pair.map_err(|e| format!("a line: {e}"))?;
-        Ok((Line(here), there))
+        Ok((PacketSocket(here), there))
     }
 
     /// An end that this process was started with.
-    pub fn of(end: OwnedFd) -> Line {
-        Line(end)
+    pub fn from_fd(end: OwnedFd) -> PacketSocket {
+        PacketSocket(end)
     }
 
     /// Sends one packet, with a descriptor or without. Waits while the other end does not read; the error
@@ -58,11 +58,11 @@
     }
 
     /// Waits for one packet, so long at the longest. A packet longer than `most` is an error.
-    pub fn receive(&self, most: usize, wait: Duration) -> Result<Came, String> {
+    pub fn receive(&self, most: usize, wait: Duration) -> Result<Received, String> {
         let limit = Timespec::try_from(wait).map_err(|e| format!("a time: {e}"))?;
         let mut fds = [PollFd::new(&self.0, PollFlags::IN)];
         match poll(&mut fds, Some(&limit)) {
-            Ok(0) | Err(Errno::INTR) => return Ok(Came::Nothing),
+            Ok(0) | Err(Errno::INTR) => return Ok(Received::TimedOut),
             Ok(_) => {}
             Err(e) => return Err(format!("waiting: {e}")),
         }
@@ -72,8 +72,8 @@
         let flags = RecvFlags::CMSG_CLOEXEC;
         let got = match recvmsg(&self.0, &mut [IoSliceMut::new(&mut word)], &mut extra, flags) {
             Ok(got) => got.bytes,
-            Err(Errno::INTR) => return Ok(Came::Nothing),
-            Err(Errno::CONNRESET) => return Ok(Came::End),
+            Err(Errno::INTR) => return Ok(Received::TimedOut),
+            Err(Errno::CONNRESET) => return Ok(Received::Closed),
             Err(e) => return Err(format!("reading: {e}")),
         };
         let mut with = None;
@@ -83,11 +83,11 @@
             }
         }
         match got {
-            0 => Ok(Came::End),
+            0 => Ok(Received::Closed),
             n if n > most => Err(format!("expected at most {most} bytes in a packet")),
             n => {
                 word.truncate(n);
-                Ok(Came::Word(word, with))
+                Ok(Received::Packet(word, with))
             }
         }
     }
@@ -101,8 +101,8 @@
 
     #[test]
     fn a_descriptor_comes_with_its_packet_and_an_end_is_seen() {
-        let (here, there) = Line::pair().expect("a line");
-        let there = Line::of(there);
+        let (here, there) = PacketSocket::pair().expect("a line");
+        let there = PacketSocket::from_fd(there);
         let door = TcpListener::bind("127.0.0.1:0").expect("a free address");
         let mut near = TcpStream::connect(door.local_addr().expect("an address")).expect("a connection");
         let (far, _) = door.accept().expect("a connection");
@@ -111,18 +111,18 @@
         here.send(b"two", None).expect("sent");
         drop(far);
         let second = Duration::from_secs(9);
-        let Ok(Came::Word(word, Some(fd))) = there.receive(10, second) else { panic!("a descriptor") };
+        let Ok(Received::Packet(word, Some(fd))) = there.receive(10, second) else { panic!("a descriptor") };
         assert_eq!(word, b"one");
         let mut far = TcpStream::from(fd);
         far.write_all(b"x").expect("it is open");
         let mut byte = [0];
         near.read_exact(&mut byte).expect("and goes to the same place");
-        assert!(matches!(there.receive(10, second), Ok(Came::Word(word, None)) if word == b"two"));
-        assert!(matches!(there.receive(10, Duration::ZERO), Ok(Came::Nothing)));
+        assert!(matches!(there.receive(10, second), Ok(Received::Packet(word, None)) if word == b"two"));
+        assert!(matches!(there.receive(10, Duration::ZERO), Ok(Received::TimedOut)));
         here.send(&[0; 11], None).expect("sent");
         assert!(there.receive(10, second).is_err());
         drop(here);
-        assert!(matches!(there.receive(10, second), Ok(Came::End)));
+        assert!(matches!(there.receive(10, second), Ok(Received::Closed)));
         assert!(there.send(b"x", None).is_err());
     }
 }
--- a/crates/fleet-tasks/src/care.rs
+++ b/crates/fleet-tasks/src/care.rs
@@ -22,7 +22,7 @@
 
 /// What a member has said of itself, with its own date.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Fact {
+pub struct Observation {
     /// Since 1970: it has applied every commit up to here.
     pub position: Duration,
     pub primary: Option<bool>,
@@ -34,7 +34,7 @@
 
 /// Whether a front asks the members of a part.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Asks {
+pub enum ProbeRole {
     /// It is told.
     #[default]
     No,
@@ -47,7 +47,7 @@
 struct Known {
     /// What it is called between fronts, and its part; none for one that has left.
     named: Option<(u64, usize)>,
-    fact: Option<Fact>,
+    fact: Option<Observation>,
     /// When the fact came.
     came: Duration,
     /// This front's own last try there failed: others' words do not show that it reaches the member.
@@ -55,34 +55,41 @@
     /// When it is asked next, if this front cares for it.
     due: Duration,
     /// A report of its own that the others have not been told.
-    untold: Option<Fact>,
+    untold: Option<Observation>,
 }
 
 /// One front's part of it, members by small indices.
 #[derive(Clone, Debug)]
-pub struct Care {
+pub struct HealthObserver {
     bound: Duration,
     members: Vec<Known>,
     whole: bool,
-    asks: [Asks; SHARDS as usize],
+    asks: [ProbeRole; SHARDS as usize],
     /// It takes fewer probes than when each front asks for itself.
     worth: bool,
     pub refused: u64,
 }
 
-impl Care {
+impl HealthObserver {
     /// `bound`: the tightest bound on the age of reads.
-    pub fn new(bound: Duration) -> Care {
-        Care { bound, members: Vec::new(), whole: false, asks: Default::default(), worth: false, refused: 0 }
+    pub fn new(bound: Duration) -> HealthObserver {
+        HealthObserver {
+            bound,
+            members: Vec::new(),
+            whole: false,
+            asks: Default::default(),
+            worth: false,
+            refused: 0,
+        }
     }
 
-    /// How often [`Care::due`] and [`Care::tell`] are to be called.
-    pub fn every(&self) -> Duration {
+    /// How often [`HealthObserver::due`] and [`HealthObserver::tell`] are to be called.
+    pub fn probe_interval(&self) -> Duration {
         self.bound / ASKS_PER_BOUND / 4
     }
 
     /// The list has a member; `id` is the same at all fronts.
-    pub fn named(&mut self, member: usize, id: &str) {
+    pub fn set_member(&mut self, member: usize, id: &str) {
         if self.members.len() <= member {
             self.members.resize_with(member + 1, Known::default);
         }
@@ -93,7 +100,7 @@
         }
     }
 
-    pub fn left(&mut self, member: usize) {
+    pub fn remove_member(&mut self, member: usize) {
         if let Some(known) = self.members.get_mut(member) {
             *known = Known::default();
         }
@@ -101,7 +108,7 @@
 
     /// Whether this front hears a majority, what it does for which part, and how many txns a second there are: its
     /// own, times the fronts that are there.
-    pub fn sees(&mut self, whole: bool, asks: [Asks; SHARDS as usize], rate: f64) {
+    pub fn update_view(&mut self, whole: bool, asks: [ProbeRole; SHARDS as usize], rate: f64) {
         (self.whole, self.asks) = (whole, asks);
         let named = self.members.iter().filter(|known| known.named.is_some()).count() as f64;
         let probes = named * f64::from(ASKS_PER_BOUND) * (1.0 + 1.0 / f64::from(BESIDE));
@@ -109,16 +116,16 @@
     }
 
     fn cares(&self, shard: usize) -> bool {
-        self.whole && self.worth && self.asks[shard] != Asks::No
+        self.whole && self.worth && self.asks[shard] != ProbeRole::No
     }
 
     /// Members that this front is to ask now on behalf of all.
-    pub fn due(&mut self, now: Duration) -> Vec<usize> {
+    pub fn due_probes(&mut self, now: Duration) -> Vec<usize> {
         let mut due = Vec::new();
         for member in 0..self.members.len() {
             let Some((_, shard)) = self.members[member].named else { continue };
             if self.cares(shard) && self.members[member].due <= now {
-                let seldom = if self.asks[shard] == Asks::Owner { 1 } else { BESIDE };
+                let seldom = if self.asks[shard] == ProbeRole::Owner { 1 } else { BESIDE };
                 self.members[member].due = now + self.bound / ASKS_PER_BOUND * seldom;
                 due.push(member);
             }
@@ -127,7 +134,7 @@
     }
 
     /// A member has answered this front's own question, or not.
-    pub fn asked(&mut self, member: usize, answer: Option<Fact>) {
+    pub fn record_probe(&mut self, member: usize, answer: Option<Observation>) {
         let Some(known) = self.members.get_mut(member) else { return };
         known.failing = answer.is_none();
         if let Some(fact) = answer {
@@ -136,7 +143,7 @@
     }
 
     /// A txn of this front came to grief there.
-    pub fn failed(&mut self, member: usize) {
+    pub fn record_failure(&mut self, member: usize) {
         if let Some(known) = self.members.get_mut(member) {
             known.failing = true;
         }
@@ -144,17 +151,18 @@
 
     /// What this front may take in place of asking by itself; `unix`: now, since 1970. Guards against silence of
     /// those who care, against facts too old to read by, and against members that only others reach.
-    pub fn instead(&self, now: Duration, unix: Duration, member: usize) -> Option<Fact> {
+    pub fn fresh_observation(&self, now: Duration, unix: Duration, member: usize) -> Option<Observation> {
         let known = self.members.get(member)?;
         let (_, shard) = known.named?;
-        let fact = known.fact.filter(|_| self.whole && self.asks[shard] == Asks::No && !known.failing)?;
+        let fact =
+            known.fact.filter(|_| self.whole && self.asks[shard] == ProbeRole::No && !known.failing)?;
         let lately = now < known.came + self.bound;
         let young = unix + self.bound / LEFT < fact.position + self.bound;
         (lately && young).then_some(fact)
     }
 
     /// What the others are to be told of a part's members, in pieces that fit.
-    pub fn tell(&mut self, shard: usize) -> Vec<Vec<u8>> {
+    pub fn take_updates(&mut self, shard: usize) -> Vec<Vec<u8>> {
         let mut pieces: Vec<Vec<u8>> = Vec::new();
         if !self.cares(shard) {
             return pieces;
@@ -175,14 +183,19 @@
     }
 
     /// Parts whose members this front asks.
-    pub fn parts(&self) -> impl Iterator<Item = (usize, Asks)> + '_ {
+    pub fn probed_shards(&self) -> impl Iterator<Item = (usize, ProbeRole)> + '_ {
         let all = self.asks.iter().copied().enumerate();
-        all.filter(|&(_, asks)| self.whole && asks != Asks::No)
+        all.filter(|&(_, asks)| self.whole && asks != ProbeRole::No)
     }
 
     /// Another front has told what members said. Only members that the own list names count, and only positions
     /// that are not of the future. The error: it can't be read; what stood before the fault counts.
-    pub fn told(&mut self, now: Duration, unix: Duration, mut piece: &[u8]) -> Result<usize, &'static str> {
+    pub fn apply_updates(
+        &mut self,
+        now: Duration,
+        unix: Duration,
+        mut piece: &[u8],
+    ) -> Result<usize, &'static str> {
         let mut news = 0;
         while !piece.is_empty() {
             type Told = ([u8; 8], u64, u8, Option<u16>, Option<u8>);
@@ -200,7 +213,7 @@
             let Some(known) = self.members.iter_mut().find(its) else { continue };
             // A position never goes back: one that is older came late.
             if known.fact.is_none_or(|fact| fact.position <= position) {
-                known.fact = Some(Fact { position, primary, queue, busy });
+                known.fact = Some(Observation { position, primary, queue, busy });
                 known.came = now;
                 news += 1;
             }
--- a/crates/fleet-tasks/src/lib.rs
+++ b/crates/fleet-tasks/src/lib.rs
@@ -1,4 +1,4 @@
-//! What one front does on behalf of all, without I/O: it asks members and tells the others ([`Care`]), and has a
+//! What one front does on behalf of all, without I/O: it asks members and tells the others ([`HealthObserver`]), and has a
 //! planned change of a primary held by every front ([`Move`]). Who owns a duty, and that an owner of old does no
 //! harm, is `juniperdock_lease`'s. `docs/ownership.md` says what each effect may do when it comes late or twice.
 //!
@@ -9,25 +9,25 @@
 mod moves;
 mod roll;
 
-pub use care::{Asks, Care, Fact, SHARDS};
-pub use moves::{Act, Move, Outcome, Step, hold, release, say, step, words};
+pub use care::{HealthObserver, Observation, ProbeRole, SHARDS};
+pub use moves::{Act, HoldStep, Move, Outcome, hold, release, say, step, words};
 pub use roll::{End, Roll, Rolling, Sees, Serves, Step as RollStep};
 
-use juniperdock_lease::Duty;
+use juniperdock_lease::TaskId;
 
 /// Groups' changes have duties from this number on.
-const MOVES: Duty = 1024;
+const MOVES: TaskId = 1024;
 
 /// The duty of a rolling upgrade.
-pub const ROLL: Duty = 0;
+pub const ROLL: TaskId = 0;
 
 /// The duty of the members of a part of the fleet.
-pub fn care(shard: u64) -> Duty {
+pub fn care(shard: u64) -> TaskId {
     1 + shard
 }
 
 /// The duty of a planned change of a group's primary; only ordered ones have owners.
-pub fn moving(group: u64) -> Duty {
+pub fn moving(group: u64) -> TaskId {
     MOVES.saturating_add(group)
 }
 
@@ -37,7 +37,7 @@
 /// use juniperdock_fleet_tasks::{care, moving, name};
 /// assert_eq!((name(care(2)), name(moving(7))), ("care 2".to_owned(), "move 7".to_owned()));
 /// ```
-pub fn name(duty: Duty) -> String {
+pub fn name(duty: TaskId) -> String {
     match duty {
         0 => "roll".to_owned(),
         duty if duty >= MOVES => format!("move {}", duty - MOVES),
@@ -46,11 +46,11 @@
 }
 
 /// The part of the fleet that a duty cares for.
-pub fn cared(duty: Duty) -> Option<usize> {
+pub fn cared(duty: TaskId) -> Option<usize> {
     (1..=SHARDS).contains(&duty).then(|| duty as usize - 1)
 }
 
 /// The group whose change a duty is.
-pub fn moved(duty: Duty) -> Option<u64> {
+pub fn moved(duty: TaskId) -> Option<u64> {
     duty.checked_sub(MOVES)
 }
--- a/crates/fleet-tasks/src/moves.rs
+++ b/crates/fleet-tasks/src/moves.rs
@@ -14,7 +14,7 @@
 
 /// How far one front is with its hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Step {
+pub enum HoldStep {
     /// It has been told and has not said a word.
     Asked,
     /// It holds new writes; others are still out.
@@ -29,23 +29,29 @@
     Refused,
 }
 
-impl Step {
-    const ALL: [Step; 6] =
-        [Step::Asked, Step::Emptying, Step::Awaiting, Step::Done, Step::Undone, Step::Refused];
+impl HoldStep {
+    const ALL: [HoldStep; 6] = [
+        HoldStep::Asked,
+        HoldStep::Emptying,
+        HoldStep::Awaiting,
+        HoldStep::Done,
+        HoldStep::Undone,
+        HoldStep::Refused,
+    ];
 
     pub fn name(self) -> &'static str {
         match self {
-            Step::Asked => "asked",
-            Step::Emptying => "emptying",
-            Step::Awaiting => "awaiting",
-            Step::Done => "done",
-            Step::Undone => "undone",
-            Step::Refused => "refused",
+            HoldStep::Asked => "asked",
+            HoldStep::Emptying => "emptying",
+            HoldStep::Awaiting => "awaiting",
+            HoldStep::Done => "done",
+            HoldStep::Undone => "undone",
+            HoldStep::Refused => "refused",
         }
     }
 
     fn ended(self) -> bool {
-        matches!(self, Step::Done | Step::Undone | Step::Refused)
+        matches!(self, HoldStep::Done | HoldStep::Undone | HoldStep::Refused)
     }
 }
 
@@ -100,14 +106,14 @@
 }
 
 /// A front's word on its step in an order.
-pub fn say(order: u64, step: Step) -> Vec<u8> {
+pub fn say(order: u64, step: HoldStep) -> Vec<u8> {
     postcard::to_allocvec(&(step as u8, order)).unwrap_or_default()
 }
 
 /// Reads it.
-pub fn step(word: &[u8]) -> Option<(u64, Step)> {
+pub fn step(word: &[u8]) -> Option<(u64, HoldStep)> {
     let ((step, order), _) = postcard::take_from_bytes::<(u8, u64)>(word).ok()?;
-    Some((order, *Step::ALL.get(usize::from(step))?))
+    Some((order, *HoldStep::ALL.get(usize::from(step))?))
 }
 
 /// A change, at the front that owns it.
@@ -122,7 +128,7 @@
     begun: Duration,
     said: Duration,
     /// Those that were there when it began, and are.
-    pub fronts: BTreeMap<usize, Step>,
+    pub fronts: BTreeMap<usize, HoldStep>,
     /// Fronts that went meanwhile: their holds went with them, or end by themselves.
     pub gone: Vec<usize>,
     pub ready: bool,
@@ -140,7 +146,7 @@
             term,
             begun: now,
             said: Duration::ZERO,
-            fronts: present.iter().map(|&front| (front, Step::Asked)).collect(),
+            fronts: present.iter().map(|&front| (front, HoldStep::Asked)).collect(),
             gone: Vec::new(),
             ready: false,
             called_off: false,
@@ -149,7 +155,7 @@
     }
 
     /// A front has said how far it is in an order. Words may come late: no step is gone back.
-    pub fn told(&mut self, front: usize, order: u64, step: Step) {
+    pub fn told(&mut self, front: usize, order: u64, step: HoldStep) {
         if let Some(its) = self.fronts.get_mut(&front).filter(|_| order == self.order) {
             *its = (*its).max(step);
         }
@@ -183,32 +189,33 @@
                 self.gone.push(front);
             }
         }
-        let find = |step: Step| self.fronts.iter().find(|(_, its)| **its == step).map(|(&front, _)| front);
-        let done = find(Step::Done).is_some();
+        let find =
+            |step: HoldStep| self.fronts.iter().find(|(_, its)| **its == step).map(|(&front, _)| front);
+        let done = find(HoldStep::Done).is_some();
         if self.called_off && !done {
             return self.end(Outcome::CalledOff, true);
         }
-        if let Some(front) = find(Step::Refused) {
+        if let Some(front) = find(HoldStep::Refused) {
             return self.end(Outcome::Refused(front), true);
         }
-        if let Some(front) = find(Step::Asked).filter(|_| now > self.begun + WORD) {
+        if let Some(front) = find(HoldStep::Asked).filter(|_| now > self.begun + WORD) {
             return self.end(Outcome::Silent(front), true);
         }
         // One that is back with the old primary must not have others wait for a new one.
-        if find(Step::Undone).is_some() && !done {
+        if find(HoldStep::Undone).is_some() && !done {
             return self.end(Outcome::Undone, true);
         }
         if self.fronts.values().all(|step| step.ended()) {
-            let undone = find(Step::Undone).is_some();
+            let undone = find(HoldStep::Undone).is_some();
             return self.end(if undone { Outcome::Undone } else { Outcome::Done }, false);
         }
-        if !self.ready && self.fronts.values().all(|&step| step >= Step::Awaiting) {
+        if !self.ready && self.fronts.values().all(|&step| step >= HoldStep::Awaiting) {
             self.ready = true;
             return vec![Act::Ready];
         }
         if now >= self.said + AGAIN {
             self.said = now;
-            let asked = self.fronts.iter().filter(|(_, step)| **step == Step::Asked);
+            let asked = self.fronts.iter().filter(|(_, step)| **step == HoldStep::Asked);
             return asked.map(|(&front, _)| Act::Hold(front)).collect();
         }
         Vec::new()
--- a/crates/fleet-tasks/tests/stories.rs
+++ b/crates/fleet-tasks/tests/stories.rs
@@ -1,7 +1,8 @@
 //! What one front does for all, one story for each failure met.
 
 use juniperdock_fleet_tasks::{
-    Act, Asks, Care, Fact, Move, Outcome, SHARDS, Step, hold, release, say, step, words,
+    Act, HealthObserver, HoldStep, Move, Observation, Outcome, ProbeRole, SHARDS, hold, release, say, step,
+    words,
 };
 use juniperdock_fleet_tasks::{End, Roll, RollStep, Rolling, Sees, Serves};
 use std::collections::BTreeMap;
@@ -18,93 +19,98 @@
     Duration::from_secs(1_790_000_000) + now
 }
 
-fn care(asks: Asks) -> Care {
-    let mut care = Care::new(BOUND);
-    (0..3).for_each(|member| care.named(member, &format!("m-{member}")));
-    care.sees(true, [asks; SHARDS as usize], 1000.0);
+fn care(asks: ProbeRole) -> HealthObserver {
+    let mut care = HealthObserver::new(BOUND);
+    (0..3).for_each(|member| care.set_member(member, &format!("m-{member}")));
+    care.update_view(true, [asks; SHARDS as usize], 1000.0);
     care
 }
 
-fn fact(at: Duration) -> Fact {
-    Fact { position: unix(at), primary: Some(false), queue: Some(3), busy: Some(40) }
+fn fact(at: Duration) -> Observation {
+    Observation { position: unix(at), primary: Some(false), queue: Some(3), busy: Some(40) }
 }
 
-fn told(from: &mut Care, to: &mut Care, now: Duration) -> usize {
-    let pieces: Vec<Vec<u8>> = (0..SHARDS as usize).flat_map(|shard| from.tell(shard)).collect();
-    pieces.iter().map(|piece| to.told(now, unix(now), piece).expect("good facts")).sum()
+fn told(from: &mut HealthObserver, to: &mut HealthObserver, now: Duration) -> usize {
+    let pieces: Vec<Vec<u8>> = (0..SHARDS as usize).flat_map(|shard| from.take_updates(shard)).collect();
+    pieces.iter().map(|piece| to.apply_updates(now, unix(now), piece).expect("good facts")).sum()
 }
 
 #[test]
 fn one_asks_and_the_others_take_its_word_for_as_long_as_it_is_good() {
-    let (mut owner, mut other) = (care(Asks::Owner), care(Asks::No));
-    assert_eq!(owner.due(ms(1000)), [0, 1, 2]);
-    assert!(owner.due(ms(1050)).is_empty() && other.due(ms(1000)).is_empty());
-    assert_eq!(owner.due(ms(1150)), [0, 1, 2], "twice within the bound");
-    let mut beside = care(Asks::Beside);
+    let (mut owner, mut other) = (care(ProbeRole::Owner), care(ProbeRole::No));
+    assert_eq!(owner.due_probes(ms(1000)), [0, 1, 2]);
+    assert!(owner.due_probes(ms(1050)).is_empty() && other.due_probes(ms(1000)).is_empty());
+    assert_eq!(owner.due_probes(ms(1150)), [0, 1, 2], "twice within the bound");
+    let mut beside = care(ProbeRole::Beside);
     assert_eq!(
-        (beside.due(ms(1000)).len(), beside.due(ms(1800)).len(), beside.due(ms(1900)).len()),
+        (
+            beside.due_probes(ms(1000)).len(),
+            beside.due_probes(ms(1800)).len(),
+            beside.due_probes(ms(1900)).len()
+        ),
         (3, 0, 3)
     );
     // Where there are few txns it takes fewer probes when each asks for what it needs.
-    beside.sees(true, [Asks::Owner; SHARDS as usize], 90.0);
-    assert!(beside.due(ms(9000)).is_empty());
-    (0..3).for_each(|member| owner.asked(member, Some(fact(ms(1080)))));
+    beside.update_view(true, [ProbeRole::Owner; SHARDS as usize], 90.0);
+    assert!(beside.due_probes(ms(9000)).is_empty());
+    (0..3).for_each(|member| owner.record_probe(member, Some(fact(ms(1080)))));
     assert_eq!(told(&mut owner, &mut other, ms(1110)), 3);
-    let young = other.instead(ms(1200), unix(ms(1200)), 1);
+    let young = other.fresh_observation(ms(1200), unix(ms(1200)), 1);
     assert_eq!(young.map(|fact| fact.position), Some(unix(ms(1080))), "with its own date, never a later one");
-    assert!(owner.instead(ms(1200), unix(ms(1200)), 1).is_none(), "who cares asks by itself");
+    assert!(owner.fresh_observation(ms(1200), unix(ms(1200)), 1).is_none(), "who cares asks by itself");
     // The moment it is told nothing any more, it asks by itself.
-    assert!(other.instead(ms(1360), unix(ms(1360)), 1).is_none(), "too old to read by");
-    owner.asked(0, Some(fact(ms(1290))));
+    assert!(other.fresh_observation(ms(1360), unix(ms(1360)), 1).is_none(), "too old to read by");
+    owner.record_probe(0, Some(fact(ms(1290))));
     told(&mut owner, &mut other, ms(1300));
-    assert!(other.instead(ms(1310), unix(ms(1310)), 0).is_some());
-    other.sees(false, [Asks::No; SHARDS as usize], 1000.0);
-    assert!(other.instead(ms(1310), unix(ms(1310)), 0).is_none(), "not whole");
+    assert!(other.fresh_observation(ms(1310), unix(ms(1310)), 0).is_some());
+    other.update_view(false, [ProbeRole::No; SHARDS as usize], 1000.0);
+    assert!(other.fresh_observation(ms(1310), unix(ms(1310)), 0).is_none(), "not whole");
 }
 
 #[test]
 fn a_member_that_only_others_reach_is_asked_by_oneself() {
-    let (mut owner, mut other) = (care(Asks::Owner), care(Asks::No));
-    owner.asked(2, Some(fact(ms(500))));
+    let (mut owner, mut other) = (care(ProbeRole::Owner), care(ProbeRole::No));
+    owner.record_probe(2, Some(fact(ms(500))));
     told(&mut owner, &mut other, ms(510));
-    other.failed(2);
-    assert!(other.instead(ms(520), unix(ms(520)), 2).is_none());
-    other.asked(2, None);
-    assert!(other.instead(ms(520), unix(ms(520)), 2).is_none());
-    other.asked(2, Some(fact(ms(515))));
-    assert!(other.instead(ms(520), unix(ms(520)), 2).is_some(), "it answers here, too");
+    other.record_failure(2);
+    assert!(other.fresh_observation(ms(520), unix(ms(520)), 2).is_none());
+    other.record_probe(2, None);
+    assert!(other.fresh_observation(ms(520), unix(ms(520)), 2).is_none());
+    other.record_probe(2, Some(fact(ms(515))));
+    assert!(other.fresh_observation(ms(520), unix(ms(520)), 2).is_some(), "it answers here, too");
 }
 
 #[test]
 fn what_is_of_the_future_late_or_of_nobody_counts_for_nothing() {
-    let (mut owner, mut other) = (care(Asks::Owner), care(Asks::No));
-    owner.asked(1, Some(fact(ms(5000))));
+    let (mut owner, mut other) = (care(ProbeRole::Owner), care(ProbeRole::No));
+    owner.record_probe(1, Some(fact(ms(5000))));
     assert_eq!(told(&mut owner, &mut other, ms(1000)), 0);
     assert_eq!(other.refused, 1);
-    owner.asked(1, Some(fact(ms(1000))));
+    owner.record_probe(1, Some(fact(ms(1000))));
     assert_eq!(told(&mut owner, &mut other, ms(1000)), 1);
-    owner.asked(1, Some(fact(ms(900))));
+    owner.record_probe(1, Some(fact(ms(900))));
     assert_eq!(told(&mut owner, &mut other, ms(1010)), 0, "an older one came late");
-    owner.named(7, "unheard of");
-    owner.asked(7, Some(fact(ms(1000))));
+    owner.set_member(7, "unheard of");
+    owner.record_probe(7, Some(fact(ms(1000))));
     assert_eq!(told(&mut owner, &mut other, ms(1010)), 0, "the own list does not name it");
-    assert!(other.told(ms(1010), unix(ms(1010)), &[1, 2, 3]).is_err());
+    assert!(other.apply_updates(ms(1010), unix(ms(1010)), &[1, 2, 3]).is_err());
     // Another member under the same index begins anew.
-    other.named(1, "m-9");
-    assert!(other.instead(ms(1020), unix(ms(1020)), 1).is_none());
+    other.set_member(1, "m-9");
+    assert!(other.fresh_observation(ms(1020), unix(ms(1020)), 1).is_none());
 }
 
 #[test]
 fn many_facts_go_into_pieces_that_fit() {
-    let mut owner = Care::new(BOUND);
-    owner.sees(true, [Asks::Owner; SHARDS as usize], 1e6);
-    (0..400).for_each(|member| owner.named(member, &format!("m-{member}")));
-    (0..400).for_each(|member| owner.asked(member, Some(fact(ms(5)))));
+    let mut owner = HealthObserver::new(BOUND);
+    owner.update_view(true, [ProbeRole::Owner; SHARDS as usize], 1e6);
+    (0..400).for_each(|member| owner.set_member(member, &format!("m-{member}")));
+    (0..400).for_each(|member| owner.record_probe(member, Some(fact(ms(5)))));
     let mut other = owner.clone();
-    other.sees(true, [Asks::No; SHARDS as usize], 1e6);
-    let pieces: Vec<Vec<u8>> = (0..SHARDS as usize).flat_map(|shard| owner.tell(shard)).collect();
+    other.update_view(true, [ProbeRole::No; SHARDS as usize], 1e6);
+    let pieces: Vec<Vec<u8>> = (0..SHARDS as usize).flat_map(|shard| owner.take_updates(shard)).collect();
     assert!(pieces.iter().all(|piece| piece.len() <= 150) && pieces.len() < 70, "{}", pieces.len());
-    let news: usize = pieces.iter().map(|p| other.told(ms(9), unix(ms(9)), p).expect("good facts")).sum();
+    let news: usize =
+        pieces.iter().map(|p| other.apply_updates(ms(9), unix(ms(9)), p).expect("good facts")).sum();
     assert_eq!(news, 400);
 }
 
@@ -114,15 +120,15 @@
     let all = [0, 1, 2];
     assert_eq!(m.rule(ms(100), Some(9), &all), [Act::Hold(0), Act::Hold(1), Act::Hold(2)]);
     assert!(m.rule(ms(150), Some(9), &all).is_empty());
-    m.told(0, 9, Step::Awaiting);
-    m.told(1, 9, Step::Emptying);
+    m.told(0, 9, HoldStep::Awaiting);
+    m.told(1, 9, HoldStep::Emptying);
     assert_eq!(m.rule(ms(200), Some(9), &all), [Act::Hold(2)], "who has not said a word is told again");
-    m.told(2, 9, Step::Awaiting);
+    m.told(2, 9, HoldStep::Awaiting);
     assert!(m.rule(ms(300), Some(9), &all).is_empty() && !m.ready);
-    m.told(1, 9, Step::Awaiting);
-    m.told(1, 9, Step::Emptying);
+    m.told(1, 9, HoldStep::Awaiting);
+    m.told(1, 9, HoldStep::Emptying);
     assert_eq!(m.rule(ms(310), Some(9), &all), [Act::Ready], "a word that comes late takes no step back");
-    all.iter().for_each(|&front| m.told(front, 9, Step::Done));
+    all.iter().for_each(|&front| m.told(front, 9, HoldStep::Done));
     assert_eq!(m.rule(ms(900), Some(9), &all), [Act::Ended(Outcome::Done)]);
     assert!(m.rule(ms(950), Some(9), &all).is_empty());
 }
@@ -132,27 +138,27 @@
     let all = [0, 1, 2];
     let begun = || Move::new(ms(0), 4, None, 9, &all);
     let mut m = begun();
-    m.told(1, 9, Step::Refused);
+    m.told(1, 9, HoldStep::Refused);
     let ends = m.rule(ms(200), Some(9), &all);
     assert_eq!(ends, [Act::Release(0), Act::Release(2), Act::Ended(Outcome::Refused(1))]);
     let mut m = begun();
-    [0, 1].iter().for_each(|&front| m.told(front, 9, Step::Awaiting));
+    [0, 1].iter().for_each(|&front| m.told(front, 9, HoldStep::Awaiting));
     let ends = m.rule(ms(1600), Some(9), &all);
     assert_eq!(ends, [Act::Release(0), Act::Release(1), Act::Release(2), Act::Ended(Outcome::Silent(2))]);
     // One that is gone is not waited for.
     let mut m = begun();
-    [0, 1].iter().for_each(|&front| m.told(front, 9, Step::Awaiting));
+    [0, 1].iter().for_each(|&front| m.told(front, 9, HoldStep::Awaiting));
     assert_eq!(m.rule(ms(1600), Some(9), &[0, 1]), [Act::Ready]);
     assert_eq!(m.gone, [2]);
     // One that went back to the old primary has the others let go.
-    m.told(0, 9, Step::Undone);
+    m.told(0, 9, HoldStep::Undone);
     assert_eq!(m.rule(ms(1700), Some(9), &[0, 1]), [Act::Release(1), Act::Ended(Outcome::Undone)]);
 }
 
 #[test]
 fn an_owner_that_is_none_any_more_does_nothing_more() {
     let mut m = Move::new(ms(0), 4, None, 9, &[0, 1]);
-    m.told(0, 9, Step::Awaiting);
+    m.told(0, 9, HoldStep::Awaiting);
     assert_eq!(m.rule(ms(200), None, &[0, 1]), [Act::Ended(Outcome::Lost)]);
     let mut m = Move::new(ms(0), 4, None, 9, &[0, 1]);
     assert!(
@@ -171,7 +177,7 @@
     assert_eq!(words(&hold(7, None)), Some((7, true, None)));
     assert_eq!(words(&release(7)), Some((7, false, None)));
     assert_eq!((words(&[9, 0]), words(&[])), (None, None));
-    assert_eq!(step(&say(300, Step::Awaiting)), Some((300, Step::Awaiting)));
+    assert_eq!(step(&say(300, HoldStep::Awaiting)), Some((300, HoldStep::Awaiting)));
     assert_eq!((step(&[77, 1]), step(&[])), (None, None));
 }
 
@@ -278,14 +284,14 @@
     /// In whatever order and however often facts come, the newest position is what counts.
     #[test]
     fn facts_converge(order in proptest::collection::vec(0usize..5, 1..40)) {
-        let mut other = care(Asks::No);
+        let mut other = care(ProbeRole::No);
         let now = ms(2000);
         for &at in &order {
-            let mut owner = care(Asks::Owner);
-            owner.asked(0, Some(fact(ms(1900 + at as u64 * 20))));
+            let mut owner = care(ProbeRole::Owner);
+            owner.record_probe(0, Some(fact(ms(1900 + at as u64 * 20))));
             told(&mut owner, &mut other, now);
         }
         let newest = ms(1900 + order.iter().max().copied().unwrap_or(0) as u64 * 20);
-        proptest::prop_assert_eq!(other.instead(now, unix(now), 0).map(|f| f.position), Some(unix(newest)));
+        proptest::prop_assert_eq!(other.fresh_observation(now, unix(now), 0).map(|f| f.position), Some(unix(newest)));
     }
 }
--- a/crates/front/src/acceptor.rs
+++ b/crates/front/src/acceptor.rs
@@ -27,7 +27,7 @@
         };
         let (slot, has_slot) = self.take_slot(link.bell());
         let shared = self.clone();
-        if let Err(why) = spawn("client", client::CONNECTION_STACK, move || {
+        if let Err(why) = spawn("client", client::CONNECTION_STACK_BYTES, move || {
             client::run(link, slot, has_slot, open, skipping, shared)
         }) {
             slog::error!(self.log, "no client can be taken in"; "why" => why);
@@ -36,10 +36,10 @@
     }
 
     /// Takes clients in as they come, until this front ends: then those that have come, and nobody after them.
-    pub fn accept_until_shut(self: Arc<Self>, door: &Door) {
-        self.acceptor.store(true, Ordering::Release);
-        while !self.shut.load(Ordering::Acquire) {
-            while self.present() >= self.most + self.standing {
+    pub fn accept_until_stopped(self: Arc<Self>, door: &Door) {
+        self.acceptor_running.store(true, Ordering::Release);
+        while !self.stop_accepting.load(Ordering::Acquire) {
+            while self.present() >= self.max_clients + self.refusal_slots {
                 self.slots().ask_to_leave(self.clock.now(), MIN_REST);
                 self.pause();
             }
@@ -57,6 +57,6 @@
                 }
             }
         }
-        self.acceptor.store(false, Ordering::Release);
+        self.acceptor_running.store(false, Ordering::Release);
     }
 }
--- a/crates/front/src/client.rs
+++ b/crates/front/src/client.rs
@@ -5,8 +5,8 @@
 
 use crate::clients::{ClientTransfer, Rest, SharedClients, TAKEN, TransferResult, UNDER_WAY};
 use crate::counters::{Count, Counters};
-use crate::mail::{Answer, Arrival, ToDesk};
 use crate::mailbox::Mailbox;
+use crate::messages::{Answer, Arrival, DispatcherMessage};
 use crate::request_log::{CloseReason, RequestEvent};
 use juniperdock_connection::{Failure, Link, PeerWatch};
 use juniperdock_pg as pg;
@@ -21,7 +21,7 @@
 use std::time::Duration;
 
 /// The stack of a connection's coroutine, in bytes.
-pub const CONNECTION_STACK: usize = 64 << 10;
+pub const CONNECTION_STACK_BYTES: usize = 64 << 10;
 /// Messages that are taken in one turn.
 const MAX_MESSAGES_PER_TURN: usize = 64;
 
@@ -30,7 +30,7 @@
 
 /// What a client may have sent and not been answered. What it sends beyond that is refused in its turn, and read all
 /// the same: a client whose bytes lie unread could not be seen to leave.
-const PIPELINE: Limits = Limits { begun: 64, request_bytes: MAX_INBOUND, answer_bytes: pg::LONGEST };
+const PIPELINE: Limits = Limits { started: 64, request_bytes: MAX_INBOUND, answer_bytes: pg::LONGEST };
 
 /// What is kept of a statement beside its text, in bytes, rounded up.
 const REQUEST_OVERHEAD: usize = 512;
@@ -255,7 +255,7 @@
         let Some(descriptor) = Some(between).filter(|b| *b).and_then(|_| self.link.descriptor().ok()) else {
             return false;
         };
-        let moves = self.shared.moves.lock().unwrap_or_else(PoisonError::into_inner);
+        let moves = self.shared.transfer_to.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(mover) = moves.as_ref() else { return false };
         let state = Arc::new(AtomicU8::new(UNDER_WAY));
         let result = TransferResult { state: state.clone(), bell: self.link.bell() };
@@ -277,7 +277,7 @@
         if next < Duration::MAX && !rung {
             self.rings = next;
             let bell = self.link.bell();
-            self.shared.clock.at(next, move || bell.ring());
+            self.shared.clock.run_at(next, move || bell.ring());
         }
         self.link.wait();
     }
@@ -307,10 +307,10 @@
         let now = self.shared.clock.now();
         while let Some(overdue) = self.pipeline.overdue(now, self.shared.grace) {
             match overdue {
-                Overdue::Begun(ticket) => {
+                Overdue::Started(ticket) => {
                     self.shared.request_log.request(ticket, RequestEvent::Overdue);
                     self.shared.counters.guard_acts.add();
-                    let _ = self.shared.desk.send(ToDesk::Left(ticket));
+                    let _ = self.shared.dispatcher.send(DispatcherMessage::Left(ticket));
                     self.answer(ticket, Answer::Unknown("out of time; it may have run"));
                 }
                 Overdue::Waiting(ticket) => self.answer(ticket, Answer::Declined(None)),
@@ -327,7 +327,7 @@
                 arrival.wrote_ago = Some(told.map_or(ago, |told| told.min(ago)));
             }
             self.shared.request_log.request(arrival.ticket, RequestEvent::Started);
-            let _ = self.shared.desk.send(ToDesk::Arrived(arrival));
+            let _ = self.shared.dispatcher.send(DispatcherMessage::Arrived(arrival));
         }
     }
 
@@ -375,7 +375,7 @@
         let went_on = match taken {
             Ok(length) => {
                 self.link.inbound.drain(..length);
-                self.arrival_times.take(length);
+                self.arrival_times.consume(length);
                 self.due = self.due.filter(|_| length == 0);
                 length > 0
             }
@@ -422,7 +422,8 @@
         match kind {
             b'Q' => {
                 let text: Arc<str> = pg::statement(body)?.into();
-                let at = self.arrival_times.of_next(length).unwrap_or_else(|| self.shared.clock.came_in());
+                let at =
+                    self.arrival_times.arrival_of_next(length).unwrap_or_else(|| self.shared.clock.came_in());
                 self.skipping = false;
                 let alone = self.link.inbound.len() == length;
                 self.statement(text, at, alone, out);
@@ -500,7 +501,7 @@
 
     /// Whether there is room for it by now.
     fn find_slot(&mut self) -> bool {
-        self.has_slot |= self.shared.present() <= self.shared.most;
+        self.has_slot |= self.shared.present() <= self.shared.max_clients;
         self.has_slot
     }
 
@@ -515,7 +516,7 @@
         let class = need("c")?;
         let kind = self
             .shared
-            .kinds
+            .txn_types
             .known(class)
             .ok_or_else(|| format!("expected a known class in c, found {class:?}"))?;
         let left = need("d")?;
@@ -529,14 +530,14 @@
                 let ago = unix.saturating_sub_unsigned(number("after", after)?);
                 Some(Duration::from_millis(ago.max(1) as u64))
             }
-            None => self.shared.marks.then_some(Duration::ZERO),
+            None => self.shared.client_session_marks.then_some(Duration::ZERO),
         };
         let session = pg::quoted(rest).map(|key| {
             let mut hasher = DefaultHasher::new();
             key.hash(&mut hasher);
             hasher.finish()
         });
-        let ticket = self.shared.tickets.fetch_add(1, Ordering::Relaxed);
+        let ticket = self.shared.next_request_id.fetch_add(1, Ordering::Relaxed);
         let (retried, expiry) = (field("r") == Some("1"), at + Duration::from_millis(ms));
         let waits = expiry.saturating_sub(self.shared.clock.now());
         let received =
--- a/crates/front/src/client/drain.rs
+++ b/crates/front/src/client/drain.rs
@@ -3,11 +3,11 @@
 
 use super::{Client, MAX_INBOUND};
 use crate::clients::MIN_REST;
-use crate::mail::{Answer, ToDesk};
+use crate::messages::{Answer, DispatcherMessage};
 use crate::request_log::{CloseReason, RequestEvent};
 use juniperdock_connection::Failure;
 use juniperdock_pg as pg;
-use juniperdock_request_guard::{Debt, EndedBy};
+use juniperdock_request_guard::{EndedBy, Outstanding};
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
 impl Client {
     /// Begins to drain as the process ends, and limits what is read while it drains.
     pub(super) fn drain(&mut self) {
-        let last_call = self.shared.last_call.load(Ordering::Relaxed);
+        let last_call = self.shared.answer_all_now.load(Ordering::Relaxed);
         if self.draining.is_none() && self.last.is_none() && self.shared.shuts_down(self.slot, self.fresh) {
             self.draining = Some(CloseReason::ShuttingDown);
             if !last_call {
@@ -129,8 +129,8 @@
 
     /// The process is about to exit: what is unanswered gets its final answer now.
     fn answer_all(&mut self) {
-        for ticket in self.pipeline.begun().collect::<Vec<_>>() {
-            let _ = self.shared.desk.send(ToDesk::Left(ticket));
+        for ticket in self.pipeline.started().collect::<Vec<_>>() {
+            let _ = self.shared.dispatcher.send(DispatcherMessage::Left(ticket));
             self.answer(ticket, Answer::Unknown("this process ends; it may have run"));
         }
         for ticket in self.pipeline.waiting().collect::<Vec<_>>() {
@@ -167,9 +167,9 @@
     }
 
     /// What is owed to the client now.
-    fn debt(&self) -> Debt {
+    fn debt(&self) -> Outstanding {
         let half_read = if self.last.is_some() { 0 } else { self.link.inbound.len() };
-        Debt {
+        Outstanding {
             unanswered: self.pipeline.requests(),
             unsent: self.link.unsent() + self.pipeline.answer_bytes(),
             half_read,
@@ -180,14 +180,14 @@
     pub(super) fn end(&mut self, reason: CloseReason) {
         let debt = self.debt();
         self.shared.request_log.client_closed(self.slot, reason, debt);
-        debt.settle(ended_by(reason), &self.shared.counters.invariants);
+        debt.record_violations(ended_by(reason), &self.shared.counters.invariants);
         (0..debt.unanswered).for_each(|_| self.shared.counters.left.add());
         for guard in self.guards.values() {
             guard.abandon();
         }
-        for ticket in self.pipeline.begun() {
+        for ticket in self.pipeline.started() {
             self.shared.request_log.request(ticket, RequestEvent::Abandoned);
-            let _ = self.shared.desk.send(ToDesk::Left(ticket));
+            let _ = self.shared.dispatcher.send(DispatcherMessage::Left(ticket));
         }
     }
 }
--- a/crates/front/src/clients.rs
+++ b/crates/front/src/clients.rs
@@ -2,8 +2,8 @@
 
 use crate::clock::Clock;
 use crate::counters::Counters;
-use crate::fellows;
-use crate::mail::{ToDesk, ToFellows};
+use crate::membership;
+use crate::messages::{DispatcherMessage, MembershipMessage};
 use crate::request_log::{CloseReason, RequestLog};
 use juniperdock_connection::Bell;
 use juniperdock_deployment::Indices;
@@ -24,42 +24,42 @@
 /// What all clients' actors share.
 pub struct SharedClients {
     pub clock: Clock,
-    pub desk: Sender<ToDesk>,
+    pub dispatcher: Sender<DispatcherMessage>,
     pub counters: Arc<Counters>,
     pub log: slog::Logger,
     pub request_log: RequestLog,
     /// The txn types by name.
-    pub kinds: Indices<String>,
+    pub txn_types: Indices<String>,
     /// Which of them write.
     pub writes: Vec<bool>,
     /// Clients tell what their session has written.
-    pub marks: bool,
+    pub client_session_marks: bool,
     /// An answer must be out this long after the expiry.
     pub grace: Duration,
-    pub tickets: AtomicU64,
+    pub next_request_id: AtomicU64,
     /// Connections end once they are between txns.
     pub closing: AtomicBool,
     /// The process is about to exit: all is answered now.
-    pub last_call: AtomicBool,
+    pub answer_all_now: AtomicBool,
     /// How many clients there may be, and how many more to be told that there is no room.
-    pub most: usize,
-    pub standing: usize,
+    pub max_clients: usize,
+    pub refusal_slots: usize,
     /// Clients hold only so many connections in all, idle ones too: beyond the first number those that are
     /// idle for long are closed to them, beyond the second those idle for less.
-    pub keep: usize,
-    pub crowd: usize,
+    pub close_long_idle_above: usize,
+    pub close_idle_above: usize,
     pub slots: Mutex<ClientSlots>,
     /// Where clients between txns are sent while this front hands over, and whether it does.
-    pub moves: Mutex<Option<std::sync::mpsc::Sender<ClientTransfer>>>,
-    pub moving: AtomicU8,
+    pub transfer_to: Mutex<Option<std::sync::mpsc::Sender<ClientTransfer>>>,
+    pub transfer_mode: AtomicU8,
     /// Clients may still come from the process that this one has succeeded.
-    pub coming: AtomicBool,
+    pub receiving_transfers: AtomicBool,
     /// Nobody is taken in any more: another process does.
-    pub shut: AtomicBool,
+    pub stop_accepting: AtomicBool,
     /// The acceptor is at work.
-    pub acceptor: AtomicBool,
+    pub acceptor_running: AtomicBool,
     /// The actor that speaks with the other fronts, where it is turned on.
-    pub fellows: Option<fellows::Mail>,
+    pub membership: Option<membership::Handle>,
 }
 
 /// A client on its way to another process.
@@ -90,7 +90,7 @@
 
 impl TransferResult {
     /// It is the other process's, or it is served here again.
-    pub fn tell(&self, taken: bool) {
+    pub fn complete(&self, taken: bool) {
         self.state.store(if taken { TAKEN } else { KEPT }, Ordering::Release);
         self.bell.ring();
     }
@@ -157,22 +157,22 @@
     }
 
     /// From now on clients that have rested between txns are sent there.
-    pub fn move_to(&self, mover: std::sync::mpsc::Sender<ClientTransfer>) {
-        *self.moves.lock().unwrap_or_else(PoisonError::into_inner) = Some(mover);
-        self.moving.store(RESTED, Ordering::Release);
+    pub fn start_transfer(&self, mover: std::sync::mpsc::Sender<ClientTransfer>) {
+        *self.transfer_to.lock().unwrap_or_else(PoisonError::into_inner) = Some(mover);
+        self.transfer_mode.store(RESTED, Ordering::Release);
         let now = self.clock.now();
         self.slots().taken.values().filter(|slot| slot.rested(now)).for_each(|slot| slot.bell.ring());
     }
 
     /// From now on all clients between txns are.
-    pub fn move_all(&self) {
-        self.moving.store(ALL, Ordering::Release);
+    pub fn transfer_all(&self) {
+        self.transfer_mode.store(ALL, Ordering::Release);
         self.slots().taken.values().for_each(|slot| slot.bell.ring());
     }
 
     /// Whether this client is to set out.
     pub(crate) fn moves(&self, id: u64) -> bool {
-        match self.moving.load(Ordering::Acquire) {
+        match self.transfer_mode.load(Ordering::Acquire) {
             RESTED => {
                 let now = self.clock.now();
                 self.slots().taken.get(&id).is_some_and(|slot| slot.rested(now))
@@ -182,16 +182,16 @@
     }
 
     /// Tells the actor that speaks with the other fronts, where there is one; from any thread.
-    pub fn tell_fellows(&self, mail: ToFellows) {
-        if let Some(fellows) = self.fellows.clone() {
-            self.clock.at(Duration::ZERO, move || fellows.post(mail));
+    pub fn send_to_membership(&self, mail: MembershipMessage) {
+        if let Some(fellows) = self.membership.clone() {
+            self.clock.run_at(Duration::ZERO, move || fellows.send(mail));
         }
     }
 
     /// Clients stay.
-    pub fn stay(&self) {
-        self.moving.store(STAY, Ordering::Release);
-        *self.moves.lock().unwrap_or_else(PoisonError::into_inner) = None;
+    pub fn stop_transfer(&self) {
+        self.transfer_mode.store(STAY, Ordering::Release);
+        *self.transfer_to.lock().unwrap_or_else(PoisonError::into_inner) = None;
     }
 
     /// Whether a client's connection is to end. A fresh one has a while for its first request.
@@ -205,8 +205,8 @@
     }
 
     /// Has all that is unanswered answered, as the process is about to exit.
-    pub fn call_last(self: &Arc<Self>) {
-        self.last_call.store(true, Ordering::Relaxed);
+    pub fn answer_all_now(self: &Arc<Self>) {
+        self.answer_all_now.store(true, Ordering::Relaxed);
         self.wake_all();
     }
 
@@ -219,7 +219,7 @@
     /// Wakes all clients' actors, from any thread.
     fn wake_all(self: &Arc<Self>) {
         let clients = self.clone();
-        self.clock.at(Duration::ZERO, move || {
+        self.clock.run_at(Duration::ZERO, move || {
             clients.slots().taken.values().for_each(|slot| slot.bell.ring());
         });
     }
@@ -229,7 +229,7 @@
     pub(crate) fn take_slot(&self, bell: Bell) -> (u64, bool) {
         let now = self.clock.now();
         let mut slots = self.slots();
-        let found = slots.taken.len() < self.most || slots.ask_to_leave(now, MIN_REST);
+        let found = slots.taken.len() < self.max_clients || slots.ask_to_leave(now, MIN_REST);
         slots.next += 1;
         let id = slots.next;
         slots.taken.insert(
@@ -251,8 +251,8 @@
         if slot.asked_to_leave {
             return Rest::Leave(CloseReason::MadeRoom);
         }
-        let leaves = present > self.crowd && since + MIN_REST <= now
-            || present > self.keep && since + LONG_REST <= now;
+        let leaves = present > self.close_idle_above && since + MIN_REST <= now
+            || present > self.close_long_idle_above && since + LONG_REST <= now;
         if idle && leaves {
             return Rest::Leave(CloseReason::Idle);
         }
--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -5,11 +5,11 @@
 //! are not the worker's wake nobody themselves either: they set an alarm ([`Clock::post`], [`Clock::at`]), which the kernel
 //! tells the worker of, so that the worker never has to wait for a thread that does not run.
 
-use crate::mail::ToDesk;
+use crate::messages::DispatcherMessage;
 use juniperdock_connection::{Timer, TimerSetter};
 use juniperdock_deployment::Origin;
-use juniperdock_server_clock::{ServerClock, Told, Verdict};
-use juniperdock_timer_wheel::{Key, Wheel};
+use juniperdock_server_clock::{PositionSample, ServerClock, Verdict};
+use juniperdock_timer_wheel::{TimerKey, TimerWheel};
 use may::sync::mpsc::{Sender, channel};
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -45,11 +45,11 @@
 type Ring = Box<dyn FnOnce() + Send>;
 
 /// An alarm that was set; it may be cancelled.
-pub struct Alarm(Key);
+pub struct TimerHandle(TimerKey);
 
 /// Alarms still to ring, and when the one that rings them looks next; only an earlier one sets the timer anew.
 struct Alarms {
-    wheel: Wheel<Ring>,
+    wheel: TimerWheel<Ring>,
     looks: Duration,
 }
 
@@ -85,7 +85,7 @@
         let timer = Timer::open(patience).map_err(|e| format!("a timer: {e}"))?;
         let (begun, unix) = read_both();
         let start_unix = Arc::new(AtomicI64::new(unix.as_micros() as i64));
-        let alarms = Alarms { wheel: Wheel::new(TICK), looks: Duration::ZERO };
+        let alarms = Alarms { wheel: TimerWheel::new(TICK), looks: Duration::ZERO };
         let bells = Arc::new(Bells { alarms: Mutex::new(alarms), timer: timer.setter() });
         let (runs, servers) = (Arc::default(), Arc::default());
         let clock = Clock { begun, start_unix, bells, runs, servers };
@@ -106,7 +106,7 @@
 
     /// Judges a position that a server told. Where it proves that this process is behind, the origin is moved: positions
     /// that were dated by the one before lie too late by so much, and whoever keeps some has to drop them.
-    pub fn judge(&self, told: Told) -> Verdict {
+    pub fn judge(&self, told: PositionSample) -> Verdict {
         let verdict = self.servers().judge(told);
         if let Verdict::Behind(by) = verdict {
             self.start_unix.fetch_add(by.as_micros() as i64, Ordering::Relaxed);
@@ -167,31 +167,31 @@
 
     /// Calls `ring` on the worker once that time has come; `ring` must not wait. The way for all other threads to wake an
     /// actor, too: at a time that is over it is called at once.
-    pub fn at(&self, at: Duration, ring: impl FnOnce() + Send + 'static) -> Alarm {
+    pub fn run_at(&self, at: Duration, ring: impl FnOnce() + Send + 'static) -> TimerHandle {
         let mut alarms = self.bells.alarms();
-        let key = alarms.wheel.set(at, Box::new(ring));
+        let key = alarms.wheel.schedule(at, Box::new(ring));
         if at < alarms.looks {
             alarms.looks = at;
             self.bells.timer.set(at.saturating_sub(self.now()));
         }
-        Alarm(key)
+        TimerHandle(key)
     }
 
     /// Posts from a thread that is not the worker's.
     pub fn post<T: Send + 'static>(&self, to: &Sender<T>, mail: T) {
         let to = to.clone();
-        self.at(Duration::ZERO, move || {
+        self.run_at(Duration::ZERO, move || {
             // Whoever has ended needs no mail.
             let _ = to.send(mail);
         });
     }
 
     /// Has the dispatcher told once a pulse that the worker runs.
-    pub fn beat(&self, desk: Sender<ToDesk>) {
+    pub fn start_watchdog(&self, desk: Sender<DispatcherMessage>) {
         let (clock, due) = (self.clone(), self.now() + PULSE);
-        self.at(due, move || {
-            let _ = desk.send(ToDesk::Beat { posted: due });
-            clock.beat(desk);
+        self.run_at(due, move || {
+            let _ = desk.send(DispatcherMessage::Beat { posted: due });
+            clock.start_watchdog(desk);
         });
     }
 
@@ -205,7 +205,7 @@
     /// Waits for so long. The calling coroutine hears of nothing meanwhile.
     pub fn pause(&self, span: Duration) {
         let (again, waited) = channel();
-        self.at(self.now() + span, move || {
+        self.run_at(self.now() + span, move || {
             let _ = again.send(());
         });
         let _ = waited.recv();
@@ -222,7 +222,7 @@
     }
 
     /// An alarm that has not rung does not.
-    pub fn cancel(&self, alarm: &Alarm) {
+    pub fn cancel(&self, alarm: &TimerHandle) {
         let ring = self.bells.alarms().wheel.cancel(alarm.0);
         // Dropped without the lock.
         drop(ring);
@@ -258,9 +258,10 @@
 fn next_due(clock: &Clock) -> Option<Ring> {
     let mut alarms = clock.bells.alarms();
     let now = clock.now();
-    let due = alarms.wheel.due(now);
+    let due = alarms.wheel.pop_due(now);
     // While it rings, nobody else has to set the timer.
-    alarms.looks = if due.is_some() { Duration::ZERO } else { alarms.wheel.next().unwrap_or(Duration::MAX) };
+    alarms.looks =
+        if due.is_some() { Duration::ZERO } else { alarms.wheel.next_due().unwrap_or(Duration::MAX) };
     if due.is_none() {
         clock.bells.timer.set(alarms.looks.saturating_sub(now));
     }
--- a/crates/front/src/connect.rs
+++ b/crates/front/src/connect.rs
@@ -83,7 +83,7 @@
 ) -> Result<Link, NoConnection> {
     let bell = connecting.bell();
     begun(bell.clone());
-    clock.at(wanted.until, move || bell.ring());
+    clock.run_at(wanted.until, move || bell.ring());
     while !connecting.is_up()? {
         if cancelled() {
             return Err(NoConnection::Cancelled);
--- a/crates/front/src/control.rs
+++ b/crates/front/src/control.rs
@@ -2,8 +2,8 @@
 //! few at a time and each only for a while, so that whatever comes in disturbs nothing.
 
 use crate::clock::Clock;
-use crate::fellows;
-use crate::mail::{ToDesk, ToFellows, Upgrade};
+use crate::membership;
+use crate::messages::{DispatcherMessage, MembershipMessage, UpgradeFn};
 use juniperdock_control::{Frames, fault, frame, good};
 use may::sync::mpsc::Sender;
 use serde_json::{Value, json};
@@ -27,10 +27,10 @@
 /// Answers what comes in.
 pub struct Control {
     pub clock: Clock,
-    pub desk: Sender<ToDesk>,
+    pub desk: Sender<DispatcherMessage>,
     pub counters: Arc<crate::counters::Counters>,
-    pub upgrade: Upgrade,
-    pub fellows: Option<fellows::Mail>,
+    pub upgrade: UpgradeFn,
+    pub fellows: Option<membership::Handle>,
     /// Work is shared with the other fronts: changes of primaries go to all.
     pub duties: bool,
 }
@@ -70,9 +70,9 @@
 
 impl Control {
     /// This thread is not the worker's.
-    fn tell_fellows(&self, fellows: &fellows::Mail, mail: ToFellows) {
+    fn tell_fellows(&self, fellows: &membership::Handle, mail: MembershipMessage) {
         let fellows = fellows.clone();
-        self.clock.at(Duration::ZERO, move || fellows.post(mail));
+        self.clock.run_at(Duration::ZERO, move || fellows.send(mail));
     }
 
     fn talk(&self, mut stream: UnixStream) -> Result<(), String> {
@@ -104,9 +104,11 @@
         let group = || asked["group"].as_u64().ok_or_else(|| "expected a number in group".to_owned());
         match asked["do"].as_str() {
             Some("status") => {
-                let (tell, told) = sync_channel(1);
-                self.clock
-                    .post(&self.desk, ToDesk::Status { group: asked["group"].as_u64(), most: GROUPS, tell });
+                let (reply, told) = sync_channel(1);
+                self.clock.post(
+                    &self.desk,
+                    DispatcherMessage::Status { group: asked["group"].as_u64(), max_groups: GROUPS, reply },
+                );
                 let mut status = told.recv_timeout(PATIENCE).map_err(|_| "the desk is late".to_owned())?;
                 status["counters"] = counters(&self.counters.to_string());
                 status["pid"] = std::process::id().into();
@@ -114,39 +116,52 @@
             }
             Some(what @ ("move" | "cancel")) if self.duties => {
                 let fellows = self.fellows.as_ref().ok_or("fellows are off: the log says why")?;
-                let (tell, told) = sync_channel(1);
+                let (reply, told) = sync_channel(1);
                 let successor = asked["to"].as_str().map(str::to_owned);
                 self.tell_fellows(
                     fellows,
-                    ToFellows::Move { group: group()?, successor, off: what == "cancel", tell },
+                    MembershipMessage::ChangePrimary {
+                        group: group()?,
+                        successor,
+                        cancel: what == "cancel",
+                        reply,
+                    },
                 );
                 let answer =
                     told.recv_timeout(HELD).map_err(|_| "not all fronts hold yet: see fleet duties")?;
                 answer.map(Value::from)
             }
             Some("roll") => {
-                let fellows = self.fellows.as_ref().filter(|_| self.duties).ok_or(fellows::OFF)?;
-                let (tell, told) = sync_channel(1);
-                let (program, off) = (asked["program"].as_str().map(str::to_owned), asked["off"] == true);
+                let fellows = self.fellows.as_ref().filter(|_| self.duties).ok_or(membership::TASKS_OFF)?;
+                let (reply, told) = sync_channel(1);
+                let (program, cancel) = (asked["program"].as_str().map(str::to_owned), asked["off"] == true);
                 let at_once = asked["at_once"].as_u64().unwrap_or(1) as usize;
-                self.tell_fellows(fellows, ToFellows::Roll { program, at_once, off, tell });
+                self.tell_fellows(
+                    fellows,
+                    MembershipMessage::RollingUpgrade { program, at_once, cancel, reply },
+                );
                 let answer = told.recv_timeout(PATIENCE).map_err(|_| "it has no socket yet".to_owned())?;
                 answer.map(Value::from)
             }
             Some("duties") => {
                 let fellows =
                     self.fellows.as_ref().ok_or("fellows are off: see fellows in the operators' file")?;
-                let (tell, told) = sync_channel(1);
-                self.tell_fellows(fellows, ToFellows::Duties(tell));
+                let (reply, told) = sync_channel(1);
+                self.tell_fellows(fellows, MembershipMessage::FleetTasks(reply));
                 let duties = told
                     .recv_timeout(PATIENCE)
                     .map_err(|_| "it has no socket yet: its address may be taken".to_owned())?;
-                if duties["off"] == true { Err(fellows::OFF.to_owned()) } else { Ok(duties) }
+                if duties["off"] == true { Err(membership::TASKS_OFF.to_owned()) } else { Ok(duties) }
             }
             Some(what @ ("move" | "cancel")) => {
-                let (tell, told) = sync_channel(1);
+                let (reply, told) = sync_channel(1);
                 let successor = asked["to"].as_str().map(str::to_owned);
-                let change = ToDesk::Change { group: group()?, successor, off: what == "cancel", tell };
+                let change = DispatcherMessage::ChangePrimary {
+                    group: group()?,
+                    successor,
+                    cancel: what == "cancel",
+                    reply,
+                };
                 self.clock.post(&self.desk, change);
                 let answer = told.recv_timeout(PATIENCE).map_err(|_| "the desk is late".to_owned())?;
                 answer.map(Value::from)
@@ -154,8 +169,8 @@
             Some("fleet") => {
                 let fellows =
                     self.fellows.as_ref().ok_or("fellows are off: see fellows in the operators' file")?;
-                let (tell, told) = sync_channel(1);
-                self.tell_fellows(fellows, ToFellows::Status(tell));
+                let (reply, told) = sync_channel(1);
+                self.tell_fellows(fellows, MembershipMessage::Status(reply));
                 told.recv_timeout(PATIENCE)
                     .map_err(|_| "it has no socket yet: its address may be taken".to_owned())
             }
--- a/crates/front/src/discovery_client.rs
+++ b/crates/front/src/discovery_client.rs
@@ -4,7 +4,7 @@
 use crate::clock::Clock;
 use crate::connect::{Wanted, connect};
 use crate::counters::Counters;
-use crate::mail::{ToDesk, ToDiscovery, WatchEnd};
+use crate::messages::{DiscoveryMessage, DispatcherMessage, WatchEnd};
 use juniperdock_connection::{Bell, BufferLimits, spawn};
 use juniperdock_discovery::{Answer, MAX_UNREAD, watch_request};
 use juniperdock_server_list::{Backoff, ServerList, Versions};
@@ -37,12 +37,12 @@
     versions: Versions,
     backoff: Backoff,
     clock: Clock,
-    desk: Sender<ToDesk>,
+    desk: Sender<DispatcherMessage>,
     counters: Arc<Counters>,
     log: slog::Logger,
     stack: usize,
-    mail: Sender<ToDiscovery>,
-    read: Receiver<ToDiscovery>,
+    mail: Sender<DiscoveryMessage>,
+    read: Receiver<DiscoveryMessage>,
     /// In the order in which they were opened; only the last counts once it has told something.
     watches: Vec<Open>,
     opened: u64,
@@ -56,7 +56,7 @@
         version: Option<u64>,
         seed: u64,
         clock: Clock,
-        desk: Sender<ToDesk>,
+        desk: Sender<DispatcherMessage>,
         counters: Arc<Counters>,
         log: slog::Logger,
         stack: usize,
@@ -79,28 +79,28 @@
         }
     }
 
-    pub fn mail(&self) -> Sender<ToDiscovery> {
+    pub fn sender(&self) -> Sender<DiscoveryMessage> {
         self.mail.clone()
     }
 
     pub fn run(mut self) {
         while let Ok(mail) = self.read.recv() {
             match mail {
-                ToDiscovery::Open => self.open(),
-                ToDiscovery::At(address) => {
+                DiscoveryMessage::OpenWatch => self.open(),
+                DiscoveryMessage::SetAddress(address) => {
                     if address != self.address {
                         slog::info!(self.log, "discovery has moved"; "to" => %address);
                         self.address = address;
                         self.open();
                     }
                 }
-                ToDiscovery::Up(number, bell) => {
+                DiscoveryMessage::Up(number, bell) => {
                     if let Some(watch) = self.watches.iter_mut().find(|watch| watch.number == number) {
                         watch.bell = Some(bell);
                     }
                 }
-                ToDiscovery::Told(number, list) => self.told(number, list),
-                ToDiscovery::Over(number, why) => self.over(number, &why),
+                DiscoveryMessage::Told(number, list) => self.told(number, list),
+                DiscoveryMessage::Over(number, why) => self.over(number, &why),
             }
         }
     }
@@ -117,10 +117,10 @@
                 counters.panics.add();
                 WatchEnd::Failed("its actor failed".to_owned())
             });
-            let _ = list.send(ToDiscovery::Over(number, why));
+            let _ = list.send(DiscoveryMessage::Over(number, why));
         });
         if let Err(why) = started {
-            let _ = self.mail.send(ToDiscovery::Over(number, WatchEnd::Failed(why)));
+            let _ = self.mail.send(DiscoveryMessage::Over(number, WatchEnd::Failed(why)));
         }
     }
 
@@ -134,7 +134,7 @@
         self.backoff.reset();
         if let Some(list) = self.versions.accept(number, list) {
             self.logged = false;
-            let _ = self.desk.send(ToDesk::List(list));
+            let _ = self.desk.send(DispatcherMessage::List(list));
         }
     }
 
@@ -153,12 +153,12 @@
             WatchEnd::Failed(_) => Duration::ZERO,
         };
         if wait.is_zero() {
-            let _ = self.desk.send(ToDesk::ListLost);
+            let _ = self.desk.send(DispatcherMessage::ListLost);
             return;
         }
         let desk = self.desk.clone();
-        self.clock.at(self.clock.now() + wait, move || {
-            let _ = desk.send(ToDesk::ListLost);
+        self.clock.run_at(self.clock.now() + wait, move || {
+            let _ = desk.send(DispatcherMessage::ListLost);
         });
     }
 }
@@ -168,7 +168,7 @@
     number: u64,
     address: SocketAddr,
     clock: Clock,
-    list: Sender<ToDiscovery>,
+    list: Sender<DiscoveryMessage>,
     stop: Arc<AtomicBool>,
 }
 
@@ -178,7 +178,7 @@
         let failed = |why: String| WatchEnd::Failed(why);
         let (request, begun) = (watch_request(&self.address.to_string(), after), self.clock.now());
         let up = |bell| {
-            let _ = self.list.send(ToDiscovery::Up(self.number, bell));
+            let _ = self.list.send(DiscoveryMessage::Up(self.number, bell));
         };
         let wanted = Wanted { to: self.address, until: begun + CONNECT, limits: BUFFERS };
         let stopped = || self.stop.load(Ordering::Relaxed);
@@ -191,7 +191,7 @@
         }
         let (mut answer, mut signs, mut silent) = (Answer::default(), 0, begun + FIRST);
         let bell = link.bell();
-        self.clock.at(silent, move || bell.ring());
+        self.clock.run_at(silent, move || bell.ring());
         for busy in 1u32.. {
             if stopped() {
                 break;
@@ -200,7 +200,7 @@
             match answer.take(&mut link.inbound) {
                 Ok(lists) => {
                     for list in lists {
-                        let _ = self.list.send(ToDiscovery::Told(self.number, list));
+                        let _ = self.list.send(DiscoveryMessage::Told(self.number, list));
                     }
                 }
                 Err(why) if why.is_overload() => return WatchEnd::Overloaded,
@@ -210,7 +210,7 @@
             if answer.signs > signs {
                 (signs, silent) = (answer.signs, now + SILENCE);
                 let bell = link.bell();
-                self.clock.at(silent, move || bell.ring());
+                self.clock.run_at(silent, move || bell.ring());
             }
             match moved {
                 Err(why) => return failed(why.to_string()),
--- a/crates/front/src/desk.rs
+++ b/crates/front/src/dispatcher.rs
@@ -2,23 +2,25 @@
 //! has done goes out to the actors' mailboxes. Nothing is chosen here.
 
 mod host;
-mod memory;
+mod snapshot;
 
 use crate::clock::{Clock, PULSE};
 use crate::counters::Counters;
-use crate::mail::{Answer, Arrival, End, Job, ToDesk, ToDiscovery, ToFellows, ToMember};
+use crate::messages::{
+    Answer, Arrival, DiscoveryMessage, DispatcherMessage, End, Job, MemberMessage, MembershipMessage,
+};
 use crate::request_log::{RequestEvent, RequestLog};
-use crate::worker_watch::WorkerWatch;
+use crate::worker_watchdog::WorkerWatch;
 use host::{OpenRequest, RouterHost};
 use juniperdock_deployment::{Indices, span};
 use juniperdock_fleet_tasks as fleet_tasks;
-use juniperdock_fleet_tasks::Care;
+use juniperdock_fleet_tasks::HealthObserver;
 use juniperdock_primary_tracker::Step;
 use juniperdock_request_guard::Withheld;
-use juniperdock_router::host::{Ending, Host, Listed, Phase, Report};
+use juniperdock_router::host::{AttemptOutcome, Host, ListedState, Phase, Report};
 use juniperdock_router::routing::Router;
 use juniperdock_server_list::{KnownServer, ProbeQueue, ServerEntry, ServerList, ServerState, ServerTable};
-use juniperdock_wait_queue::Most;
+use juniperdock_wait_queue::WaitLimits;
 use may::sync::mpsc::{Receiver, Sender};
 use serde_json::Value;
 use std::collections::HashMap;
@@ -31,43 +33,44 @@
 const MIN_CLOCK_CHANGE: Duration = Duration::from_millis(500);
 
 /// What the desk needs to start the actor of a member.
-pub type Hire =
-    Box<dyn Fn(usize, SocketAddr, Receiver<ToMember>, Sender<ToMember>) -> Result<(), String> + Send>;
+pub type SpawnMember = Box<
+    dyn Fn(usize, SocketAddr, Receiver<MemberMessage>, Sender<MemberMessage>) -> Result<(), String> + Send,
+>;
 
 /// Makes a router that knows nothing yet.
-pub type Make = Box<dyn Fn() -> Result<Router, String> + Send>;
+pub type MakeRouter = Box<dyn Fn() -> Result<Router, String> + Send>;
 
-pub struct Desk {
+pub struct Dispatcher {
     router: Router,
-    make: Make,
+    make: MakeRouter,
     host: RouterHost,
     zones: Indices<String>,
     /// The txn types by name.
     kinds: Vec<String>,
-    held: Option<(Most, f64)>,
+    held: Option<(WaitLimits, f64)>,
     /// Posts to the actor that speaks with the other fronts.
-    circle: Option<Box<dyn Fn(ToFellows) + Send>>,
+    circle: Option<Box<dyn Fn(MembershipMessage) + Send>>,
     /// How far ahead this process's time was when the servers were listed.
     listed_ahead: Duration,
     /// Groups whose change was ordered of all fronts, by which order, and what was last told of it.
-    watched: Vec<(u64, u64, fleet_tasks::Step)>,
+    watched: Vec<(u64, u64, fleet_tasks::HoldStep)>,
     log: slog::Logger,
 }
 
-impl Desk {
+impl Dispatcher {
     pub fn new(
-        make: Make,
+        make: MakeRouter,
         kinds: Vec<String>,
         zones: Vec<String>,
         clock: Clock,
-        desk: Sender<ToDesk>,
-        discovery: Sender<ToDiscovery>,
-        hire: Hire,
+        desk: Sender<DispatcherMessage>,
+        discovery: Sender<DiscoveryMessage>,
+        hire: SpawnMember,
         probes: ProbeQueue,
         counters: Arc<Counters>,
         log: slog::Logger,
         request_log: RequestLog,
-    ) -> Result<Desk, String> {
+    ) -> Result<Dispatcher, String> {
         let mut known = Indices::default();
         zones.into_iter().for_each(|zone| {
             known.index(zone);
@@ -97,7 +100,7 @@
             care: None,
         };
         let (circle, watched) = (None, Vec::new());
-        Ok(Desk {
+        Ok(Dispatcher {
             router: make()?,
             make,
             host,
@@ -111,11 +114,11 @@
         })
     }
 
-    pub fn run(mut self, mail: &Receiver<ToDesk>) {
+    pub fn run(mut self, mail: &Receiver<DispatcherMessage>) {
         // Of the thread that this coroutine runs on.
         let mut worker = WorkerWatch::new(self.host.request_log.is_enabled());
         while let Ok(mail) = mail.recv() {
-            if let ToDesk::Beat { posted } = mail {
+            if let DispatcherMessage::Beat { posted } = mail {
                 self.beat(posted, &mut worker);
                 continue;
             }
@@ -150,17 +153,17 @@
     /// The front that has ordered a change of all hears how far it is here.
     fn watch(&mut self) {
         let Some(circle) = self.circle.as_ref().filter(|_| !self.watched.is_empty()) else { return };
-        let (tenure, cells) = (self.router.tenure(), &self.host.cells);
+        let (tenure, cells) = (self.router.primary_tracker(), &self.host.cells);
         self.watched.retain_mut(|(group, order, told)| {
             let plan = cells.known(group).and_then(|at| tenure.plan(at));
             let step = match plan.map(|plan| plan.step) {
-                Some(Step::Emptying) => fleet_tasks::Step::Emptying,
-                Some(Step::Awaiting) => fleet_tasks::Step::Awaiting,
-                Some(Step::Done) => fleet_tasks::Step::Done,
-                Some(Step::Undone(_)) | None => fleet_tasks::Step::Undone,
+                Some(Step::Emptying) => fleet_tasks::HoldStep::Emptying,
+                Some(Step::Awaiting) => fleet_tasks::HoldStep::Awaiting,
+                Some(Step::Done) => fleet_tasks::HoldStep::Done,
+                Some(Step::Undone(_)) | None => fleet_tasks::HoldStep::Undone,
             };
             if std::mem::replace(told, step) != step {
-                circle(ToFellows::Step { group: *group, order: *order, step });
+                circle(MembershipMessage::ChangeProgress { group: *group, order: *order, step });
             }
             plan.is_some_and(|plan| !plan.ended())
         });
@@ -178,13 +181,17 @@
             return;
         }
         match self.change(now, group, successor, off) {
-            Ok(_) if !off => self.watched.push((group, order, fleet_tasks::Step::Asked)),
+            Ok(_) if !off => self.watched.push((group, order, fleet_tasks::HoldStep::Asked)),
             Ok(_) => {}
             Err(why) => {
                 slog::info!(self.log, "a change for all fronts can't be had here"; "group" => group, "why" => why);
                 let tells = self.circle.iter().filter(|_| !off);
                 tells.for_each(|circle| {
-                    circle(ToFellows::Step { group, order, step: fleet_tasks::Step::Refused })
+                    circle(MembershipMessage::ChangeProgress {
+                        group,
+                        order,
+                        step: fleet_tasks::HoldStep::Refused,
+                    })
                 });
             }
         }
@@ -196,20 +203,20 @@
         now: Duration,
         whole: bool,
         present: usize,
-        asks: [fleet_tasks::Asks; fleet_tasks::SHARDS as usize],
+        asks: [fleet_tasks::ProbeRole; fleet_tasks::SHARDS as usize],
     ) {
-        let rate = self.router.rate(now) * present as f64;
+        let rate = self.router.arrival_rate(now) * present as f64;
         let Some(care) = &mut self.host.care else { return };
-        care.sees(whole, asks, rate);
-        let (every, due) = (care.every(), care.due(now));
-        let parts: Vec<usize> = care.parts().map(|(shard, _)| shard).collect();
+        care.update_view(whole, asks, rate);
+        let (every, due) = (care.probe_interval(), care.due_probes(now));
+        let parts: Vec<usize> = care.probed_shards().map(|(shard, _)| shard).collect();
         let mut pieces = Vec::new();
         for shard in parts {
-            pieces.extend(care.tell(shard).into_iter().map(|piece| (shard, piece)));
+            pieces.extend(care.take_updates(shard).into_iter().map(|piece| (shard, piece)));
         }
-        due.into_iter().for_each(|member| self.router.ask_one(now, member, &mut self.host));
+        due.into_iter().for_each(|member| self.router.probe_member(now, member, &mut self.host));
         if let Some(circle) = &self.circle {
-            circle(ToFellows::Facts { every, pieces });
+            circle(MembershipMessage::Observations { every, pieces });
         }
     }
 
@@ -232,14 +239,14 @@
     fn start_anew(&mut self) -> Result<(), String> {
         for txn in 0..self.host.txns.len() {
             self.host.answer(txn, Answer::Unknown("what was known is given up; it may have run"));
-            self.host.release(txn);
+            self.host.release_txn(txn);
         }
         self.router = (self.make)()?;
-        self.router.sessions_lost(self.host.clock.now());
+        self.router.session_marks_lost(self.host.clock.now());
         self.hold();
         let now = self.host.clock.now();
         let named = self.list_again(now);
-        self.router.list_ended(now, Some(&named), &mut self.host);
+        self.router.list_completed(now, Some(&named), &mut self.host);
         Ok(())
     }
 
@@ -265,8 +272,8 @@
     /// Limits that were laid down since the start count for every router.
     fn hold(&mut self) {
         if let Some((most, share)) = self.held {
-            self.router.hold_at_most(most);
-            self.router.hold_untaken(share);
+            self.router.set_wait_queue_limits(most);
+            self.router.set_unexecuted_wait_share(share);
         }
     }
 
@@ -274,13 +281,13 @@
     fn refresh(&mut self) {
         let (txns, router) = (&self.host.txns, &self.router);
         self.host.unwritten.retain(|&txn| match &txns[txn] {
-            Some(OpenRequest { out: Some((_, permit)), .. }) if !permit.is_settled() => {
-                permit.hold_until(router.holds_until(txn));
+            Some(OpenRequest { out: Some((_, permit)), .. }) if !permit.is_consumed() => {
+                permit.set_valid_until(router.valid_until(txn));
                 true
             }
             _ => false,
         });
-        let (tenure, counters) = (router.tenure(), &self.host.counters);
+        let (tenure, counters) = (router.primary_tracker(), &self.host.counters);
         for (phase, count) in Phase::ALL.into_iter().zip([
             &counters.groups_vacant,
             &counters.groups_settling,
@@ -293,16 +300,16 @@
         counters.waiting.set(router.waiting());
     }
 
-    fn take(&mut self, mail: ToDesk) {
+    fn take(&mut self, mail: DispatcherMessage) {
         let now = self.host.clock.now();
         match mail {
-            ToDesk::Beat { .. } => {}
-            ToDesk::Turn(tell) => drop(tell.send(())),
-            ToDesk::Short => {
-                (0..self.host.members.len()).for_each(|member| self.host.tell(member, ToMember::Spare));
+            DispatcherMessage::Beat { .. } => {}
+            DispatcherMessage::Turn(tell) => drop(tell.send(())),
+            DispatcherMessage::Short => {
+                (0..self.host.members.len()).for_each(|member| self.host.tell(member, MemberMessage::Spare));
             }
-            ToDesk::Arrived(arrival) => self.arrived(now, arrival),
-            ToDesk::Left(ticket) => {
+            DispatcherMessage::Arrived(arrival) => self.arrived(now, arrival),
+            DispatcherMessage::Left(ticket) => {
                 if let Some(&txn) = self.host.tickets.get(&ticket) {
                     if let Some(held) = self.host.txns[txn].as_mut() {
                         held.answered = true;
@@ -310,84 +317,90 @@
                     self.router.client_left(now, txn, &mut self.host);
                 }
             }
-            ToDesk::Ended(end) => self.ended(now, *end),
-            ToDesk::Probed { member, ending, report } => {
-                if ending != Ending::Committed {
+            DispatcherMessage::Ended(end) => self.ended(now, *end),
+            DispatcherMessage::Probed { member, ending, report } => {
+                if ending != AttemptOutcome::Committed {
                     self.host.counters.probes_failed.add();
                 }
                 self.host.probes.ended(member);
-                let fact = self.host.fact(report).filter(|_| ending == Ending::Committed);
+                let fact = self.host.fact(report).filter(|_| ending == AttemptOutcome::Committed);
                 if let Some(care) =
-                    self.host.care.as_mut().filter(|_| fact.is_some() || ending != Ending::Committed)
+                    self.host.care.as_mut().filter(|_| fact.is_some() || ending != AttemptOutcome::Committed)
                 {
-                    care.asked(member, fact);
+                    care.record_probe(member, fact);
                 }
-                self.router.probed(now, member, ending, report, &mut self.host);
+                self.router.probe_ended(now, member, ending, report, &mut self.host);
                 self.follow_servers_time(now);
             }
-            ToDesk::Instead { member, report } => {
-                self.router.probed(now, member, Ending::Committed, report, &mut self.host);
+            DispatcherMessage::Instead { member, report } => {
+                self.router.probe_ended(now, member, AttemptOutcome::Committed, report, &mut self.host);
             }
-            ToDesk::Circle(circle) => {
+            DispatcherMessage::EnableFleetTasks(circle) => {
                 self.circle = Some(circle);
-                self.host.care = self.router.tightest().map(Care::new);
+                self.host.care = self.router.tightest_bound().map(HealthObserver::new);
                 let known: Vec<usize> = self.host.servers.known().map(|(member, _)| member).collect();
                 known.into_iter().for_each(|member| self.named(member));
             }
-            ToDesk::Care { whole, present, asks } => self.care(now, whole, present, asks),
-            ToDesk::Facts(piece) => {
+            DispatcherMessage::ObserveHealth { has_majority, present_fronts, shard_roles } => {
+                self.care(now, has_majority, present_fronts, shard_roles)
+            }
+            DispatcherMessage::PeerObservations(piece) => {
                 let unix = self.host.unix(now);
                 if let Some(care) = &mut self.host.care {
                     self.host.counters.facts_in.add();
-                    if let Err(why) = care.told(now, unix, &piece) {
+                    if let Err(why) = care.apply_updates(now, unix, &piece) {
                         slog::debug!(self.log, "facts of another front are passed over"; "why" => why);
                     }
                 }
             }
-            ToDesk::Plan { group, order, successor, off } => {
-                self.plan(now, group, order, successor.as_deref(), off);
+            DispatcherMessage::PlannedChange { group, order, successor, cancel } => {
+                self.plan(now, group, order, successor.as_deref(), cancel);
             }
-            ToDesk::List(list) => self.list(now, &list),
-            ToDesk::ClockAdvanced(by) => self.clock_advanced(now, by),
-            ToDesk::ProbesDue => self.host.probes_due = None,
-            ToDesk::ListLost => {
+            DispatcherMessage::List(list) => self.list(now, &list),
+            DispatcherMessage::ClockAdvanced(by) => self.clock_advanced(now, by),
+            DispatcherMessage::ProbesDue => self.host.probes_due = None,
+            DispatcherMessage::ListLost => {
                 self.host.counters.lists_failed.add();
-                self.router.list_lost(now, &mut self.host);
+                self.router.discovery_lost(now, &mut self.host);
+            }
+            DispatcherMessage::TakeSnapshot(tell) => {
+                drop(tell.try_send(juniperdock_snapshot::encode(&self.memory(now))))
             }
-            ToDesk::Remember(tell) => drop(tell.try_send(juniperdock_snapshot::encode(&self.memory(now)))),
-            ToDesk::Recall(bytes) => match self.recall(now, &bytes) {
+            DispatcherMessage::RestoreSnapshot(bytes) => match self.recall(now, &bytes) {
                 Ok(age) => {
                     slog::info!(self.log, "a snapshot is taken up"; "age_ms" => age.as_millis() as u64)
                 }
                 Err(why) => slog::warn!(self.log, "a snapshot is refused"; "why" => why),
             },
-            ToDesk::Hold(most, share) => {
+            DispatcherMessage::SetWaitLimits(most, share) => {
                 self.held = Some((most, share));
                 self.hold();
             }
-            ToDesk::Give(to) => {
+            DispatcherMessage::TransferIdle(to) => {
                 for member in 0..self.host.members.len() {
                     let id = self.host.ids.id(member).clone();
-                    self.host.tell(member, ToMember::Give(id, to.clone()));
+                    self.host.tell(member, MemberMessage::Give(id, to.clone()));
                 }
             }
-            ToDesk::Take(id, stream) => {
+            DispatcherMessage::AdoptConnection(id, stream) => {
                 if let Some(member) = self.host.ids.known(&id) {
-                    self.host.tell(member, ToMember::Took(stream));
+                    self.host.tell(member, MemberMessage::Took(stream));
                 }
             }
-            ToDesk::Roles => self.router.ask_all(now, &mut self.host),
-            ToDesk::Status { group, most, tell } => drop(tell.try_send(self.status(group, most))),
-            ToDesk::Change { group, successor, off, tell } => {
-                drop(tell.try_send(self.change(now, group, successor.as_deref(), off)));
+            DispatcherMessage::ProbeAll => self.router.probe_all_members(now, &mut self.host),
+            DispatcherMessage::Status { group, max_groups, reply } => {
+                drop(reply.try_send(self.status(group, max_groups)))
+            }
+            DispatcherMessage::ChangePrimary { group, successor, cancel, reply } => {
+                drop(reply.try_send(self.change(now, group, successor.as_deref(), cancel)));
             }
-            ToDesk::Due { handle, at } => {
+            DispatcherMessage::Due { handle, at } => {
                 let late = now.saturating_sub(at);
                 self.host.counters.held_up_most_us.at_least(late.as_micros() as u64);
                 if late > PULSE {
                     self.host.counters.reminders_late.add();
                 }
-                self.router.reminder_due(now, handle, &mut self.host);
+                self.router.timer_fired(now, handle, &mut self.host);
             }
         }
     }
@@ -433,17 +446,17 @@
     fn ended(&mut self, now: Duration, end: End) {
         let count = &self.host.counters;
         match end.ending {
-            Ending::Committed => count.ended_committed.add(),
-            Ending::Errored => count.ended_errored.add(),
-            Ending::Invalid => count.ended_invalid.add(),
-            Ending::Spoilt => count.ended_spoilt.add(),
-            Ending::Full => count.ended_full.add(),
-            Ending::TimedOut => count.ended_timed_out.add(),
-            Ending::Unreachable => count.ended_unreachable.add(),
-            Ending::Dropped => count.ended_dropped.add(),
-            Ending::Cancelled => count.ended_cancelled.add(),
-            Ending::Moot => count.ended_moot.add(),
-            Ending::Misplaced => count.ended_misplaced.add(),
+            AttemptOutcome::Committed => count.ended_committed.add(),
+            AttemptOutcome::Errored => count.ended_errored.add(),
+            AttemptOutcome::Invalid => count.ended_invalid.add(),
+            AttemptOutcome::Spoilt => count.ended_spoilt.add(),
+            AttemptOutcome::Full => count.ended_full.add(),
+            AttemptOutcome::TimedOut => count.ended_timed_out.add(),
+            AttemptOutcome::Unreachable => count.ended_unreachable.add(),
+            AttemptOutcome::Dropped => count.ended_dropped.add(),
+            AttemptOutcome::Cancelled => count.ended_cancelled.add(),
+            AttemptOutcome::Moot => count.ended_moot.add(),
+            AttemptOutcome::Misplaced => count.ended_misplaced.add(),
         }
         let event = RequestEvent::AttemptEnded { server: end.member, ending: end.ending };
         self.host.request_log.request(end.ticket, event);
@@ -451,13 +464,16 @@
         if let Some(held) = self.host.txns[txn].as_mut() {
             held.out = None;
         }
-        if matches!(end.ending, Ending::Unreachable | Ending::Dropped | Ending::TimedOut) {
-            self.host.care.iter_mut().for_each(|care| care.failed(end.member));
+        if matches!(
+            end.ending,
+            AttemptOutcome::Unreachable | AttemptOutcome::Dropped | AttemptOutcome::TimedOut
+        ) {
+            self.host.care.iter_mut().for_each(|care| care.record_failure(end.member));
         }
-        let over = matches!(end.ending, Ending::Committed | Ending::Invalid);
+        let over = matches!(end.ending, AttemptOutcome::Committed | AttemptOutcome::Invalid);
         match end.ending {
-            Ending::Committed => self.host.answer(txn, Answer::Committed(end.row)),
-            Ending::Invalid => self.host.answer(txn, Answer::Invalid(end.row)),
+            AttemptOutcome::Committed => self.host.answer(txn, Answer::Committed(end.row)),
+            AttemptOutcome::Invalid => self.host.answer(txn, Answer::Invalid(end.row)),
             _ => {}
         }
         let (member, ending, took) = (end.member, end.ending, end.at.saturating_sub(end.sent));
@@ -465,13 +481,13 @@
         self.router.submission_ended(now, txn, over, member, ending, role, position, took, host);
         // A report is worth the same whether it was asked for or came with an answer.
         if let Some(load) = end.load {
-            self.router.probed(now, member, Ending::Committed, load, &mut self.host);
+            self.router.probe_ended(now, member, AttemptOutcome::Committed, load, &mut self.host);
         }
     }
 
     /// How groups stand: those in the order in which the list first named them, up to so many.
     fn status(&self, group: Option<u64>, most: usize) -> Value {
-        let (host, tenure) = (&self.host, self.router.tenure());
+        let (host, tenure) = (&self.host, self.router.primary_tracker());
         let known = (0..host.cells.len()).filter(|&at| group.is_none_or(|group| *host.cells.id(at) == group));
         let groups: Vec<Value> = known
             .take(most)
@@ -481,7 +497,7 @@
                     "group": host.cells.id(at),
                     "phase": tenure.phase(at).name(),
                     "term": tenure.term(at),
-                    "primary": tenure.holder(at).map(|member| host.ids.id(member)),
+                    "primary": tenure.primary(at).map(|member| host.ids.id(member)),
                     "waiting": self.router.waiting_in(at),
                     "plan": plan.map(|plan| format!("{:?}: {:?}", plan.reason, plan.step)),
                 })
@@ -500,14 +516,14 @@
     ) -> Result<String, String> {
         let at = self.host.cells.known(&group).ok_or_else(|| format!("no list has named group {group}"))?;
         if off {
-            let off = self.router.call_off_change(now, at, &mut self.host);
+            let off = self.router.cancel_primary_change(now, at, &mut self.host);
             return off.then(|| "called off".to_owned()).ok_or_else(|| "no change is under way".to_owned());
         }
         let member = |name: &str| {
             self.host.ids.known(name).ok_or_else(|| format!("no list has named member {name:?}"))
         };
         let successor = successor.map(member).transpose()?;
-        let plan = self.router.order_change(now, at, successor, &mut self.host)?;
+        let plan = self.router.order_primary_change(now, at, successor, &mut self.host)?;
         Ok(format!("{:?}: {:?}", plan.reason, plan.step))
     }
 
@@ -519,8 +535,8 @@
             named.push(self.take_entry(now, entry, list.full));
         }
         let gone = if list.full { self.host.servers.remove_unnamed(&named) } else { Vec::new() };
-        gone.into_iter().for_each(|member| self.host.tell(member, ToMember::Leave));
-        self.router.list_ended(now, list.full.then_some(&named), &mut self.host);
+        gone.into_iter().for_each(|member| self.host.tell(member, MemberMessage::Leave));
+        self.router.list_completed(now, list.full.then_some(&named), &mut self.host);
     }
 
     /// Takes in one entry; its actor, if it has one, hears of it. Of a whole list, what is as it was is passed over.
@@ -528,7 +544,7 @@
         let member = self.host.ids.known(&entry.id).unwrap_or_else(|| self.host.ids.index(entry.id.clone()));
         let group = self.host.cells.index(entry.group);
         let zone = self.zones.known(&entry.zone).unwrap_or_else(|| self.zones.index(entry.zone.clone()));
-        let server = KnownServer::of(entry, group, zone);
+        let server = KnownServer::from_entry(entry, group, zone);
         let update = self.host.servers.update(member, server);
         if member == self.host.members.len() {
             self.host.members.push(None);
@@ -537,12 +553,12 @@
             self.named(member);
         }
         if update.moved {
-            self.host.tell(member, ToMember::Address(server.address));
+            self.host.tell(member, MemberMessage::Address(server.address));
         }
         if server.state == ServerState::Removed {
-            self.host.tell(member, ToMember::Leave);
+            self.host.tell(member, MemberMessage::Leave);
         } else if update.state_changed {
-            self.host.tell(member, ToMember::Stay);
+            self.host.tell(member, MemberMessage::Stay);
         }
         if update.changed || !full {
             self.listed(now, member, &server);
@@ -556,12 +572,12 @@
         let ahead = self.host.clock.ahead().as_micros() as i64;
         let unix = self.host.origin.start + now.as_micros() as i64 - ahead;
         let state = match server.state {
-            ServerState::Up => Listed::Up,
-            ServerState::Draining => Listed::Draining,
-            ServerState::Removed => Listed::Removed,
+            ServerState::Up => ListedState::Up,
+            ServerState::Draining => ListedState::Draining,
+            ServerState::Removed => ListedState::Removed,
         };
         let up_for = server.started_ms.map(|at| span(unix - at.saturating_mul(1000)));
-        self.router.listed(now, member, server.group, server.zone, state, server.leader, up_for);
+        self.router.member_listed(now, member, server.group, server.zone, state, server.leader, up_for);
     }
 
     /// Starts the probes that may start now, those first that transactions wait for.
@@ -570,22 +586,22 @@
         for member in std::mem::take(&mut self.host.wanted_probes) {
             // One that is not known any more is answered for, as the router counts it as out.
             let Some(group) = self.host.servers.get(member).map(|server| server.group) else {
-                let (ending, report) = (Ending::Moot, Report::default());
-                let _ = self.host.desk.send(ToDesk::Probed { member, ending, report });
+                let (ending, report) = (AttemptOutcome::Moot, Report::default());
+                let _ = self.host.desk.send(DispatcherMessage::Probed { member, ending, report });
                 continue;
             };
             self.host.probes.request(now, member, group, self.router.waiting_in(group) > 0);
         }
         while let Some(member) = self.host.probes.next(now) {
             self.host.counters.probes.add();
-            self.host.tell(member, ToMember::Job(Job::Probe { at: now }));
+            self.host.tell(member, MemberMessage::Job(Job::Probe { at: now }));
         }
         let Some(due) = self.host.probes.next_at() else { return };
         if self.host.probes_due.is_none_or(|at| due < at) {
             self.host.probes_due = Some(due);
             let desk = self.host.desk.clone();
-            self.host.clock.at(due, move || {
-                let _ = desk.send(ToDesk::ProbesDue);
+            self.host.clock.run_at(due, move || {
+                let _ = desk.send(DispatcherMessage::ProbesDue);
             });
         }
     }
@@ -593,6 +609,6 @@
     /// What the list calls a member is what other fronts call it.
     fn named(&mut self, member: usize) {
         let id = self.host.ids.id(member);
-        self.host.care.iter_mut().for_each(|care| care.named(member, id));
+        self.host.care.iter_mut().for_each(|care| care.set_member(member, id));
     }
 }
--- a/crates/front/src/desk/host.rs
+++ b/crates/front/src/dispatcher/host.rs
@@ -1,13 +1,13 @@
 //! What the router wants done, carried out: jobs and cancels for servers' actors, answers for clients, alarms, probes, and
 //! the requests that are open.
 
-use crate::clock::{Alarm, Clock};
+use crate::clock::{Clock, TimerHandle};
 use crate::counters::Counters;
-use crate::mail::{Answer, Arrival, Job, Submit, ToDesk, ToDiscovery, ToMember};
+use crate::messages::{Answer, Arrival, DiscoveryMessage, DispatcherMessage, Job, MemberMessage, Submit};
 use crate::request_log::{RequestEvent, RequestLog};
 use juniperdock_deployment::{Indices, Origin, span};
-use juniperdock_fleet_tasks::{Care, Fact};
-use juniperdock_primary_tracker::{Step, Why};
+use juniperdock_fleet_tasks::{HealthObserver, Observation};
+use juniperdock_primary_tracker::{ChangeReason, Step};
 use juniperdock_request_guard::AttemptPermit;
 use juniperdock_router::host::{Change, Host, Report, Role};
 use juniperdock_server_list::{ProbeQueue, ServerTable};
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::Hire;
+use super::SpawnMember;
 
 pub(super) struct OpenRequest {
     pub(super) arrival: Box<Arrival>,
@@ -27,7 +27,7 @@
     /// Whether any attempt was ever made.
     pub(super) submitted: bool,
     /// Reminders of it that have not been due.
-    pub(super) alarms: Vec<Alarm>,
+    pub(super) alarms: Vec<TimerHandle>,
 }
 
 /// Carries out what the router wants done.
@@ -40,17 +40,17 @@
     pub(super) ids: Indices<String>,
     /// What lists last said of each member, and its actor, while it has connections.
     pub(super) servers: ServerTable,
-    pub(super) members: Vec<Option<Sender<ToMember>>>,
+    pub(super) members: Vec<Option<Sender<MemberMessage>>>,
     /// Groups by the numbers that the list gives them.
     pub(super) cells: Indices<u64>,
-    pub(super) hire: Hire,
+    pub(super) hire: SpawnMember,
     pub(super) log: slog::Logger,
     pub(super) request_log: RequestLog,
     pub(super) clock: Clock,
     /// Where positions lie, as of the mail that is being taken: the clock's own may be ahead of what lies in the mailbox.
     pub(super) origin: Origin,
-    pub(super) desk: Sender<ToDesk>,
-    pub(super) discovery: Sender<ToDiscovery>,
+    pub(super) desk: Sender<DispatcherMessage>,
+    pub(super) discovery: Sender<DiscoveryMessage>,
     /// Probes that the router wants, until they may start.
     pub(super) wanted_probes: Vec<usize>,
     pub(super) probes: ProbeQueue,
@@ -58,7 +58,7 @@
     pub(super) probes_due: Option<Duration>,
     pub(super) counters: Arc<Counters>,
     /// Members are asked by a few fronts for all.
-    pub(super) care: Option<Care>,
+    pub(super) care: Option<HealthObserver>,
 }
 
 impl RouterHost {
@@ -70,7 +70,7 @@
     /// What was told of a member, in place of a report that it makes now. A position from before this process's
     /// start can't be said here.
     pub(super) fn instead(&self, now: Duration, member: usize) -> Option<Report> {
-        let fact = self.care.as_ref()?.instead(now, self.unix(now), member)?;
+        let fact = self.care.as_ref()?.fresh_observation(now, self.unix(now), member)?;
         let position = Some(fact.position.checked_sub(span(self.origin.start))?);
         let role = fact.primary.map(|primary| if primary { Role::Primary } else { Role::Replica });
         let (queue, busy) = (fact.queue.map(f64::from), fact.busy.map(|busy| f64::from(busy) / 100.0));
@@ -78,8 +78,8 @@
     }
 
     /// What a member has said, as other fronts are told it.
-    pub(super) fn fact(&self, report: Report) -> Option<Fact> {
-        Some(Fact {
+    pub(super) fn fact(&self, report: Report) -> Option<Observation> {
+        Some(Observation {
             position: span(self.origin.start) + report.position?,
             primary: report.role.map(|role| role == Role::Primary),
             queue: report.queue.map(|queue| queue.clamp(0.0, f64::from(u16::MAX)) as u16),
@@ -94,7 +94,7 @@
     }
 
     /// A member's actor ends with its last connection; a job starts another.
-    pub(super) fn tell(&mut self, member: usize, mail: ToMember) {
+    pub(super) fn tell(&mut self, member: usize, mail: MemberMessage) {
         let unsent = match &self.members[member] {
             Some(actor) => actor.send(mail).err().map(|unsent| unsent.0),
             None => Some(mail),
@@ -103,7 +103,7 @@
             // With its mailbox goes the last of it.
             self.members[member] = None;
         }
-        let Some(first @ (ToMember::Job(_) | ToMember::Took(_))) = unsent else { return };
+        let Some(first @ (MemberMessage::Job(_) | MemberMessage::Took(_))) = unsent else { return };
         let (mail, read) = channel();
         self.members[member] = Some(mail.clone());
         let nowhere = SocketAddr::from(([0; 4], 0));
@@ -118,7 +118,7 @@
     pub(super) fn take(&mut self, txn: usize) -> Option<OpenRequest> {
         let held = self.txns[txn].take()?;
         // The router may have been lost in a panic: nothing is written for what has its answer.
-        held.out.iter().for_each(|(_, permit)| permit.hold_until(Duration::ZERO));
+        held.out.iter().for_each(|(_, permit)| permit.set_valid_until(Duration::ZERO));
         held.alarms.iter().for_each(|alarm| self.clock.cancel(alarm));
         self.tickets.remove(&held.arrival.ticket);
         self.free.push(txn);
@@ -148,14 +148,14 @@
         let (statement, left) = (held.arrival.statement.clone(), held.arrival.left.clone());
         let submit = Submit { ticket, statement, left, give_up: expiry, permit, at };
         self.counters.submitted.add();
-        self.tell(member, ToMember::Job(Job::Submit(submit)));
+        self.tell(member, MemberMessage::Job(Job::Submit(submit)));
     }
 
     fn cancel(&mut self, txn: usize, _submission: u32) {
         // One submission of a txn is out at a time: the one last sent.
         if let Some(OpenRequest { arrival, out: Some((member, _)), .. }) = &self.txns[txn] {
             let (member, ticket) = (*member, arrival.ticket);
-            self.tell(member, ToMember::Cancel(ticket));
+            self.tell(member, MemberMessage::Cancel(ticket));
         }
     }
 
@@ -163,18 +163,18 @@
         self.answer(txn, Answer::Declined(come_back));
     }
 
-    fn unknown(&mut self, txn: usize) {
+    fn answer_unknown(&mut self, txn: usize) {
         self.answer(txn, Answer::Unknown("given up; it may have run"));
     }
 
-    fn release(&mut self, txn: usize) {
+    fn release_txn(&mut self, txn: usize) {
         self.take(txn);
     }
 
-    fn forget(&mut self, member: usize) {
+    fn release_member(&mut self, member: usize) {
         self.counters.members_forgotten.add();
-        self.care.iter_mut().for_each(|care| care.left(member));
-        self.tell(member, ToMember::Leave);
+        self.care.iter_mut().for_each(|care| care.remove_member(member));
+        self.tell(member, MemberMessage::Leave);
         self.members[member] = None;
         self.servers.forget(member);
         self.ids.forget(member);
@@ -183,17 +183,17 @@
     fn probe(&mut self, member: usize) {
         if let Some(report) = self.instead(self.clock.now(), member) {
             self.counters.probes_spared.add();
-            let _ = self.desk.send(ToDesk::Instead { member, report });
+            let _ = self.desk.send(DispatcherMessage::Instead { member, report });
             return;
         }
         self.wanted_probes.push(member);
     }
 
-    fn remind(&mut self, at: Duration, handle: u64) {
+    fn set_timer(&mut self, at: Duration, handle: u64) {
         let desk = self.desk.clone();
         self.counters.reminders.add();
-        let alarm = self.clock.at(at, move || {
-            let _ = desk.send(ToDesk::Due { handle, at });
+        let alarm = self.clock.run_at(at, move || {
+            let _ = desk.send(DispatcherMessage::Due { handle, at });
         });
         // Those of a txn end with it: its index is used again.
         let txn = Some((handle / 2) as usize).filter(|_| !handle.is_multiple_of(2));
@@ -202,16 +202,16 @@
         }
     }
 
-    fn listen(&mut self) {
-        let _ = self.discovery.send(ToDiscovery::Open);
+    fn subscribe_to_member_list(&mut self) {
+        let _ = self.discovery.send(DiscoveryMessage::OpenWatch);
     }
 
     fn primary_changed(&mut self, change: &Change) {
         let counters = &self.counters;
         let name = |member: Option<usize>| member.map_or("-", |member| self.ids.id(member).as_str());
-        let vacant_ms = change.vacant_for.map(|span| span.as_millis() as u64);
+        let vacant_ms = change.leaderless_for.map(|span| span.as_millis() as u64);
         match change.why {
-            Why::Planned => {
+            ChangeReason::Planned => {
                 counters.plans.add_if(change.plan.is_some_and(|plan| !plan.ended()));
                 counters
                     .plans_undone
--- a/crates/front/src/duties.rs
+++ b/crates/front/src/fleet_tasks.rs
@@ -2,14 +2,14 @@
 //! `juniperdock_fleet_tasks` meet the fellows' datagrams, the desk, the log and the operators. Nothing is decided here.
 
 use crate::counters::Counters;
-use crate::fellows::Hands;
-use crate::mail::{ToDesk, Upgrade};
+use crate::membership::Hands;
+use crate::messages::{DispatcherMessage, UpgradeFn};
 use juniperdock_fleet_tasks::{
-    Act, Asks, Move, Outcome, ROLL, SHARDS, Step, care, cared, hold, moved, moving, name,
+    Act, HoldStep, Move, Outcome, ProbeRole, ROLL, SHARDS, care, cared, hold, moved, moving, name,
 };
 use juniperdock_fleet_tasks::{Roll, RollStep, Rolling, Sees, Serves, release, say, step, words};
-use juniperdock_lease::{Duty, Event, Host, Office, Sight, order};
-use juniperdock_membership::{Fellows, Liveness, Standing};
+use juniperdock_lease::{Event, FleetView, Host, LeaseManager, TaskId, order};
+use juniperdock_membership::{Connectivity, Liveness, Membership};
 use may::sync::mpsc::Sender;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, VecDeque};
@@ -38,9 +38,9 @@
 
 /// What has come in for this front, and is to be looked at.
 enum Came {
-    Effect(usize, Duty, u64, Vec<u8>),
-    Report(usize, Duty, Vec<u8>),
-    Told(Duty, Vec<u8>),
+    Effect(usize, TaskId, u64, Vec<u8>),
+    Report(usize, TaskId, Vec<u8>),
+    Told(TaskId, Vec<u8>),
 }
 
 /// A change that this front was asked for and does not own yet.
@@ -52,18 +52,18 @@
 
 /// A change that another front, or this one, has ordered of this one.
 struct Holding {
-    duty: Duty,
+    duty: TaskId,
     /// Which change it is, and the term of whoever ordered it last.
     order: u64,
     term: u64,
     owner: usize,
-    step: Step,
+    step: HoldStep,
 }
 
 pub struct Duties {
-    office: Office,
+    office: LeaseManager,
     lasts: Duration,
-    desk: Sender<ToDesk>,
+    desk: Sender<DispatcherMessage>,
     log: slog::Logger,
     counters: Arc<Counters>,
     orders: BTreeMap<u64, Order>,
@@ -75,7 +75,7 @@
     cares: Duration,
     came: Vec<Came>,
     /// By duty: the term of the effect that was carried out last.
-    terms: BTreeMap<Duty, u64>,
+    terms: BTreeMap<TaskId, u64>,
     /// The newest roll that was heard of, what its owner has seen, and the one in which this process has had its turn.
     roll: Roll,
     rolling: Option<Rolling>,
@@ -85,12 +85,12 @@
     told_end: (u64, u32),
     /// When the owner last spoke of the roll, or was told of it.
     spoken: Duration,
-    upgrade: Option<Upgrade>,
+    upgrade: Option<UpgradeFn>,
 }
 
 /// The ways out of an office: other fronts by sealed datagrams, the log, and what is looked at after the call.
 struct Ways<'a, 'b> {
-    core: &'a mut Fellows,
+    core: &'a mut Membership,
     hands: &'a mut Hands<'b>,
     came: &'a mut Vec<Came>,
     counters: &'a Counters,
@@ -99,12 +99,12 @@
 
 impl Host for Ways<'_, '_> {
     fn send(&mut self, to: usize, body: &[u8]) {
-        self.core.post(to, body, self.hands);
+        self.core.send_payload(to, body, self.hands);
     }
 
     fn event(&mut self, event: Event) {
         match event {
-            Event::Took(duty, term) => {
+            Event::Acquired(duty, term) => {
                 self.counters.duties_taken.add();
                 slog::info!(self.log, "duty taken"; "duty" => name(duty), "term" => term);
             }
@@ -115,22 +115,22 @@
                 self.counters.duties_lost.add();
                 slog::warn!(self.log, "duty lost"; "duty" => name(duty), "term" => term);
             }
-            Event::Refused(duty, term, from) => {
+            Event::StaleEffect(duty, term, from) => {
                 self.counters.effects_refused.add();
                 slog::warn!(self.log, "stale effect refused"; "duty" => name(duty), "term" => term, "from" => from);
             }
         }
     }
 
-    fn effect(&mut self, from: usize, duty: Duty, term: u64, payload: &[u8]) {
+    fn effect(&mut self, from: usize, duty: TaskId, term: u64, payload: &[u8]) {
         self.came.push(Came::Effect(from, duty, term, payload.to_vec()));
     }
 
-    fn report(&mut self, from: usize, duty: Duty, _term: u64, payload: &[u8]) {
+    fn report(&mut self, from: usize, duty: TaskId, _term: u64, payload: &[u8]) {
         self.came.push(Came::Report(from, duty, payload.to_vec()));
     }
 
-    fn told(&mut self, _from: usize, duty: Duty, payload: &[u8]) {
+    fn announcement(&mut self, _from: usize, duty: TaskId, payload: &[u8]) {
         self.came.push(Came::Told(duty, payload.to_vec()));
     }
 }
@@ -151,17 +151,17 @@
 impl Duties {
     pub fn new(
         now: Duration,
-        core: &Fellows,
+        core: &Membership,
         tier: usize,
         seed: u64,
         period: Duration,
-        desk: Sender<ToDesk>,
+        desk: Sender<DispatcherMessage>,
         counters: Arc<Counters>,
         log: slog::Logger,
     ) -> Duties {
         let (lasts, standing) = (period * PERIODS, (0..SHARDS).map(care).chain([ROLL]).collect());
         Duties {
-            office: Office::new(now, core.me(), tier, core.incarnation(), seed, lasts, standing),
+            office: LeaseManager::new(now, core.me(), tier, core.incarnation(), seed, lasts, standing),
             lasts,
             desk,
             log,
@@ -191,20 +191,27 @@
     }
 
     /// A body has come from a front.
-    pub fn heard(&mut self, now: Duration, from: usize, body: &[u8], core: &mut Fellows, hands: &mut Hands) {
-        if let Err(why) = self.office.heard(now, from, body, ways!(self, core, hands)) {
+    pub fn heard(
+        &mut self,
+        now: Duration,
+        from: usize,
+        body: &[u8],
+        core: &mut Membership,
+        hands: &mut Hands,
+    ) {
+        if let Err(why) = self.office.handle_message(now, from, body, ways!(self, core, hands)) {
             slog::debug!(self.log, "a body is passed over"; "from" => from, "why" => why);
         }
     }
 
     /// Does what is due. `clock` is read anew right before each effect leaves.
-    pub fn turn(&mut self, clock: &mut dyn FnMut() -> Duration, core: &mut Fellows, hands: &mut Hands) {
+    pub fn turn(&mut self, clock: &mut dyn FnMut() -> Duration, core: &mut Membership, hands: &mut Hands) {
         let now = clock();
-        self.office.raise(core.incarnation());
+        self.office.raise_term_floor(core.incarnation());
         let present = core.present();
-        let whole = core.standing().0 == Standing::Whole;
-        let sight = Sight { present: &present, sound: whole && !core.slow() };
-        self.office.due(now, sight, ways!(self, core, hands));
+        let has_majority = core.connectivity().0 == Connectivity::Majority;
+        let sight = FleetView { present: &present, eligible: has_majority && !core.slow() };
+        self.office.handle_timeout(now, sight, ways!(self, core, hands));
         self.look(now, core, hands);
         self.ordered(now, &present);
         self.go_on(clock, &present, core, hands);
@@ -214,20 +221,24 @@
         if now >= self.cares {
             self.cares = now + self.every;
             let me = core.me();
-            let mut asks = [Asks::No; SHARDS as usize];
-            for (shard, asks) in asks.iter_mut().enumerate() {
+            let mut shard_roles = [ProbeRole::No; SHARDS as usize];
+            for (shard, asks) in shard_roles.iter_mut().enumerate() {
                 let duty = care(shard as u64);
-                if self.office.holds(now, duty).is_some() {
-                    *asks = Asks::Owner;
+                if self.office.held_term(now, duty).is_some() {
+                    *asks = ProbeRole::Owner;
                 } else if order(duty, &present, 2).contains(&me) {
-                    *asks = Asks::Beside;
+                    *asks = ProbeRole::Beside;
                 }
             }
-            let _ = self.desk.send(ToDesk::Care { whole, present: present.len(), asks });
+            let _ = self.desk.send(DispatcherMessage::ObserveHealth {
+                has_majority,
+                present_fronts: present.len(),
+                shard_roles,
+            });
         }
     }
 
-    fn look(&mut self, now: Duration, core: &mut Fellows, hands: &mut Hands) {
+    fn look(&mut self, now: Duration, core: &mut Membership, hands: &mut Hands) {
         for came in std::mem::take(&mut self.came) {
             if let Came::Effect(from, duty, term, _) = &came
                 && self.terms.insert(*duty, *term) != Some(*term)
@@ -236,10 +247,10 @@
             }
             match came {
                 Came::Effect(_, duty, _, payload) if cared(duty).is_some() => {
-                    let _ = self.desk.send(ToDesk::Facts(payload));
+                    let _ = self.desk.send(DispatcherMessage::PeerObservations(payload));
                 }
                 Came::Told(duty, payload) if cared(duty).is_some() => {
-                    let _ = self.desk.send(ToDesk::Facts(payload));
+                    let _ = self.desk.send(DispatcherMessage::PeerObservations(payload));
                 }
                 Came::Effect(from, ROLL, term, payload) => self.rolls(now, from, term, &payload, core, hands),
                 Came::Report(from, ROLL, payload) => {
@@ -283,7 +294,7 @@
     }
 
     /// How this front is upgraded when its turn comes.
-    pub fn upgraded_by(&mut self, upgrade: Upgrade) {
+    pub fn upgraded_by(&mut self, upgrade: UpgradeFn) {
         self.upgrade = Some(upgrade);
     }
 
@@ -299,7 +310,7 @@
         program: Option<&str>,
         at_once: usize,
         off: bool,
-        core: &mut Fellows,
+        core: &mut Membership,
         hands: &mut Hands,
     ) -> Result<String, String> {
         if self.roll.going() != off {
@@ -333,7 +344,7 @@
         owner: usize,
         term: u64,
         payload: &[u8],
-        core: &mut Fellows,
+        core: &mut Membership,
         hands: &mut Hands,
     ) {
         let Some((what, rest)) = payload.split_first() else { return };
@@ -358,16 +369,16 @@
             std::thread::spawn(move || {
                 if let Err(why) = upgrade(program.as_deref()) {
                     slog::error!(log, "this front could not be rolled"; "why" => why);
-                    told.post(crate::mail::ToFellows::Undone(number));
+                    told.send(crate::messages::MembershipMessage::UpgradeFailed(number));
                 }
             });
         }
     }
 
     /// A roll that this front owns goes on by its rules.
-    fn roll_on(&mut self, clock: &mut dyn FnMut() -> Duration, core: &mut Fellows, hands: &mut Hands) {
+    fn roll_on(&mut self, clock: &mut dyn FnMut() -> Duration, core: &mut Membership, hands: &mut Hands) {
         let now = clock();
-        let Some(term) = self.office.holds(now, ROLL) else {
+        let Some(term) = self.office.held_term(now, ROLL) else {
             self.rolling = None;
             // The next owner may have started anew and know nothing.
             let untold = self.roll.going() && now > self.spoken + UNTOLD;
@@ -382,9 +393,9 @@
         if self.roll.going() || self.roll.end.is_some() && self.told_end != (self.roll.number, self.roll.step)
         {
             let me = core.me();
-            let there = core.fellows().into_iter().filter(|fellow| fellow.liveness == Liveness::Alive);
+            let there = core.peers().into_iter().filter(|fellow| fellow.liveness == Liveness::Alive);
             let sees = there.map(|fellow| {
-                let whole = fellow.says == Some(Standing::Whole);
+                let whole = fellow.says == Some(Connectivity::Majority);
                 (fellow.index as u16, Sees { life: fellow.incarnation, whole })
             });
             let sees = sees.collect();
@@ -399,7 +410,14 @@
                 match step {
                     RollStep::Tell => {
                         let payload = [&[STATE][..], &self.roll.bytes()].concat();
-                        self.office.act(clock, ROLL, term, &others, &payload, ways!(self, core, hands));
+                        self.office.send_effect(
+                            clock,
+                            ROLL,
+                            term,
+                            &others,
+                            &payload,
+                            ways!(self, core, hands),
+                        );
                         if self.roll.end.is_some() {
                             self.told_end = (self.roll.number, self.roll.step);
                         }
@@ -410,7 +428,7 @@
                         }
                         let turn = postcard::to_allocvec(&(self.roll.number, life, &self.roll.program));
                         let payload = [&[TURN][..], &turn.unwrap_or_default()].concat();
-                        self.office.act(
+                        self.office.send_effect(
                             clock,
                             ROLL,
                             term,
@@ -434,13 +452,13 @@
     fn hold(
         &mut self,
         group: u64,
-        duty: Duty,
+        duty: TaskId,
         term: u64,
         owner: usize,
         order: u64,
         holds: bool,
         successor: Option<&str>,
-        core: &mut Fellows,
+        core: &mut Membership,
         hands: &mut Hands,
     ) {
         slog::debug!(self.log, "a change is ordered here"; "group" => group, "holds" => holds, "owner" => owner);
@@ -451,10 +469,10 @@
             let step = holding.step;
             return self.office.report(owner, duty, term, &say(order, step), ways!(self, core, hands));
         }
-        let step = if holds { Step::Asked } else { Step::Undone };
+        let step = if holds { HoldStep::Asked } else { HoldStep::Undone };
         self.holding.insert(group, Holding { duty, order, term, owner, step });
-        let (successor, off) = (successor.map(str::to_owned), !holds);
-        let _ = self.desk.send(ToDesk::Plan { group, order, successor, off });
+        let (successor, cancel) = (successor.map(str::to_owned), !holds);
+        let _ = self.desk.send(DispatcherMessage::PlannedChange { group, order, successor, cancel });
     }
 
     /// How far this front is with a change that was ordered of it.
@@ -463,8 +481,8 @@
         now: Duration,
         group: u64,
         order: u64,
-        step: Step,
-        core: &mut Fellows,
+        step: HoldStep,
+        core: &mut Membership,
         hands: &mut Hands,
     ) {
         let its = self.holding.get_mut(&group).filter(|holding| holding.order == order);
@@ -481,7 +499,7 @@
         every: Duration,
         pieces: Vec<(usize, Vec<u8>)>,
         clock: &mut dyn FnMut() -> Duration,
-        core: &mut Fellows,
+        core: &mut Membership,
         hands: &mut Hands,
     ) {
         self.every = every;
@@ -489,9 +507,9 @@
         for (shard, piece) in pieces {
             let duty = care(shard as u64);
             self.counters.effects_out.add();
-            match self.office.holds(clock(), duty) {
+            match self.office.held_term(clock(), duty) {
                 Some(term) => {
-                    self.office.act(clock, duty, term, &others, &piece, ways!(self, core, hands));
+                    self.office.send_effect(clock, duty, term, &others, &piece, ways!(self, core, hands));
                 }
                 None => self.office.tell(duty, &others, &piece, ways!(self, core, hands)),
             }
@@ -534,7 +552,7 @@
     fn ordered(&mut self, now: Duration, present: &[usize]) {
         let groups: Vec<u64> = self.orders.keys().copied().collect();
         for group in groups {
-            let term = self.office.holds(now, moving(group));
+            let term = self.office.held_term(now, moving(group));
             let late = now > self.orders[&group].since + self.lasts * PATIENCE;
             if term.is_none() && !late {
                 continue;
@@ -557,7 +575,7 @@
         &mut self,
         clock: &mut dyn FnMut() -> Duration,
         present: &[usize],
-        core: &mut Fellows,
+        core: &mut Membership,
         hands: &mut Hands,
     ) {
         let groups: Vec<u64> = self.moves.keys().copied().collect();
@@ -566,7 +584,7 @@
             let Some((mut m, mut tell)) = self.moves.remove(&group) else { continue };
             loop {
                 let now = clock();
-                let acts = m.rule(now, self.office.holds(now, duty), present);
+                let acts = m.rule(now, self.office.held_term(now, duty), present);
                 if acts.is_empty() {
                     break;
                 }
@@ -578,7 +596,7 @@
                     match act {
                         Act::Hold(front) | Act::Release(front) => {
                             self.counters.effects_out.add();
-                            self.office.act(
+                            self.office.send_effect(
                                 clock,
                                 duty,
                                 m.term,
@@ -622,9 +640,9 @@
     }
 
     /// Gives all back: this process goes.
-    pub fn leave(&mut self, now: Duration, core: &mut Fellows, hands: &mut Hands) {
+    pub fn leave(&mut self, now: Duration, core: &mut Membership, hands: &mut Hands) {
         let present = core.present();
-        self.office.leave(now, Sight { present: &present, sound: false }, ways!(self, core, hands));
+        self.office.leave(now, FleetView { present: &present, eligible: false }, ways!(self, core, hands));
     }
 
     /// What `fleet duties` tells.
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -2,6 +2,7 @@
 //! built on this package; its parts are public for the tests that take them apart.
 
 pub mod acceptor;
+pub mod atomic_file;
 pub mod client;
 pub mod clients;
 pub mod clock;
@@ -9,19 +10,18 @@
 pub mod connect;
 pub mod control;
 pub mod counters;
-pub mod desk;
 pub mod discovery_client;
-pub mod duties;
-pub mod fellows;
-pub mod keep;
-pub mod mail;
+pub mod dispatcher;
+pub mod fleet_tasks;
 pub mod mailbox;
 pub mod member;
+pub mod membership;
+pub mod messages;
 pub mod migrate;
 pub mod request_log;
 pub mod serve;
+pub mod settings;
 pub mod signals;
-pub mod told;
+pub mod snapshot_file;
 pub mod upgrade;
-pub mod whole;
-pub mod worker_watch;
+pub mod worker_watchdog;
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -223,7 +223,7 @@
             let memory = juniperdock_snapshot::decode(&bytes)?;
             println!("{:#}", serde_json::to_value(&memory).map_err(|e| e.to_string())?);
             let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-            memory.age(now.as_micros() as i64, juniperdock_front::keep::machine_time().as_ref())?;
+            memory.age(now.as_micros() as i64, juniperdock_front::snapshot_file::machine_time().as_ref())?;
         }
         Some(What::Check { .. } | What::Completions { .. } | What::Migrate { .. }) => {}
     }
