--- a/crates/front/src/member.rs
+++ b/crates/front/src/member.rs
@@ -4,13 +4,13 @@
 use crate::clock::Clock;
 use crate::connect::{NoConnection, Wanted, connect};
 use crate::counters::Counters;
-use crate::mail::{End, Job, ToDesk, ToMember};
+use crate::messages::{DispatcherMessage, End, Job, MemberMessage};
 use crate::request_log::{RequestEvent, RequestLog};
 use juniperdock_connection::{Bell, BufferLimits, Failure, Link, Reached, spawn};
 use juniperdock_deployment::{self as deployment, Origin};
 use juniperdock_pg as pg;
-use juniperdock_router::host::{Ending, Report, Role};
-use juniperdock_server_clock::{Told, Verdict};
+use juniperdock_router::host::{AttemptOutcome, Report, Role};
+use juniperdock_server_clock::{PositionSample, Verdict};
 use may::sync::mpsc::{Receiver, Sender, channel};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -35,22 +35,22 @@
 
 /// What all connections to members need.
 #[derive(Clone)]
-pub struct Reach {
+pub struct PoolContext {
     pub clock: Clock,
-    pub desk: Sender<ToDesk>,
+    pub dispatcher: Sender<DispatcherMessage>,
     pub counters: Arc<Counters>,
     pub log: slog::Logger,
     pub request_log: RequestLog,
     /// A connection comes up in this time or not at all; a probe is answered in it.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Members close connections that stand idle for this long.
-    pub idle: Duration,
-    pub stack: usize,
+    pub idle_timeout: Duration,
+    pub stack_bytes: usize,
     /// Connections to all members, and how many there may be.
-    pub open: Arc<AtomicUsize>,
-    pub most: usize,
+    pub open_connections: Arc<AtomicUsize>,
+    pub max_connections: usize,
     /// The longest message taken from a member.
-    pub longest: usize,
+    pub max_message_bytes: usize,
 }
 
 /// How often the desk has its turn before something is written right after a standstill. Once would do but for
@@ -68,11 +68,11 @@
     to: SocketAddr,
 }
 
-pub struct Member {
+pub struct MemberPool {
     pub index: usize,
     pub address: SocketAddr,
-    pub mail: Sender<ToMember>,
-    pub reach: Reach,
+    pub mail: Sender<MemberMessage>,
+    pub reach: PoolContext,
     connections: HashMap<u64, Connection>,
     /// Free ones; the last used is the next used.
     idle: Vec<u64>,
@@ -80,22 +80,27 @@
     leaving: bool,
 }
 
-impl Reach {
+impl PoolContext {
     fn buffers(&self) -> BufferLimits {
-        BufferLimits { inbound: 2 * self.longest, outbound: 2 * pg::LONGEST }
+        BufferLimits { inbound: 2 * self.max_message_bytes, outbound: 2 * pg::LONGEST }
     }
 }
 
-impl Member {
-    pub fn new(index: usize, address: SocketAddr, mail: Sender<ToMember>, reach: Reach) -> Member {
+impl MemberPool {
+    pub fn new(
+        index: usize,
+        address: SocketAddr,
+        mail: Sender<MemberMessage>,
+        reach: PoolContext,
+    ) -> MemberPool {
         let (connections, idle) = (HashMap::new(), Vec::new());
-        Member { index, address, mail, reach, connections, idle, next: 0, leaving: false }
+        MemberPool { index, address, mail, reach, connections, idle, next: 0, leaving: false }
     }
 
     /// Ends with its last connection: a server that is not in use has no actor. Mail that lies behind the one by
     /// which it ends is taken first, as who posted does not learn that nobody read it; no other coroutine runs between.
-    pub fn run(mut self, mail: &Receiver<ToMember>) {
-        let ends = |member: &Member| member.connections.is_empty();
+    pub fn run(mut self, mail: &Receiver<MemberMessage>) {
+        let ends = |member: &MemberPool| member.connections.is_empty();
         let mut begun = false;
         loop {
             let next = if begun && ends(&self) { mail.try_recv().ok() } else { mail.recv().ok() };
@@ -112,27 +117,27 @@
         self.reach.counters.members_ended.add();
     }
 
-    fn take(&mut self, mail: ToMember) {
+    fn take(&mut self, mail: MemberMessage) {
         match mail {
-            ToMember::Job(job) => self.assign(job),
-            ToMember::Cancel(ticket) => {
+            MemberMessage::Job(job) => self.assign(job),
+            MemberMessage::Cancel(ticket) => {
                 let its = |c: &&Connection| c.ticket == Some(ticket);
                 if let Some(c) = self.connections.values().find(its) {
                     post(c, ToConnection::Cancel(ticket));
                 }
             }
-            ToMember::Address(address) => {
+            MemberMessage::Address(address) => {
                 self.address = address;
                 for id in std::mem::take(&mut self.idle) {
                     self.close(id);
                 }
             }
-            ToMember::Stay => self.leaving = false,
-            ToMember::Leave | ToMember::Spare => {
-                self.leaving |= matches!(mail, ToMember::Leave);
+            MemberMessage::Stay => self.leaving = false,
+            MemberMessage::Leave | MemberMessage::Spare => {
+                self.leaving |= matches!(mail, MemberMessage::Leave);
                 std::mem::take(&mut self.idle).into_iter().for_each(|id| self.close(id));
             }
-            ToMember::Give(name, to) => {
+            MemberMessage::Give(name, to) => {
                 // The last used: where all followed, each upgrade would add what its start has opened.
                 let idle = std::mem::take(&mut self.idle);
                 let (old, follow) = idle.split_at(idle.len().saturating_sub(FOLLOW));
@@ -143,13 +148,13 @@
                     }
                 }
             }
-            ToMember::Took(stream) => self.open(Begins::Took(stream), None),
-            ToMember::Up(id, bell) => {
+            MemberMessage::Took(stream) => self.open(Begins::Took(stream), None),
+            MemberMessage::Up(id, bell) => {
                 if let Some(c) = self.connections.get_mut(&id) {
                     c.bell = Some(bell);
                 }
             }
-            ToMember::Idle(id) => {
+            MemberMessage::Idle(id) => {
                 if let Some(c) = self.connections.get_mut(&id) {
                     (c.ticket, c.idle_since) = (None, Some(self.reach.clock.now()));
                     self.idle.push(id);
@@ -160,7 +165,7 @@
                 }
                 self.close_old();
             }
-            ToMember::Gone(id) => self.close(id),
+            MemberMessage::Gone(id) => self.close(id),
         }
     }
 
@@ -176,7 +181,7 @@
         let now = self.reach.clock.now();
         while let Some(&id) = self.idle.first() {
             let since = self.connections.get(&id).and_then(|c| c.idle_since);
-            if since.is_some_and(|since| since + self.reach.idle * 3 / 4 > now) {
+            if since.is_some_and(|since| since + self.reach.idle_timeout * 3 / 4 > now) {
                 break;
             }
             self.reach.counters.connections_idle_closed.add();
@@ -200,7 +205,7 @@
             && submit.permit.check(self.reach.clock.now()).is_err()
         {
             // Put back from a connection that has ended, and its client may have left: none is opened for nobody.
-            tell(&self.reach, self.index, &job, Ending::Moot, Reply::default());
+            tell(&self.reach, self.index, &job, AttemptOutcome::Moot, Reply::default());
             return;
         }
         let ticket = if let Job::Submit(submit) = &job { Some(submit.ticket) } else { None };
@@ -212,10 +217,10 @@
             }
             return;
         }
-        if self.reach.open.load(Ordering::Relaxed) >= self.reach.most {
+        if self.reach.open_connections.load(Ordering::Relaxed) >= self.reach.max_connections {
             // As if the member had no connection left; the idle ones of others make room for the next.
-            let _ = self.reach.desk.send(ToDesk::Short);
-            tell(&self.reach, self.index, &job, Ending::Full, Reply::default());
+            let _ = self.reach.dispatcher.send(DispatcherMessage::Short);
+            tell(&self.reach, self.index, &job, AttemptOutcome::Full, Reply::default());
             return;
         }
         self.open(Begins::Job(job), ticket);
@@ -223,19 +228,19 @@
 
     /// Starts a connection: to carry a job, or one that another process had.
     fn open(&mut self, begins: Begins, ticket: Option<u64>) {
-        if self.reach.open.load(Ordering::Relaxed) >= self.reach.most {
+        if self.reach.open_connections.load(Ordering::Relaxed) >= self.reach.max_connections {
             return;
         }
         let id = self.next;
         self.next += 1;
-        self.reach.open.fetch_add(1, Ordering::Relaxed);
+        self.reach.open_connections.fetch_add(1, Ordering::Relaxed);
         let (mail, read) = channel();
         self.connections
             .insert(id, Connection { mail, bell: None, ticket, idle_since: None, to: self.address });
         let (member, address, pool, reach) =
             (self.index, self.address, self.mail.clone(), self.reach.clone());
         self.reach.counters.connections_opened.add();
-        let stack = reach.stack;
+        let stack = reach.stack_bytes;
         let wanted = if let Begins::Job(job) = &begins { Some(job.clone()) } else { None };
         let started = spawn("connection", stack, move || {
             let (kept, rings) = (RefCell::default(), Cell::default());
@@ -243,10 +248,10 @@
         });
         if let Err(why) = started {
             slog::error!(self.reach.log, "no connection can be started"; "why" => why);
-            self.reach.open.fetch_sub(1, Ordering::Relaxed);
+            self.reach.open_connections.fetch_sub(1, Ordering::Relaxed);
             self.connections.remove(&id);
             if let Some(wanted) = &wanted {
-                tell(&self.reach, self.index, wanted, Ending::Full, Reply::default());
+                tell(&self.reach, self.index, wanted, AttemptOutcome::Full, Reply::default());
             }
         }
     }
@@ -284,14 +289,14 @@
 
 impl Reply {
     /// What the answer comes to, once the member is ready again; nothing else is an answer.
-    fn ending(&self) -> Option<Ending> {
+    fn ending(&self) -> Option<AttemptOutcome> {
         match self.error.as_deref() {
             _ if !self.ready => None,
-            Some(pg::NO_PRIMARY | pg::TOO_FAR_BEHIND) => Some(Ending::Misplaced),
-            Some(pg::TOO_MANY) => Some(Ending::Full),
-            Some(code) if pg::of_statement(code) => Some(Ending::Invalid),
-            Some(_) => Some(Ending::Errored),
-            None if self.complete => Some(Ending::Committed),
+            Some(pg::NO_PRIMARY | pg::TOO_FAR_BEHIND) => Some(AttemptOutcome::Misplaced),
+            Some(pg::TOO_MANY) => Some(AttemptOutcome::Full),
+            Some(code) if pg::of_statement(code) => Some(AttemptOutcome::Invalid),
+            Some(_) => Some(AttemptOutcome::Errored),
+            None if self.complete => Some(AttemptOutcome::Committed),
             None => None,
         }
     }
@@ -299,7 +304,7 @@
 
 /// How a job ended, and whether its connection can carry another.
 struct Outcome {
-    ending: Ending,
+    ending: AttemptOutcome,
     reply: Reply,
     usable: bool,
 }
@@ -309,8 +314,8 @@
     id: u64,
     member: usize,
     address: SocketAddr,
-    pool: Sender<ToMember>,
-    reach: Reach,
+    pool: Sender<MemberMessage>,
+    reach: PoolContext,
     mail: Receiver<ToConnection>,
     /// Mail that came while a job was in hand, and is not about it.
     kept: RefCell<VecDeque<ToConnection>>,
@@ -329,19 +334,19 @@
             self.reach.counters.panics.add();
         }
         if let Some(job) = held.take() {
-            self.tell(&job, Ending::Dropped, Reply::default());
+            self.tell(&job, AttemptOutcome::Dropped, Reply::default());
         }
-        self.reach.open.fetch_sub(1, Ordering::Relaxed);
-        let _ = self.pool.send(ToMember::Gone(self.id));
+        self.reach.open_connections.fetch_sub(1, Ordering::Relaxed);
+        let _ = self.pool.send(MemberMessage::Gone(self.id));
         // A job that was given out just now has not been written: it goes to another connection.
         while let Ok(mail) = self.next_mail().or_else(|_| self.mail.recv()) {
             match mail {
                 ToConnection::Job(job) => {
                     // The actor of a member that left may have ended; nothing was written.
-                    if let Err(unsent) = self.pool.send(ToMember::Job(job))
-                        && let ToMember::Job(job) = unsent.0
+                    if let Err(unsent) = self.pool.send(MemberMessage::Job(job))
+                        && let MemberMessage::Job(job) = unsent.0
                     {
-                        self.tell(&job, Ending::Moot, Reply::default());
+                        self.tell(&job, AttemptOutcome::Moot, Reply::default());
                     }
                 }
                 ToConnection::Cancel(_) | ToConnection::Give(..) => {}
@@ -365,7 +370,7 @@
             (None, Some(stream)) => {
                 let link = Link::came(stream, self.reach.buffers());
                 link.ok().and_then(|link| {
-                    let _ = self.pool.send(ToMember::Up(self.id, link.bell()));
+                    let _ = self.pool.send(MemberMessage::Up(self.id, link.bell()));
                     self.rest(link, held)
                 })
             }
@@ -379,7 +384,7 @@
         loop {
             let Some(job) = held.as_ref() else { return };
             let outcome = self.serve(&mut link, job);
-            let suspect = matches!((job, outcome.ending), (Job::Probe { .. }, Ending::TimedOut));
+            let suspect = matches!((job, outcome.ending), (Job::Probe { .. }, AttemptOutcome::TimedOut));
             // Given up is given up: the connection ends before the desk can send the txn again.
             let kept = outcome.usable.then_some(link);
             if let Some(job) = held.take() {
@@ -387,7 +392,7 @@
             }
             if suspect {
                 // A machine that has fallen silent resets its old connections when it is back.
-                let _ = self.pool.send(ToMember::Spare);
+                let _ = self.pool.send(MemberMessage::Spare);
             }
             let Some(back) = kept.and_then(|link| self.rest(link, held)) else { return };
             link = back;
@@ -396,13 +401,13 @@
 
     /// Stands idle until the next job is held; `None` once the connection is over or another process's.
     fn rest(&self, mut link: Link, held: &mut Option<Job>) -> Option<Link> {
-        let _ = self.pool.send(ToMember::Idle(self.id));
+        let _ = self.pool.send(MemberMessage::Idle(self.id));
         loop {
             match self.next_mail() {
                 Ok(ToConnection::Job(job)) => {
                     // Checked for an end before it is used again.
                     if !still_quiet(&mut link) {
-                        let _ = self.pool.send(ToMember::Job(job));
+                        let _ = self.pool.send(MemberMessage::Job(job));
                         return None;
                     }
                     *held = Some(job);
@@ -433,7 +438,7 @@
     /// `may` takes up what other threads have woken only once nothing else runs.
     fn turn(&self) {
         let (tell, told) = channel();
-        if self.reach.desk.send(ToDesk::Turn(tell)).is_ok() {
+        if self.reach.dispatcher.send(DispatcherMessage::Turn(tell)).is_ok() {
             let _ = told.recv();
         }
     }
@@ -443,15 +448,16 @@
     }
 
     /// Connects, and waits for the member's welcome; the error says how the job ended that wanted it.
-    fn welcome(&self, job: &Job, begun: Duration) -> Result<Link, Ending> {
-        let (clock, limit) = (&self.reach.clock, begun + self.reach.connect);
+    fn welcome(&self, job: &Job, begun: Duration) -> Result<Link, AttemptOutcome> {
+        let (clock, limit) = (&self.reach.clock, begun + self.reach.connect_timeout);
         let give_up = self.give_up(job);
         let until = limit.min(give_up);
         // Out of time for the txn is no word on the member.
-        let late =
-            |at: Duration| if at >= give_up && at < limit { Ending::Moot } else { Ending::Unreachable };
+        let late = |at: Duration| {
+            if at >= give_up && at < limit { AttemptOutcome::Moot } else { AttemptOutcome::Unreachable }
+        };
         let up = |bell| {
-            let _ = self.pool.send(ToMember::Up(self.id, bell));
+            let _ = self.pool.send(MemberMessage::Up(self.id, bell));
         };
         let wanted = Wanted { to: self.address, until, limits: self.reach.buffers() };
         let connected = connect(clock, &wanted, &up, &|| self.cancelled(job));
@@ -459,36 +465,42 @@
             slog::debug!(self.reach.log, "no connection"; "why" => %why, "server" => self.member);
             match why {
                 NoConnection::Cancelled | NoConnection::TooLate | NoConnection::LocalShortage(_) => {
-                    Ending::Moot
+                    AttemptOutcome::Moot
                 }
                 NoConnection::TimedOut | NoConnection::Failed(_) => late(clock.now()),
             }
         })?;
-        link.queue(&pg::startup("api", "ledger")).map_err(|_| Ending::Unreachable)?;
+        link.queue(&pg::startup("api", "ledger")).map_err(|_| AttemptOutcome::Unreachable)?;
         for busy in 1u32.. {
             let pumped = link.pump();
             while let Some((kind, body, length)) =
-                pg::message(link.inbound.make_contiguous(), self.reach.longest)
-                    .map_err(|_| Ending::Unreachable)?
+                pg::message(link.inbound.make_contiguous(), self.reach.max_message_bytes)
+                    .map_err(|_| AttemptOutcome::Unreachable)?
             {
                 match kind {
                     b'Z' => {
                         link.inbound.drain(..length);
                         return Ok(link);
                     }
-                    b'E' if pg::error_field(body, b'C') == Some(pg::TOO_MANY) => return Err(Ending::Full),
-                    b'E' => return Err(Ending::Unreachable),
-                    b'R' if !body.starts_with(&[0; 4]) => return Err(Ending::Unreachable),
+                    b'E' if pg::error_field(body, b'C') == Some(pg::TOO_MANY) => {
+                        return Err(AttemptOutcome::Full);
+                    }
+                    b'E' => return Err(AttemptOutcome::Unreachable),
+                    b'R' if !body.starts_with(&[0; 4]) => return Err(AttemptOutcome::Unreachable),
                     _ => {}
                 }
                 link.inbound.drain(..length);
             }
             let now = clock.now();
             if pumped.is_err() || link.ended || now >= until {
-                return Err(if pumped.is_ok() && !link.ended { late(now) } else { Ending::Unreachable });
+                return Err(if pumped.is_ok() && !link.ended {
+                    late(now)
+                } else {
+                    AttemptOutcome::Unreachable
+                });
             }
             if self.cancelled(job) {
-                return Err(Ending::Moot);
+                return Err(AttemptOutcome::Moot);
             }
             if matches!(pumped, Ok(false)) {
                 link.wait();
@@ -497,13 +509,13 @@
                 clock.take_turns(busy, link.is_short());
             }
         }
-        Err(Ending::Unreachable)
+        Err(AttemptOutcome::Unreachable)
     }
 
     fn give_up(&self, job: &Job) -> Duration {
         match job {
             Job::Submit(submit) => submit.give_up,
-            Job::Probe { at } => *at + self.reach.connect,
+            Job::Probe { at } => *at + self.reach.connect_timeout,
         }
     }
 
@@ -532,7 +544,7 @@
             Job::Probe { .. } => "SHOW server_load".to_owned(),
         };
         if now >= give_up || self.cancelled(job) || !self.permitted(job, now) {
-            return Outcome { ending: Ending::Moot, reply, usable: true };
+            return Outcome { ending: AttemptOutcome::Moot, reply, usable: true };
         }
         if let Err(failure) = link.queue(&pg::query(&text)) {
             return broken(&failure, reply);
@@ -540,28 +552,32 @@
         let mut written = false;
         for busy in 1u32.. {
             // What the machine did not take at once begins only with its last byte.
-            if busy > 1 && !link.flushed() && !self.may_go_on(job) {
-                return Outcome { ending: Ending::Moot, reply, usable: false };
+            if busy > 1 && !link.flushed() && !self.may_continue(job) {
+                return Outcome { ending: AttemptOutcome::Moot, reply, usable: false };
             }
             let pumped = link.pump();
             if let Err(why) = self.read(link, &mut reply, now) {
                 slog::warn!(self.reach.log, "a member talks nonsense"; "member" => self.member, "why" => why);
                 // Nothing that such an answer says is believed.
-                return Outcome { ending: Ending::Spoilt, reply: Reply::default(), usable: false };
+                return Outcome { ending: AttemptOutcome::Spoilt, reply: Reply::default(), usable: false };
             }
             let unsent = !link.flushed();
             if !unsent
                 && !std::mem::replace(&mut written, true)
                 && let Job::Submit(submit) = job
             {
-                submit.permit.written(clock.now());
+                submit.permit.record_written(clock.now());
                 let event = RequestEvent::Written { server: self.member, connection: self.id };
                 self.reach.request_log.request(submit.ticket, event);
             }
             if reply.ready {
                 // Ready without an answer is no proof of anything.
                 let Some(ending) = reply.ending().filter(|_| !unsent) else {
-                    return Outcome { ending: Ending::Spoilt, reply: Reply::default(), usable: false };
+                    return Outcome {
+                        ending: AttemptOutcome::Spoilt,
+                        reply: Reply::default(),
+                        usable: false,
+                    };
                 };
                 return Outcome { ending, reply, usable: true };
             }
@@ -574,12 +590,12 @@
                 Ok(_) => {}
             }
             let stop = if self.cancelled(job) {
-                Some(Ending::Cancelled)
+                Some(AttemptOutcome::Cancelled)
             } else {
-                (clock.now() >= give_up).then_some(Ending::TimedOut)
+                (clock.now() >= give_up).then_some(AttemptOutcome::TimedOut)
             };
             if let Some(ending) = stop {
-                let ending = if unsent { Ending::Moot } else { ending };
+                let ending = if unsent { AttemptOutcome::Moot } else { ending };
                 return Outcome { ending, reply, usable: false };
             }
             if matches!(pumped, Ok(false)) {
@@ -589,13 +605,13 @@
                 clock.take_turns(busy, link.is_short());
             }
         }
-        Outcome { ending: Ending::Spoilt, reply: Reply::default(), usable: false }
+        Outcome { ending: AttemptOutcome::Spoilt, reply: Reply::default(), usable: false }
     }
 
     /// The last look before the first byte. Probes belong to no request.
     fn permitted(&self, job: &Job, now: Duration) -> bool {
         let Job::Submit(submit) = job else { return true };
-        let withheld = submit.permit.settle(now).err();
+        let withheld = submit.permit.consume(now).err();
         if let Some(why) = withheld {
             let event = RequestEvent::Withheld { server: self.member, why };
             self.reach.request_log.request(submit.ticket, event);
@@ -603,9 +619,9 @@
         withheld.is_none()
     }
 
-    fn may_go_on(&self, job: &Job) -> bool {
+    fn may_continue(&self, job: &Job) -> bool {
         let Job::Submit(submit) = job else { return true };
-        submit.permit.may_go_on(self.reach.clock.now()).is_ok()
+        submit.permit.may_continue(self.reach.clock.now()).is_ok()
     }
 
     /// Waits, until that time at the longest. One alarm is out at a time: most txns end long before theirs.
@@ -613,7 +629,7 @@
         if self.rings.get() <= self.reach.clock.now() || self.rings.get() > until {
             self.rings.set(until);
             let bell = link.bell();
-            self.reach.clock.at(until, move || bell.ring());
+            self.reach.clock.run_at(until, move || bell.ring());
         }
         link.wait();
     }
@@ -638,7 +654,7 @@
 
     fn read(&self, link: &mut Link, reply: &mut Reply, asked: Duration) -> Result<(), String> {
         while let Some((kind, body, length)) =
-            pg::message(link.inbound.make_contiguous(), self.reach.longest)?
+            pg::message(link.inbound.make_contiguous(), self.reach.max_message_bytes)?
         {
             // In this order, each once: description, row, end; or an error and nothing else.
             let next =
@@ -692,8 +708,8 @@
         Ok(())
     }
 
-    fn tell(&self, job: &Job, ending: Ending, reply: Reply) {
-        if matches!(ending, Ending::Dropped) {
+    fn tell(&self, job: &Job, ending: AttemptOutcome, reply: Reply) {
+        if matches!(ending, AttemptOutcome::Dropped) {
             self.reach.counters.connections_lost.add();
         }
         tell(&self.reach, self.member, job, ending, reply);
@@ -711,7 +727,7 @@
 }
 
 /// Reads what a server says of itself and judges its position; the report is dated by the origin as it is after that.
-fn load_report(reach: &Reach, server: usize, text: &str, asked: Duration) -> Result<Report, String> {
+fn load_report(reach: &PoolContext, server: usize, text: &str, asked: Duration) -> Result<Report, String> {
     let told = report(text, &reach.clock.origin())?;
     plausible(reach, server, told.role, told.position, asked)?;
     report(text, &reach.clock.origin())
@@ -720,7 +736,7 @@
 /// No server can have a commit still to come: either its clock is wrong or this process is behind. What was known before
 /// is given up once that is proven.
 fn plausible(
-    reach: &Reach,
+    reach: &PoolContext,
     server: usize,
     role: Option<Role>,
     position: Option<Duration>,
@@ -728,10 +744,10 @@
 ) -> Result<(), String> {
     let Some(position) = position else { return Ok(()) };
     let (primary, now) = (role == Some(Role::Primary), reach.clock.now());
-    match reach.clock.judge(Told { server, position, primary, asked, now }) {
+    match reach.clock.judge(PositionSample { server, position, primary, asked, now }) {
         Verdict::Plausible => Ok(()),
         Verdict::Behind(by) => {
-            let _ = reach.desk.send(ToDesk::ClockAdvanced(by));
+            let _ = reach.dispatcher.send(DispatcherMessage::ClockAdvanced(by));
             Ok(())
         }
         Verdict::Implausible => Err("expected a position in the past".to_owned()),
@@ -739,12 +755,22 @@
 }
 
 /// Tells the desk how a job ended.
-fn tell(reach: &Reach, member: usize, job: &Job, ending: Ending, reply: Reply) {
+fn tell(reach: &PoolContext, member: usize, job: &Job, ending: AttemptOutcome, reply: Reply) {
     let mail = match job {
         Job::Submit(submit) => {
             let (role, position, load) = (reply.role, reply.position, reply.load);
             let (ticket, sent, row, at) = (submit.ticket, submit.at, reply.raw, reach.clock.now());
-            ToDesk::Ended(Box::new(End { ticket, member, ending, role, position, load, sent, at, row }))
+            DispatcherMessage::Ended(Box::new(End {
+                ticket,
+                member,
+                ending,
+                role,
+                position,
+                load,
+                sent,
+                at,
+                row,
+            }))
         }
         Job::Probe { .. } => {
             let text = String::from_utf8(reply.value.unwrap_or_default());
@@ -753,20 +779,28 @@
                 load_report(reach, member, &text, asked)
             });
             match told {
-                Ok(report) => ToDesk::Probed { member, ending, report },
+                Ok(report) => DispatcherMessage::Probed { member, ending, report },
                 Err(why) => {
                     slog::warn!(reach.log, "a report can't be read"; "why" => why);
-                    ToDesk::Probed { member, ending: Ending::Spoilt, report: Report::default() }
+                    DispatcherMessage::Probed {
+                        member,
+                        ending: AttemptOutcome::Spoilt,
+                        report: Report::default(),
+                    }
                 }
             }
         }
     };
-    let _ = reach.desk.send(mail);
+    let _ = reach.dispatcher.send(mail);
 }
 
 fn broken(failure: &Failure, reply: Reply) -> Outcome {
     // An answer that came whole counts, though the connection did not last; of another nothing is believed.
-    let lost = if failure.reached < Reached::Written { Ending::Unreachable } else { Ending::Dropped };
+    let lost = if failure.reached < Reached::Written {
+        AttemptOutcome::Unreachable
+    } else {
+        AttemptOutcome::Dropped
+    };
     match reply.ending() {
         Some(ending) => Outcome { ending, reply, usable: false },
         None => Outcome { ending: lost, reply: Reply::default(), usable: false },
--- a/crates/front/src/fellows.rs
+++ b/crates/front/src/membership.rs
@@ -1,12 +1,12 @@
 //! The actor that speaks with the other fronts, over one socket for datagrams. Who is there is found out by
 //! `juniperdock_membership`; here it meets the socket, the clock, the log and the operators.
 
-use crate::clock::{Alarm, Clock};
+use crate::clock::{Clock, TimerHandle};
 use crate::counters::Counters;
-use crate::duties::Duties;
-use crate::mail::{ToDesk, ToFellows, Upgrade};
+use crate::fleet_tasks::Duties;
+use crate::messages::{DispatcherMessage, MembershipMessage, UpgradeFn};
 use juniperdock_connection::{Bell, Post, give_way, spawn};
-use juniperdock_membership::{Event, Fellows, Host, Keys, Refused, Standing, Times, life_at};
+use juniperdock_membership::{Connectivity, Event, Host, Keys, Membership, Refused, Timing, incarnation_at};
 use juniperdock_operator_config as operator_config;
 use may::sync::mpsc::{Receiver, Sender, channel};
 use serde_json::{Value, json};
@@ -20,25 +20,25 @@
 /// Datagrams read before others get their turn.
 const A_FEW: usize = 32;
 /// Why there are no duties.
-pub const OFF: &str = "duties are off: see fellows.duties in the operators' file";
+pub const TASKS_OFF: &str = "duties are off: see fellows.duties in the operators' file";
 /// How often an address that is taken is tried again.
 const AGAIN: Duration = Duration::from_millis(100);
 
 /// Reads the keys' files.
-pub fn keys(paths: &[PathBuf]) -> Result<Keys, String> {
+pub fn read_keys(paths: &[PathBuf]) -> Result<Keys, String> {
     let text = |path: &PathBuf| {
         std::fs::read_to_string(path).map_err(|e| format!("fellows.keys: {}: {e}", path.display()))
     };
     let texts = paths.iter().map(text).collect::<Result<Vec<_>, _>>()?;
-    Keys::read(&texts).map_err(|why| format!("fellows.keys: {why}"))
+    Keys::parse(&texts).map_err(|why| format!("fellows.keys: {why}"))
 }
 
 /// Posts to the actor; before it has a socket its mail waits.
 #[derive(Clone)]
-pub struct Mail(Sender<ToFellows>, Arc<Mutex<Option<Bell>>>);
+pub struct Handle(Sender<MembershipMessage>, Arc<Mutex<Option<Bell>>>);
 
-impl Mail {
-    pub fn post(&self, mail: ToFellows) {
+impl Handle {
+    pub fn send(&self, mail: MembershipMessage) {
         let _ = self.0.send(mail);
         let bell = self.1.lock().unwrap_or_else(PoisonError::into_inner).clone();
         bell.iter().for_each(Bell::ring);
@@ -46,29 +46,29 @@
 }
 
 /// What the actor needs to speak; where each place of the tier is, unless its name is not known.
-pub struct Circle {
+pub struct Setup {
     pub me: usize,
     pub name: String,
     pub listen: SocketAddr,
     pub peers: Vec<Option<SocketAddr>>,
-    pub laid_down: operator_config::Fellows,
+    pub config: operator_config::Fellows,
     pub keys: Keys,
     pub seed: u64,
-    pub desk: Sender<ToDesk>,
+    pub dispatcher: Sender<DispatcherMessage>,
 }
 
 struct Actor {
-    circle: Circle,
+    circle: Setup,
     places: HashMap<SocketAddr, usize>,
     clock: Clock,
     counters: Arc<Counters>,
     log: slog::Logger,
-    mail: Receiver<ToFellows>,
+    mail: Receiver<MembershipMessage>,
     bell: Arc<Mutex<Option<Bell>>>,
     /// Lives of this process so far.
     life: u32,
-    own: Mail,
-    upgrade: Option<Upgrade>,
+    own: Handle,
+    upgrade: Option<UpgradeFn>,
     /// The roll in which this front could not be upgraded.
     undone: u64,
 }
@@ -81,12 +81,12 @@
     log: &'a slog::Logger,
     /// Bodies for the duties, from which front.
     bodies: Vec<(usize, Vec<u8>)>,
-    mail: &'a Mail,
+    mail: &'a Handle,
 }
 
 impl Hands<'_> {
     /// Posts to this actor.
-    pub fn mail(&self) -> Mail {
+    pub fn mail(&self) -> Handle {
         self.mail.clone()
     }
 }
@@ -99,7 +99,7 @@
         }
     }
 
-    fn told(&mut self, from: usize, body: &[u8]) {
+    fn deliver(&mut self, from: usize, body: &[u8]) {
         self.bodies.push((from, body.to_vec()));
     }
 
@@ -115,7 +115,9 @@
             }
             Event::Back(front) => slog::info!(self.log, "fellow back in a later life"; "front" => front),
             Event::Rejoined => slog::warn!(self.log, "fellows took this front for dead"),
-            Event::Stands(standing) => slog::info!(self.log, "standing"; "standing" => standing.name()),
+            Event::ConnectivityChanged(standing) => {
+                slog::info!(self.log, "standing"; "standing" => standing.name())
+            }
             Event::Stood(span) => {
                 self.counters.standstills.add();
                 slog::warn!(self.log, "this front stood still"; "ms" => span.as_millis() as u64);
@@ -126,16 +128,16 @@
 
 /// Starts the actor.
 pub fn start(
-    circle: Circle,
+    circle: Setup,
     clock: Clock,
     counters: Arc<Counters>,
     log: slog::Logger,
     stack: usize,
-) -> Result<Mail, String> {
+) -> Result<Handle, String> {
     let (send, mail) = channel();
     let bell = Arc::new(Mutex::new(None));
     let places = circle.peers.iter().enumerate().filter_map(|(i, at)| Some(((*at)?, i))).collect();
-    let own = Mail(send, bell.clone());
+    let own = Handle(send, bell.clone());
     let sent = own.clone();
     let actor =
         Actor { circle, places, clock, counters, log, mail, bell, life: 0, own, upgrade: None, undone: 0 };
@@ -155,7 +157,7 @@
                         slog::error!(self.log, "fellows can't be heard, tried again"; "why" => why);
                     }
                     let (wake, woken) = channel();
-                    self.clock.at(self.clock.now() + AGAIN, move || {
+                    self.clock.run_at(self.clock.now() + AGAIN, move || {
                         let _ = wake.send(());
                     });
                     let _ = woken.recv();
@@ -171,16 +173,23 @@
                 // Has left: until it is asked in again, or for good.
                 Ok(()) => loop {
                     match self.mail.recv() {
-                        Ok(ToFellows::Enter) => break,
-                        Ok(ToFellows::Status(tell)) => drop(tell.try_send(json!({ "left": true }))),
-                        Ok(ToFellows::Keys(keys)) => self.circle.keys = keys,
-                        Ok(ToFellows::Duties(tell)) => drop(tell.try_send(json!([]))),
-                        Ok(ToFellows::Upgrader(upgrade)) => self.upgrade = Some(upgrade),
-                        Ok(ToFellows::Undone(roll)) => self.undone = roll,
-                        Ok(ToFellows::Move { tell, .. } | ToFellows::Roll { tell, .. }) => {
-                            drop(tell.try_send(Err("this front has left its fellows".to_owned())));
+                        Ok(MembershipMessage::Join) => break,
+                        Ok(MembershipMessage::Status(reply)) => drop(reply.try_send(json!({ "left": true }))),
+                        Ok(MembershipMessage::SetKeys(keys)) => self.circle.keys = keys,
+                        Ok(MembershipMessage::FleetTasks(reply)) => drop(reply.try_send(json!([]))),
+                        Ok(MembershipMessage::SetUpgrade(upgrade)) => self.upgrade = Some(upgrade),
+                        Ok(MembershipMessage::UpgradeFailed(roll)) => self.undone = roll,
+                        Ok(
+                            MembershipMessage::ChangePrimary { reply, .. }
+                            | MembershipMessage::RollingUpgrade { reply, .. },
+                        ) => {
+                            drop(reply.try_send(Err("this front has left its fellows".to_owned())));
                         }
-                        Ok(ToFellows::Leave | ToFellows::Facts { .. } | ToFellows::Step { .. }) => {}
+                        Ok(
+                            MembershipMessage::Leave
+                            | MembershipMessage::Observations { .. }
+                            | MembershipMessage::ChangeProgress { .. },
+                        ) => {}
                         Err(_) => return,
                     }
                 },
@@ -189,12 +198,12 @@
         }
     }
 
-    fn core(&mut self) -> Fellows {
+    fn core(&mut self) -> Membership {
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-        self.life = life_at(unix).max(self.life + 1);
-        let Circle { me, peers, laid_down, keys, seed, .. } = &self.circle;
-        let times = Times::of(Duration::from_millis(laid_down.every_ms));
-        Fellows::new(*me, peers.len(), self.life, *seed, laid_down.speaks, times, keys.clone())
+        self.life = incarnation_at(unix).max(self.life + 1);
+        let Setup { me, peers, config, keys, seed, .. } = &self.circle;
+        let times = Timing::with_period(Duration::from_millis(config.every_ms));
+        Membership::new(*me, peers.len(), self.life, *seed, config.speaks, times, keys.clone())
     }
 
     /// Speaks until it is to leave.
@@ -202,9 +211,9 @@
         let mut core = self.core();
         let (begun, clock) = (self.clock.now(), self.clock.clone());
         let mut read_clock = move || clock.now() - begun;
-        let mut duties = self.circle.laid_down.duties.then(|| self.duties(&core));
+        let mut duties = self.circle.config.duties.then(|| self.duties(&core));
         let bell = post.bell();
-        let mut alarm: Option<(Duration, Alarm)> = None;
+        let mut alarm: Option<(Duration, TimerHandle)> = None;
         // One byte more than the longest, so that a longer one is seen to be longer.
         let mut buffer = [0; juniperdock_membership::LONGEST + 1];
         loop {
@@ -219,7 +228,7 @@
                 counters.fellows_in.add();
                 let now = read_clock();
                 let taken = match self.places.get(&from) {
-                    Some(&place) => core.heard(now, place, &buffer[..length], &mut hands),
+                    Some(&place) => core.handle_datagram(now, place, &buffer[..length], &mut hands),
                     None => {
                         core.stranger();
                         Err(Refused::Stranger)
@@ -237,40 +246,59 @@
             while let Ok(mail) = self.mail.try_recv() {
                 let now = read_clock();
                 match (mail, &mut duties) {
-                    (ToFellows::Status(tell), _) => drop(tell.try_send(status(&core, &circle.name, now))),
-                    (ToFellows::Keys(keys), _) => {
+                    (MembershipMessage::Status(reply), _) => {
+                        drop(reply.try_send(status(&core, &circle.name, now)))
+                    }
+                    (MembershipMessage::SetKeys(keys), _) => {
                         core.rekey(keys.clone());
                         other_keys = Some(keys);
                     }
-                    (ToFellows::Leave, _) => leaves = true,
-                    (ToFellows::Facts { every, pieces }, Some(duties)) => {
+                    (MembershipMessage::Leave, _) => leaves = true,
+                    (MembershipMessage::Observations { every, pieces }, Some(duties)) => {
                         duties.facts(every, pieces, &mut read_clock, &mut core, &mut hands);
                     }
-                    (ToFellows::Step { group, order, step }, Some(duties)) => {
+                    (MembershipMessage::ChangeProgress { group, order, step }, Some(duties)) => {
                         duties.step(now, group, order, step, &mut core, &mut hands);
                     }
-                    (ToFellows::Move { group, successor, off, tell }, Some(duties)) => {
-                        duties.order(now, circle.me, group, successor, off, tell);
+                    (MembershipMessage::ChangePrimary { group, successor, cancel, reply }, Some(duties)) => {
+                        duties.order(now, circle.me, group, successor, cancel, reply);
                     }
-                    (ToFellows::Upgrader(call), duties) => {
+                    (MembershipMessage::SetUpgrade(call), duties) => {
                         duties.iter_mut().for_each(|duties| duties.upgraded_by(call.clone()));
                         upgrade = Some(call);
                     }
-                    (ToFellows::Undone(roll), duties) => {
+                    (MembershipMessage::UpgradeFailed(roll), duties) => {
                         duties.iter_mut().for_each(|duties| duties.undone(roll));
                         undone = Some(roll);
                     }
-                    (ToFellows::Roll { program, at_once, off, tell }, Some(duties)) => {
-                        let answer =
-                            duties.order_roll(now, program.as_deref(), at_once, off, &mut core, &mut hands);
-                        drop(tell.try_send(answer));
+                    (MembershipMessage::RollingUpgrade { program, at_once, cancel, reply }, Some(duties)) => {
+                        let answer = duties.order_roll(
+                            now,
+                            program.as_deref(),
+                            at_once,
+                            cancel,
+                            &mut core,
+                            &mut hands,
+                        );
+                        drop(reply.try_send(answer));
+                    }
+                    (MembershipMessage::FleetTasks(reply), Some(duties)) => {
+                        drop(reply.try_send(duties.status(now)))
                     }
-                    (ToFellows::Duties(tell), Some(duties)) => drop(tell.try_send(duties.status(now))),
-                    (ToFellows::Enter | ToFellows::Facts { .. } | ToFellows::Step { .. }, _) => {}
-                    (ToFellows::Move { tell, .. } | ToFellows::Roll { tell, .. }, None) => {
-                        drop(tell.try_send(Err(OFF.to_owned())))
+                    (
+                        MembershipMessage::Join
+                        | MembershipMessage::Observations { .. }
+                        | MembershipMessage::ChangeProgress { .. },
+                        _,
+                    ) => {}
+                    (
+                        MembershipMessage::ChangePrimary { reply, .. }
+                        | MembershipMessage::RollingUpgrade { reply, .. },
+                        None,
+                    ) => drop(reply.try_send(Err(TASKS_OFF.to_owned()))),
+                    (MembershipMessage::FleetTasks(reply), None) => {
+                        drop(reply.try_send(json!({ "off": true })))
                     }
-                    (ToFellows::Duties(tell), None) => drop(tell.try_send(json!({ "off": true }))),
                 }
             }
             if leaves {
@@ -278,11 +306,13 @@
                 core.leave(read_clock(), &mut hands);
                 return;
             }
-            core.due(read_clock(), &mut hands);
+            core.handle_timeout(read_clock(), &mut hands);
             duties.iter_mut().for_each(|d| d.turn(&mut read_clock, &mut core, &mut hands));
             // One alarm at a time.
-            let next =
-                core.next().min(duties.as_ref().map_or(Duration::MAX, Duties::next)).saturating_add(begun);
+            let next = core
+                .next_timeout()
+                .min(duties.as_ref().map_or(Duration::MAX, Duties::next))
+                .saturating_add(begun);
             drop(hands);
             if let Some(keys) = other_keys {
                 self.circle.keys = keys;
@@ -292,17 +322,18 @@
             if alarm.as_ref().is_none_or(|(at, _)| *at != next) {
                 alarm.iter().for_each(|(_, old)| self.clock.cancel(old));
                 let bell = bell.clone();
-                alarm = Some((next, self.clock.at(next, move || bell.ring())));
+                alarm = Some((next, self.clock.run_at(next, move || bell.ring())));
             }
             if read == A_FEW { give_way() } else { post.wait() }
         }
     }
 
-    fn duties(&self, core: &Fellows) -> Duties {
-        let Circle { peers, laid_down, seed, desk, .. } = &self.circle;
-        let period = Duration::from_millis(laid_down.every_ms);
-        let (desk, counters, log) = (desk.clone(), self.counters.clone(), self.log.clone());
-        let mut duties = Duties::new(Duration::ZERO, core, peers.len(), *seed, period, desk, counters, log);
+    fn duties(&self, core: &Membership) -> Duties {
+        let Setup { peers, config, seed, dispatcher, .. } = &self.circle;
+        let period = Duration::from_millis(config.every_ms);
+        let (dispatcher, counters, log) = (dispatcher.clone(), self.counters.clone(), self.log.clone());
+        let mut duties =
+            Duties::new(Duration::ZERO, core, peers.len(), *seed, period, dispatcher, counters, log);
         duties.undone(self.undone);
         self.upgrade.iter().for_each(|upgrade| duties.upgraded_by(upgrade.clone()));
         duties
@@ -310,12 +341,12 @@
 }
 
 /// What `fleet status` tells.
-fn status(core: &Fellows, name: &str, now: Duration) -> Value {
-    let (standing, since) = core.standing();
+fn status(core: &Membership, name: &str, now: Duration) -> Value {
+    let (standing, since) = core.connectivity();
     let ago = |at: Duration| now.saturating_sub(at).as_millis() as u64;
     let front = |f: &juniperdock_membership::Fellow| {
         json!({ "index": f.index, "state": f.liveness.name(), "incarnation": f.incarnation,
-            "heard_ms_ago": f.heard.map(ago), "says": f.says.map(Standing::name) })
+            "heard_ms_ago": f.heard.map(ago), "says": f.says.map(Connectivity::name) })
     };
     let refused: serde_json::Map<String, Value> = Refused::ALL
         .iter()
@@ -324,7 +355,7 @@
         .collect();
     json!({ "me": core.me(), "name": name, "incarnation": core.incarnation(),
         "standing": standing.name(), "since_ms": ago(since), "view": core.view(),
-        "present": core.present(), "fronts": core.fellows().iter().map(front).collect::<Vec<_>>(),
+        "present": core.present(), "fronts": core.peers().iter().map(front).collect::<Vec<_>>(),
         "datagrams_in": core.datagrams_in, "datagrams_out": core.datagrams_out, "bytes_out": core.bytes_out,
         "longest": core.longest, "refused": refused })
 }
--- a/crates/front/src/mail.rs
+++ b/crates/front/src/messages.rs
@@ -2,12 +2,12 @@
 
 use crate::mailbox::Mailbox;
 use juniperdock_connection::Bell;
-use juniperdock_fleet_tasks::{Asks, SHARDS, Step};
+use juniperdock_fleet_tasks::{HoldStep, ProbeRole, SHARDS};
 use juniperdock_membership::Keys;
 use juniperdock_request_guard::{AttemptPermit, RequestGuard};
-use juniperdock_router::host::{Ending, Report, Role};
+use juniperdock_router::host::{AttemptOutcome, Report, Role};
 use juniperdock_server_list::ServerList;
-use juniperdock_wait_queue::Most;
+use juniperdock_wait_queue::WaitLimits;
 use may::sync::mpsc::Sender;
 use serde_json::Value;
 use std::net::{SocketAddr, TcpStream};
@@ -64,7 +64,7 @@
 pub struct End {
     pub ticket: u64,
     pub member: usize,
-    pub ending: Ending,
+    pub ending: AttemptOutcome,
     pub role: Option<Role>,
     pub position: Option<Duration>,
     /// The report of itself that the member's answer held, where answers hold one.
@@ -76,13 +76,13 @@
 }
 
 /// To the desk.
-pub enum ToDesk {
+pub enum DispatcherMessage {
     Arrived(Box<Arrival>),
     Left(u64),
     Ended(Box<End>),
     Probed {
         member: usize,
-        ending: Ending,
+        ending: AttemptOutcome,
         report: Report,
     },
     List(ServerList),
@@ -105,98 +105,98 @@
         at: Duration,
     },
     /// What is known, for the process after this one, as a snapshot.
-    Remember(SyncSender<Result<Vec<u8>, String>>),
+    TakeSnapshot(SyncSender<Result<Vec<u8>, String>>),
     /// What the process before this one knew.
-    Recall(Vec<u8>),
+    RestoreSnapshot(Vec<u8>),
     /// How much may wait from now on, and how long what no member has had is held.
-    Hold(Most, f64),
+    SetWaitLimits(WaitLimits, f64),
     /// Idle connections to members go to the process after this one, each with its member's id.
-    Give(std::sync::mpsc::Sender<(String, OwnedFd)>),
+    TransferIdle(std::sync::mpsc::Sender<(String, OwnedFd)>),
     /// A connection to a member that the process before this one had.
-    Take(String, TcpStream),
+    AdoptConnection(String, TcpStream),
     /// This front is to serve soon: who is primary has to be known.
-    Roles,
+    ProbeAll,
     /// Work is shared with other fronts: how to post to the actor that speaks with them.
-    Circle(Box<dyn Fn(ToFellows) + Send>),
+    EnableFleetTasks(Box<dyn Fn(MembershipMessage) + Send>),
     /// Whether this front hears a majority, and which members it asks for all; what is to be told goes back.
-    Care {
-        whole: bool,
+    ObserveHealth {
+        has_majority: bool,
         /// How many fronts are there.
-        present: usize,
-        asks: [Asks; SHARDS as usize],
+        present_fronts: usize,
+        shard_roles: [ProbeRole; SHARDS as usize],
     },
     /// What another front told of members.
-    Facts(Vec<u8>),
+    PeerObservations(Vec<u8>),
     /// What stands in place of a probe.
     Instead {
         member: usize,
         report: Report,
     },
     /// A planned change that another front orders of all; `off`: it lets go.
-    Plan {
+    PlannedChange {
         group: u64,
         order: u64,
         successor: Option<String>,
-        off: bool,
+        cancel: bool,
     },
     /// From the control socket: how groups stand; one of them, or all up to a number.
     Status {
         group: Option<u64>,
-        most: usize,
-        tell: SyncSender<Value>,
+        max_groups: usize,
+        reply: SyncSender<Value>,
     },
     /// From the control socket: a change of a group's primary is ordered, or called off.
-    Change {
+    ChangePrimary {
         group: u64,
         successor: Option<String>,
-        off: bool,
-        tell: SyncSender<Result<String, String>>,
+        cancel: bool,
+        reply: SyncSender<Result<String, String>>,
     },
 }
 
 /// What an upgrade needs, as a call: a program, or the one that runs; gives the new process's id.
-pub type Upgrade = Arc<dyn Fn(Option<&str>) -> Result<u32, String> + Send + Sync>;
+pub type UpgradeFn = Arc<dyn Fn(Option<&str>) -> Result<u32, String> + Send + Sync>;
 
 /// To the actor that speaks with the other fronts.
-pub enum ToFellows {
+pub enum MembershipMessage {
     /// How they stand.
     Status(SyncSender<Value>),
     /// Other keys count from now on.
-    Keys(Keys),
+    SetKeys(Keys),
     /// What this front has to tell of members, each part's in pieces, and when it wants to be asked again.
-    Facts {
+    Observations {
         every: Duration,
         pieces: Vec<(usize, Vec<u8>)>,
     },
     /// How far this front is with a planned change that was ordered of all.
-    Step {
+    ChangeProgress {
         group: u64,
         order: u64,
-        step: Step,
+        step: HoldStep,
     },
     /// From the control socket: a change of a group's primary at all fronts, or none.
-    Move {
+    ChangePrimary {
         group: u64,
         successor: Option<String>,
-        off: bool,
-        tell: SyncSender<Result<String, String>>,
+        cancel: bool,
+        reply: SyncSender<Result<String, String>>,
     },
     /// How this front is upgraded.
-    Upgrader(Upgrade),
+    SetUpgrade(UpgradeFn),
     /// It could not be, in that roll.
-    Undone(u64),
+    UpgradeFailed(u64),
     /// From the control socket: a rolling upgrade of all fronts, or none any more.
-    Roll {
+    RollingUpgrade {
         program: Option<String>,
         at_once: usize,
-        off: bool,
-        tell: SyncSender<Result<String, String>>,
+        cancel: bool,
+        reply: SyncSender<Result<String, String>>,
     },
     /// From the control socket: which duties there are, and whose.
-    Duties(SyncSender<Value>),
+    FleetTasks(SyncSender<Value>),
     /// Says farewell and lets go of the address; `Enter` takes it up again.
     Leave,
-    Enter,
+    Join,
 }
 
 #[derive(Clone)]
@@ -217,7 +217,7 @@
     Probe { at: Duration },
 }
 
-pub enum ToMember {
+pub enum MemberMessage {
     Job(Job),
     Cancel(u64),
     Address(SocketAddr),
@@ -240,11 +240,11 @@
 }
 
 /// To the discovery client.
-pub enum ToDiscovery {
+pub enum DiscoveryMessage {
     /// A watch is wanted.
-    Open,
+    OpenWatch,
     /// The list is to be had at this address from now on.
-    At(SocketAddr),
+    SetAddress(SocketAddr),
     /// From a watch: it can be woken.
     Up(u64, Bell),
     /// From a watch: a list, whole or of what changed.
--- a/crates/front/src/migrate.rs
+++ b/crates/front/src/migrate.rs
@@ -1,8 +1,8 @@
 //! `juniperdock migrate`: reads a configuration of the old shape, writes one of the new beside it, whole or not
 //! at all.
 
-use crate::told::Told;
-use crate::whole;
+use crate::atomic_file;
+use crate::settings::Settings;
 use serde_json::{Value, json};
 use std::fs;
 use std::io::ErrorKind;
@@ -15,7 +15,7 @@
     let at = |why: String| format!("{}: {why}", old.display());
     let text = fs::read_to_string(old).map_err(|e| at(e.to_string()))?;
     let brought = juniperdock_settings::bring(&text).map_err(at)?;
-    Told::of(brought.file.clone()).check().map_err(at)?;
+    Settings::of(brought.file.clone()).check().map_err(at)?;
     let output = output.filter(|_| !brought.already);
     if let Some(output) = output {
         let same = |a: fs::Metadata, b: fs::Metadata| (a.dev(), a.ino()) == (b.dev(), b.ino());
@@ -41,7 +41,7 @@
 fn write(output: &Path, bytes: &[u8], force: bool) -> Result<(), String> {
     let name = output.file_name().ok_or("expected the path of a file")?.to_string_lossy();
     let draft = output.with_file_name(format!(".{name}.{}", std::process::id()));
-    whole::write(output, &draft, bytes, force).map_err(|e| match e.kind() {
+    atomic_file::write(output, &draft, bytes, force).map_err(|e| match e.kind() {
         ErrorKind::AlreadyExists => "is there already; --force replaces it".to_owned(),
         _ => e.to_string(),
     })
--- a/crates/front/src/request_log.rs
+++ b/crates/front/src/request_log.rs
@@ -2,9 +2,9 @@
 //! (`JUNIPERDOCK_LOG=debug`). Every line of a request has its number in this process; the first also has the id that its
 //! client gave it. Every close names its reason.
 
-use crate::worker_watch::Delay;
-use juniperdock_request_guard::{Debt, Withheld};
-use juniperdock_router::host::Ending;
+use crate::worker_watchdog::Delay;
+use juniperdock_request_guard::{Outstanding, Withheld};
+use juniperdock_router::host::AttemptOutcome;
 use std::time::Duration;
 
 /// Why a client's connection ended.
@@ -65,7 +65,7 @@
     /// An attempt is over.
     AttemptEnded {
         server: usize,
-        ending: Ending,
+        ending: AttemptOutcome,
     },
     /// Its deadline passed without an answer.
     Overdue,
@@ -100,7 +100,7 @@
 
     /// The requests that a client's connection has taken and not answered, and the bytes of answers and of requests
     /// that it still held when it ended.
-    pub fn client_closed(&self, client: u64, reason: CloseReason, debt: Debt) {
+    pub fn client_closed(&self, client: u64, reason: CloseReason, debt: Outstanding) {
         if self.enabled {
             slog::debug!(self.log, "client closed"; "half_read" => debt.half_read, "unsent" => debt.unsent,
                 "unanswered" => debt.unanswered, "reason" => ?reason, "client" => client);
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -1,20 +1,20 @@
 //! Starts a front: reads what is told, wires the actors, serves.
 
-use crate::client::CONNECTION_STACK;
+use crate::client::CONNECTION_STACK_BYTES;
 use crate::clients::SharedClients;
 use crate::clock::Clock;
 use crate::counters::Counters;
-use crate::mail::{self, ToDesk, ToDiscovery, ToFellows};
+use crate::messages::{self, DiscoveryMessage, DispatcherMessage, MembershipMessage};
 use crate::request_log::RequestLog;
-use crate::told::{Told, TxnTypes};
+use crate::settings::{Settings, TxnTypes};
 use crate::upgrade::{self, Taking};
-use crate::{control, desk, discovery_client, fellows, keep, member, signals};
+use crate::{control, discovery_client, dispatcher, member, membership, signals, snapshot_file};
 use juniperdock_connection::{Door, spawn};
 use juniperdock_hot_restart::Times;
 use juniperdock_operator_config as operator_config;
 use juniperdock_operator_config::{Charter, Fault, Form, Held, Log, Upgrade};
 use juniperdock_server_list::{ProbeLimits, ProbeQueue};
-use juniperdock_wait_queue::Most;
+use juniperdock_wait_queue::WaitLimits;
 use may::sync::mpsc::{Sender, channel};
 use sd_notify::NotifyState;
 use slog::Drain;
@@ -36,12 +36,12 @@
 
 /// Whether the platform's configuration is all there, as far as a start would tell.
 pub fn check(charter: Option<&Charter>) -> Result<(), String> {
-    let told = Told::read()?;
+    let told = Settings::read()?;
     told.address("GW_LISTEN", "listen")?;
     told.address("GW_DISCOVERY", "discovery")?;
     told.check()?;
     let Some(laid_down) = charter.and_then(|charter| charter.fellows.as_ref()) else { return Ok(()) };
-    fellows::keys(&laid_down.keys)?;
+    membership::read_keys(&laid_down.keys)?;
     let (listen, peers) = told.fellows()?.ok_or("fellows: the settings do not allow fronts to speak")?;
     peers.into_iter().collect::<Result<Vec<_>, _>>()?;
     // A front that runs has its own address; any other that has it is in the way.
@@ -58,13 +58,13 @@
 /// there keeps no front from serving: the log says why it goes without its fellows, and `check` says it before.
 fn fellows_of(
     laid_down: &operator_config::Fellows,
-    told: &Told,
+    told: &Settings,
     clock: &Clock,
     counters: &Arc<Counters>,
-    to_desk: &Sender<ToDesk>,
+    to_desk: &Sender<DispatcherMessage>,
     log: &slog::Logger,
-) -> Result<fellows::Mail, String> {
-    let keys = fellows::keys(&laid_down.keys)?;
+) -> Result<membership::Handle, String> {
+    let keys = membership::read_keys(&laid_down.keys)?;
     let (listen, peers) = told.fellows()?.ok_or("the settings do not allow fronts to speak")?;
     // One name that can't be found is one fellow less.
     let known = |peer: Result<_, String>| {
@@ -72,13 +72,13 @@
     };
     let peers = peers.into_iter().map(known).collect();
     let (me, _) = told.place()?;
-    let (name, laid_down, seed) = (told.name(me), laid_down.clone(), told.seed()?);
-    let (shares, desk) = (laid_down.duties, to_desk.clone());
-    let circle = fellows::Circle { me, name, listen, peers, laid_down, keys, seed, desk };
-    let mail = fellows::start(circle, clock.clone(), counters.clone(), log.clone(), DEEP_STACK)?;
+    let (name, config, seed) = (told.name(me), laid_down.clone(), told.seed()?);
+    let (shares, dispatcher) = (config.duties, to_desk.clone());
+    let circle = membership::Setup { me, name, listen, peers, config, keys, seed, dispatcher };
+    let mail = membership::start(circle, clock.clone(), counters.clone(), log.clone(), DEEP_STACK)?;
     if shares {
         let circle = mail.clone();
-        let _ = to_desk.send(ToDesk::Circle(Box::new(move |mail| circle.post(mail))));
+        let _ = to_desk.send(DispatcherMessage::EnableFleetTasks(Box::new(move |mail| circle.send(mail))));
     }
     Ok(mail)
 }
@@ -90,24 +90,25 @@
     // Before anything of `may` is used.
     may::config()
         .set_workers(1)
-        .set_stack_size(CONNECTION_STACK / size_of::<usize>())
+        .set_stack_size(CONNECTION_STACK_BYTES / size_of::<usize>())
         .set_pool_capacity(STACKS)
         .set_worker_pin(false);
     let (clock, ring) = Clock::start(START_PATIENCE)?;
-    let mut told = Told::read()?;
+    let mut told = Settings::read()?;
     let (listen, discovery) =
         (told.address("GW_LISTEN", "listen")?, told.address("GW_DISCOVERY", "discovery")?);
     let (routers, held) = (told.routers()?, charter.held.clone());
-    let make: desk::Make = Box::new(move || {
+    let make: dispatcher::MakeRouter = Box::new(move || {
         let mut router = routers()?;
-        router.hold_untaken(held.untaken_share);
-        router.hold_at_most(most(&held));
+        router.set_unexecuted_wait_share(held.untaken_share);
+        router.set_wait_queue_limits(most(&held));
         Ok(router)
     });
     let room = told.descriptors()?;
-    let (connect, idle) = (told.millis("Bounds.ConnectTimeout")?, told.millis("Bounds.ConnIdle")?);
+    let (connect_timeout, idle_timeout) =
+        (told.millis("Bounds.ConnectTimeout")?, told.millis("Bounds.ConnIdle")?);
     let grace = told.millis("Guarantees.GraceToAnswer")?;
-    let TxnTypes { names: kinds, writes, longest } = told.txn_types()?;
+    let TxnTypes { names: txn_types, writes, longest } = told.txn_types()?;
 
     let level = log_level(&charter.log);
     let log = logger(&charter.log, level);
@@ -129,56 +130,56 @@
         log.clone(),
         DEEP_STACK,
     );
-    let to_discovery = discovery_client.mail();
-    let reach = member::Reach {
+    let to_discovery = discovery_client.sender();
+    let reach = member::PoolContext {
         clock: clock.clone(),
-        desk: to_desk.clone(),
+        dispatcher: to_desk.clone(),
         counters: counters.clone(),
         log: log.clone(),
         request_log: request_log.clone(),
-        connect,
-        idle,
-        stack: CONNECTION_STACK,
-        open: Arc::new(AtomicUsize::new(0)),
-        most: room.most,
-        longest: told.largest_answer(),
+        connect_timeout,
+        idle_timeout,
+        stack_bytes: CONNECTION_STACK_BYTES,
+        open_connections: Arc::new(AtomicUsize::new(0)),
+        max_connections: room.most,
+        max_message_bytes: told.largest_answer(),
     };
-    let hire: desk::Hire = Box::new(move |index, address, read, mail| {
-        let member = member::Member::new(index, address, mail, reach.clone());
-        spawn("member", CONNECTION_STACK, move || member.run(&read))
+    let hire: dispatcher::SpawnMember = Box::new(move |index, address, read, mail| {
+        let member = member::MemberPool::new(index, address, mail, reach.clone());
+        spawn("member", CONNECTION_STACK_BYTES, move || member.run(&read))
     });
-    let desk = desk::Desk::new(
+    let desk = dispatcher::Dispatcher::new(
         make,
-        (0..kinds.len()).map(|kind| kinds.id(kind).clone()).collect(),
+        (0..txn_types.len()).map(|kind| txn_types.id(kind).clone()).collect(),
         told.zones(),
         clock.clone(),
         to_desk.clone(),
         to_discovery.clone(),
         hire,
-        ProbeQueue::new(told.seed()?, ProbeLimits::of(room.most)),
+        ProbeQueue::new(told.seed()?, ProbeLimits::for_connections(room.most)),
         counters.clone(),
         log.clone(),
         request_log.clone(),
     )?;
     match known {
-        Ok(known) => drop(to_desk.send(ToDesk::List(known))),
+        Ok(known) => drop(to_desk.send(DispatcherMessage::List(known))),
         Err(why) => slog::warn!(log, "no list is known yet"; "why" => why),
     }
     // What another process hands over is newer than any file.
     let kept = charter.snapshot.as_ref().filter(|_| taking.is_none());
-    if let Some(bytes) = kept.and_then(|kept| keep::read(&kept.path, &log)) {
-        let _ = to_desk.send(ToDesk::Recall(bytes));
+    if let Some(bytes) = kept.and_then(|kept| snapshot_file::read(&kept.path, &log)) {
+        let _ = to_desk.send(DispatcherMessage::RestoreSnapshot(bytes));
     }
     spawn("desk", DEEP_STACK, move || desk.run(&desk_mail))?;
-    spawn("discovery", CONNECTION_STACK, move || discovery_client.run())?;
-    let _ = to_discovery.send(ToDiscovery::Open);
+    spawn("discovery", CONNECTION_STACK_BYTES, move || discovery_client.run())?;
+    let _ = to_discovery.send(DiscoveryMessage::OpenWatch);
 
-    spawn("clock", CONNECTION_STACK, ring)?;
-    clock.beat(to_desk.clone());
+    spawn("clock", CONNECTION_STACK_BYTES, ring)?;
+    clock.start_watchdog(to_desk.clone());
     let door = match &mut taking {
         None => Door::open(listen, START_PATIENCE)?,
         Some(taking) => {
-            let _ = to_desk.send(ToDesk::Roles);
+            let _ = to_desk.send(DispatcherMessage::ProbeAll);
             await_roles(&counters);
             Door::of(taking.listener()?)?
         }
@@ -186,28 +187,28 @@
     let door = Arc::new(door);
     let clients = Arc::new(SharedClients {
         clock: clock.clone(),
-        desk: to_desk.clone(),
+        dispatcher: to_desk.clone(),
         counters: counters.clone(),
         log: log.clone(),
         request_log: request_log.clone(),
-        kinds,
+        txn_types,
         writes,
-        marks: told.term("Specifics.SessionMarks").as_deref() == Some("client"),
+        client_session_marks: told.term("Specifics.SessionMarks").as_deref() == Some("client"),
         grace: grace / 2,
-        tickets: AtomicU64::new(0),
+        next_request_id: AtomicU64::new(0),
         closing: AtomicBool::new(false),
-        last_call: AtomicBool::new(false),
-        most: room.most,
-        standing: room.standing,
-        keep: room.keep,
-        crowd: room.crowd,
+        answer_all_now: AtomicBool::new(false),
+        max_clients: room.most,
+        refusal_slots: room.standing,
+        close_long_idle_above: room.keep,
+        close_idle_above: room.crowd,
         slots: Mutex::default(),
-        moves: Mutex::default(),
-        moving: AtomicU8::default(),
-        coming: AtomicBool::new(false),
-        shut: AtomicBool::new(false),
-        acceptor: AtomicBool::new(true),
-        fellows: charter.fellows.as_ref().and_then(|laid_down| {
+        transfer_to: Mutex::default(),
+        transfer_mode: AtomicU8::default(),
+        receiving_transfers: AtomicBool::new(false),
+        stop_accepting: AtomicBool::new(false),
+        acceptor_running: AtomicBool::new(true),
+        membership: charter.fellows.as_ref().and_then(|laid_down| {
             let started = fellows_of(laid_down, &told, &clock, &counters, &to_desk, &log);
             started.map_err(|why| slog::error!(log, "fellows are off"; "why" => why)).ok()
         }),
@@ -216,15 +217,15 @@
         taking.serve(&clients)?;
     }
     let (acceptor, its_door) = (clients.clone(), door.clone());
-    spawn("acceptor", CONNECTION_STACK, move || acceptor.accept_until_shut(&its_door))?;
+    spawn("acceptor", CONNECTION_STACK_BYTES, move || acceptor.accept_until_stopped(&its_door))?;
     if let Some(kept) = &charter.snapshot {
-        keep::now_and_then(kept.clone(), clock.clone(), to_desk.clone(), log.clone());
+        snapshot_file::now_and_then(kept.clone(), clock.clone(), to_desk.clone(), log.clone());
     }
     let upgrade = upgrades(&clients, &door, &charter.upgrade, &log);
-    let rolled = rolled(&upgrade, &charter.upgrade);
-    clients.tell_fellows(ToFellows::Upgrader(rolled));
+    let upgrade_for_roll = upgrade_for_roll(&upgrade, &charter.upgrade);
+    clients.send_to_membership(MembershipMessage::SetUpgrade(upgrade_for_roll));
     if let Some(socket) = &charter.control {
-        let fellows = clients.fellows.clone();
+        let fellows = clients.membership.clone();
         let duties = charter.fellows.as_ref().is_some_and(|laid_down| laid_down.duties);
         let control = control::Control {
             clock: clock.clone(),
@@ -258,12 +259,12 @@
     Ok(())
 }
 
-fn most(held: &Held) -> Most {
-    Most {
-        of_group: held.of_group,
-        of_all: held.of_all,
-        bytes_of_group: held.kib_of_group.saturating_mul(1024),
-        bytes_of_all: held.kib_of_all.saturating_mul(1024),
+fn most(held: &Held) -> WaitLimits {
+    WaitLimits {
+        per_group: held.of_group,
+        total: held.of_all,
+        bytes_per_group: held.kib_of_group.saturating_mul(1024),
+        total_bytes: held.kib_of_all.saturating_mul(1024),
     }
 }
 
@@ -279,12 +280,15 @@
     let new = juniperdock_operator_config::read(&text).map_err(join)?;
     let mut now = now.lock().unwrap_or_else(PoisonError::into_inner);
     if new.held != now.held {
-        clients.clock.post(&clients.desk, ToDesk::Hold(most(&new.held), new.held.untaken_share));
+        clients.clock.post(
+            &clients.dispatcher,
+            DispatcherMessage::SetWaitLimits(most(&new.held), new.held.untaken_share),
+        );
         now.held = new.held.clone();
     }
-    if let (Some(new), Some(old), Some(_)) = (&new.fellows, &mut now.fellows, &clients.fellows) {
+    if let (Some(new), Some(old), Some(_)) = (&new.fellows, &mut now.fellows, &clients.membership) {
         // The files may have changed under the same names.
-        clients.tell_fellows(ToFellows::Keys(fellows::keys(&new.keys)?));
+        clients.send_to_membership(MembershipMessage::SetKeys(membership::read_keys(&new.keys)?));
         old.keys.clone_from(&new.keys);
     }
     let other = [
@@ -311,7 +315,7 @@
     door: &Arc<Door>,
     how: &Upgrade,
     log: &slog::Logger,
-) -> mail::Upgrade {
+) -> messages::UpgradeFn {
     let (clients, door, how, log) = (clients.clone(), door.clone(), how.clone(), log.clone());
     let busy = Arc::new(AtomicBool::new(false));
     let span = Duration::from_millis;
@@ -334,11 +338,11 @@
 }
 
 /// The same where another front asks for it: whoever has a key of the fellows is not to start whatever program lies here.
-pub fn rolled(upgrade: &mail::Upgrade, how: &Upgrade) -> mail::Upgrade {
+pub fn upgrade_for_roll(upgrade: &messages::UpgradeFn, how: &Upgrade) -> messages::UpgradeFn {
     let (upgrade, named) = (upgrade.clone(), how.program.clone());
     Arc::new(move |program| {
         let known = [std::env::current_exe().ok(), named.clone()];
-        if program.is_none_or(|program| beside(Path::new(program), &known)) {
+        if program.is_none_or(|program| in_known_folder(Path::new(program), &known)) {
             upgrade(program)
         } else {
             Err("a roll may name a program only beside the one that runs, or the one of upgrade.program"
@@ -348,7 +352,7 @@
 }
 
 /// Whether a program lies in the same folder as one of those that are known; links and detours are followed.
-pub fn beside(program: &Path, known: &[Option<PathBuf>]) -> bool {
+pub fn in_known_folder(program: &Path, known: &[Option<PathBuf>]) -> bool {
     let folder = |path: &Path| path.canonicalize().ok()?.parent().map(Path::to_path_buf);
     let its = folder(program);
     its.is_some() && known.iter().flatten().any(|known| folder(known) == its)
--- a/crates/front/src/told.rs
+++ b/crates/front/src/settings.rs
@@ -3,7 +3,7 @@
 
 use crate::configuration::{configuration, with_known};
 use juniperdock_deployment::{self as deployment, Indices};
-use juniperdock_router::host::Level;
+use juniperdock_router::host::Consistency;
 use juniperdock_router::routing::Router;
 use juniperdock_server_list::ServerList;
 use juniperdock_settings::term;
@@ -17,7 +17,7 @@
 const OWN: usize = 14;
 
 /// The configuration as it was read, and where it lies.
-pub struct Told {
+pub struct Settings {
     path: String,
     /// All but the server list.
     whole: Value,
@@ -52,18 +52,18 @@
     text.parse().map_err(|_| format!("{name}: expected an address and port, found {text:?}"))
 }
 
-impl Told {
+impl Settings {
     /// Reads the file that `GW_CONFIG` names.
-    pub fn read() -> Result<Told, String> {
+    pub fn read() -> Result<Settings, String> {
         let path = std::env::var("GW_CONFIG").map_err(|e| format!("GW_CONFIG: {e}"))?;
         let (whole, known) = with_known(&path)?;
         juniperdock_settings::is_new(&whole).map_err(|why| format!("GW_CONFIG: {path}: {why}"))?;
-        Ok(Told { path, whole, known })
+        Ok(Settings { path, whole, known })
     }
 
     /// A configuration that lies nowhere yet.
-    pub fn of(whole: Value) -> Told {
-        Told { path: String::new(), whole, known: Err("none is told".to_owned()) }
+    pub fn of(whole: Value) -> Settings {
+        Settings { path: String::new(), whole, known: Err("none is told".to_owned()) }
     }
 
     /// Every term and limit that the front reads has its form; addresses may still come from elsewhere.
@@ -120,7 +120,7 @@
             names.index(name.ok_or_else(|| format!("settings: expected a name for txn type {i}"))?);
             longest = longest.max(self.millis(&format!("Services.{i}.HardLimit"))?);
         }
-        let writes = levels.into_iter().map(|level| level == Level::Write).collect();
+        let writes = levels.into_iter().map(|level| level == Consistency::Write).collect();
         Ok(TxnTypes { names, writes, longest })
     }
 
--- a/crates/front/src/signals.rs
+++ b/crates/front/src/signals.rs
@@ -4,8 +4,8 @@
 use crate::clients::SharedClients;
 use crate::clock::Clock;
 use crate::counters::Counters;
-use crate::mail::{ToDiscovery, ToFellows};
-use crate::told::Told;
+use crate::messages::{DiscoveryMessage, MembershipMessage};
+use crate::settings::Settings;
 use juniperdock_connection::{Bell, Door};
 use may::sync::mpsc::Sender;
 use signal_hook::consts::{SIGHUP, SIGTERM, SIGUSR1};
@@ -31,14 +31,16 @@
 
 /// Waits until nobody is taken in any more and all clients have gone, until that time at the longest.
 fn await_clients(clients: &SharedClients, last: Duration) {
-    while (clients.acceptor.load(Ordering::Acquire) || clients.present() > 0) && clients.clock.now() < last {
+    while (clients.acceptor_running.load(Ordering::Acquire) || clients.present() > 0)
+        && clients.clock.now() < last
+    {
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 /// Wakes an actor from this thread.
 fn wake(clients: &SharedClients, bell: Bell) {
-    clients.clock.at(Duration::ZERO, move || bell.ring());
+    clients.clock.run_at(Duration::ZERO, move || bell.ring());
 }
 
 /// The next signal. The library takes any failed read of its own socket for the end of the world; one that the machine is
@@ -54,9 +56,9 @@
 
 /// Reads the configuration again. Where the list is to be had counts at once; all else at the next start.
 fn reload(
-    told: &Told,
+    told: &Settings,
     clock: &Clock,
-    list: &Sender<ToDiscovery>,
+    list: &Sender<DiscoveryMessage>,
     laid_down: &dyn Fn() -> Result<Vec<&'static str>, String>,
     counters: &Counters,
     log: &slog::Logger,
@@ -74,7 +76,7 @@
     }
     match told.again() {
         Ok((discovery, other)) => {
-            clock.post(list, ToDiscovery::At(discovery));
+            clock.post(list, DiscoveryMessage::SetAddress(discovery));
             if !other.is_empty() {
                 slog::warn!(log, "a change that counts from the next start only"; "in" => other.join(", "));
             }
@@ -89,8 +91,8 @@
 /// Follows signals until SIGTERM; then answers all that was taken, for so long at the longest.
 pub fn follow(
     mut signals: Signals,
-    told: &Told,
-    list: &Sender<ToDiscovery>,
+    told: &Settings,
+    list: &Sender<DiscoveryMessage>,
     laid_down: &dyn Fn() -> Result<Vec<&'static str>, String>,
     clients: &Arc<SharedClients>,
     door: &Door,
@@ -109,13 +111,13 @@
     let told_to_end = clients.clock.now();
     let close_at = told_to_end + LINGER;
     let last_call_at = close_at + longest.min(MAX_SHUTDOWN);
-    clients.tell_fellows(ToFellows::Leave);
+    clients.send_to_membership(MembershipMessage::Leave);
     std::thread::sleep(close_at.saturating_sub(clients.clock.now()));
     clients.close();
     // The acceptor takes in who has come by now, and shuts the door.
     wake(clients, door.bell());
     await_clients(clients, last_call_at);
-    clients.call_last();
+    clients.answer_all_now();
     await_clients(clients, clients.clock.now() + LAST_CALL);
     eprintln!("counters: {counters}");
 }
--- a/crates/front/src/keep.rs
+++ b/crates/front/src/snapshot_file.rs
@@ -1,8 +1,8 @@
 //! Keeps what the front knows in a file, whole or not at all, on a thread of its own.
 
+use crate::atomic_file;
 use crate::clock::Clock;
-use crate::mail::ToDesk;
-use crate::whole;
+use crate::messages::DispatcherMessage;
 use juniperdock_operator_config::Snapshot;
 use juniperdock_snapshot::MachineTime;
 use may::sync::mpsc::Sender;
@@ -28,7 +28,7 @@
     let mut draft = path.as_os_str().to_owned();
     draft.push(".new");
     let _ = fs::remove_file(&draft);
-    whole::write(path, draft.as_ref(), bytes, true)
+    atomic_file::write(path, draft.as_ref(), bytes, true)
 }
 
 /// What the file holds for a start, if it lies there.
@@ -44,13 +44,13 @@
 }
 
 /// Writes now and then for as long as the program runs.
-pub fn now_and_then(how: Snapshot, clock: Clock, desk: Sender<ToDesk>, log: slog::Logger) {
+pub fn now_and_then(how: Snapshot, clock: Clock, desk: Sender<DispatcherMessage>, log: slog::Logger) {
     std::thread::spawn(move || {
         let mut told = false;
         loop {
             std::thread::sleep(Duration::from_secs(how.every_s));
             let (tell, knows) = sync_channel(1);
-            clock.post(&desk, ToDesk::Remember(tell));
+            clock.post(&desk, DispatcherMessage::TakeSnapshot(tell));
             let bytes = knows.recv_timeout(PATIENCE).map_err(|e| e.to_string()).and_then(|bytes| bytes);
             let written = bytes.and_then(|bytes| write(&how.path, &bytes).map_err(|e| e.to_string()));
             if let Err(why) = &written
--- a/crates/front/src/upgrade.rs
+++ b/crates/front/src/upgrade.rs
@@ -2,13 +2,13 @@
 //! `juniperdock_hot_restart`; here they meet processes, descriptors and clients' actors. On threads of its own,
 //! for calls wait.
 
-use crate::client::CONNECTION_STACK;
+use crate::client::CONNECTION_STACK_BYTES;
 use crate::clients::{ClientTransfer, SharedClients, TransferResult};
-use crate::mail::{ToDesk, ToFellows};
+use crate::messages::{DispatcherMessage, MembershipMessage};
 use juniperdock_connection::{Door, spawn};
-use juniperdock_fd_passing::{Came, Line};
-use juniperdock_hot_restart::word::{self, Hears, LONGEST};
-use juniperdock_hot_restart::{Do, Giver, Phase, SPOKEN, Stage, Taker, Times};
+use juniperdock_fd_passing::{PacketSocket, Received};
+use juniperdock_hot_restart::message::{self, MAX_MESSAGE_LEN, MessageHandler};
+use juniperdock_hot_restart::{Do, Giver, Phase, SUPPORTED_VERSIONS, Stage, Taker, Times};
 use std::collections::BTreeMap;
 use std::net::{TcpListener, TcpStream};
 use std::os::fd::{AsFd, OwnedFd};
@@ -39,7 +39,7 @@
 struct Giving {
     clients: Arc<SharedClients>,
     door: Arc<Door>,
-    line: Line,
+    line: PacketSocket,
     child: Child,
     giver: Giver,
     mover: Sender<ClientTransfer>,
@@ -60,7 +60,7 @@
     tell: &SyncSender<Result<u32, String>>,
     log: slog::Logger,
 ) {
-    let started = Line::pair().and_then(|(line, theirs)| {
+    let started = PacketSocket::pair().and_then(|(line, theirs)| {
         let child = Command::new(program)
             .args(std::env::args_os().skip(1))
             .env(TAKES_OVER, "1")
@@ -90,12 +90,12 @@
             let clients: Vec<_> = self.moves.try_iter().take(A_FEW).collect();
             if clients.len() < A_FEW {
                 for (member, connection) in self.idles.1.try_iter().take(A_FEW).collect::<Vec<_>>() {
-                    self.say(&word::idle(&member), Some(&connection));
+                    self.say(&message::idle(&member), Some(&connection));
                 }
             }
             clients.into_iter().for_each(|client| self.send(client));
             // Those that still come from the process before this one have to go on, too.
-            let coming = self.clients.coming.load(Ordering::Acquire);
+            let coming = self.clients.receiving_transfers.load(Ordering::Acquire);
             self.giver.left(self.clients.present() + usize::from(coming));
             while let Some(step) = self.giver.step(self.clients.clock.now()) {
                 if self.carry_out(step, tell) {
@@ -115,10 +115,10 @@
     fn hear(&mut self) {
         let mut wait = LOOK;
         for _ in 0..4 * A_FEW {
-            match self.line.receive(LONGEST, wait) {
-                Ok(Came::Word(word, _)) => word::to_giver(&word, &mut self.giver),
-                Ok(Came::Nothing) => return,
-                Ok(Came::End) => return self.giver.gone(),
+            match self.line.receive(MAX_MESSAGE_LEN, wait) {
+                Ok(Received::Packet(word, _)) => message::deliver_to_old(&word, &mut self.giver),
+                Ok(Received::TimedOut) => return,
+                Ok(Received::Closed) => return self.giver.gone(),
                 Err(_) => return self.giver.nonsense(),
             }
             wait = Duration::ZERO;
@@ -136,7 +136,7 @@
     /// What this front knows; nothing where the desk is late.
     fn memory(&self) -> Vec<u8> {
         let (tell, told) = sync_channel(1);
-        self.clients.clock.post(&self.clients.desk, ToDesk::Remember(tell));
+        self.clients.clock.post(&self.clients.dispatcher, DispatcherMessage::TakeSnapshot(tell));
         let memory = told.recv_timeout(KNOWS).map_err(|e| e.to_string()).and_then(|memory| memory);
         memory.unwrap_or_else(|why| {
             slog::warn!(self.log, "the new process has to learn anew"; "why" => why);
@@ -148,10 +148,10 @@
     fn send(&mut self, client: ClientTransfer) {
         let ClientTransfer { number, descriptor, unread, open, skipping, result } = client;
         let sent = self.giver.moves()
-            && unread.chunks(LONGEST - 1).all(|piece| self.say(&word::unread(piece), None))
-            && self.say(&word::client(number, open, skipping), Some(&descriptor));
+            && unread.chunks(MAX_MESSAGE_LEN - 1).all(|piece| self.say(&message::unread(piece), None))
+            && self.say(&message::client(number, open, skipping), Some(&descriptor));
         if !sent {
-            result.tell(false);
+            result.complete(false);
             return;
         }
         self.away.insert(number, result);
@@ -161,35 +161,40 @@
     /// True once all is over.
     fn carry_out(&mut self, step: Do, tell: &SyncSender<Result<u32, String>>) -> bool {
         match step {
-            Do::Agree(version) => drop(self.say(&word::agree(version), None)),
+            Do::Agree(version) => drop(self.say(&message::agree(version), None)),
             Do::Offer => match self.door.descriptor() {
                 Ok(listener) => {
                     let memory = self.memory();
-                    let whole = memory.chunks(LONGEST - 1).all(|piece| self.say(&word::memory(piece), None));
+                    let whole = memory
+                        .chunks(MAX_MESSAGE_LEN - 1)
+                        .all(|piece| self.say(&message::memory(piece), None));
                     if whole
-                        && self.say(&word::memory(&[]), None)
-                        && self.say(&word::listener(), Some(&listener))
+                        && self.say(&message::memory(&[]), None)
+                        && self.say(&message::listener(), Some(&listener))
                     {
-                        self.clients.move_to(self.mover.clone());
+                        self.clients.start_transfer(self.mover.clone());
                     }
                 }
                 Err(_) => self.giver.call_off(),
             },
-            Do::Gather => self.clients.move_all(),
+            Do::Gather => self.clients.transfer_all(),
             Do::Commit => {
-                if self.say(&word::commit(), None) {
-                    self.clients.shut.store(true, Ordering::Release);
+                if self.say(&message::commit(), None) {
+                    self.clients.stop_accepting.store(true, Ordering::Release);
                     let bell = self.door.bell();
-                    self.clients.clock.at(Duration::ZERO, move || bell.ring());
+                    self.clients.clock.run_at(Duration::ZERO, move || bell.ring());
                     // The new process needs the address, and speaks in this place from now on.
-                    self.clients.tell_fellows(ToFellows::Leave);
-                    self.clients.clock.post(&self.clients.desk, ToDesk::Give(self.idles.0.clone()));
+                    self.clients.send_to_membership(MembershipMessage::Leave);
+                    self.clients.clock.post(
+                        &self.clients.dispatcher,
+                        DispatcherMessage::TransferIdle(self.idles.0.clone()),
+                    );
                     slog::info!(self.log, "handed over"; "clients" => self.away.len(), "pid" => self.child.id());
                     let _ = tell.try_send(Ok(self.child.id()));
                 }
             }
-            Do::Release(client) => self.away.remove(&client).iter().for_each(|result| result.tell(true)),
-            Do::Keep(client) => self.away.remove(&client).iter().for_each(|result| result.tell(false)),
+            Do::Release(client) => self.away.remove(&client).iter().for_each(|result| result.complete(true)),
+            Do::Keep(client) => self.away.remove(&client).iter().for_each(|result| result.complete(false)),
             Do::Resume => self.resume(),
             Do::Leave => {
                 slog::info!(self.log, "the last client has moved");
@@ -203,11 +208,11 @@
 
     /// Serves on: clients stay, and new ones are taken in again.
     fn resume(&mut self) {
-        self.clients.stay();
+        self.clients.stop_transfer();
         while let Ok(client) = self.moves.try_recv() {
-            client.result.tell(false);
+            client.result.complete(false);
         }
-        let committed = self.clients.shut.load(Ordering::Acquire);
+        let committed = self.clients.stop_accepting.load(Ordering::Acquire);
         // One that ends closes its line a moment before it is gone.
         let begun = Instant::now();
         while committed && matches!(self.child.try_wait(), Ok(None)) && begun.elapsed() < ENDS {
@@ -222,13 +227,15 @@
         }
         let _ = self.child.kill();
         let _ = self.child.wait();
-        if self.clients.shut.swap(false, Ordering::AcqRel) {
-            while self.clients.acceptor.load(Ordering::Acquire) {
+        if self.clients.stop_accepting.swap(false, Ordering::AcqRel) {
+            while self.clients.acceptor_running.load(Ordering::Acquire) {
                 std::thread::sleep(LOOK);
             }
-            self.clients.tell_fellows(ToFellows::Enter);
+            self.clients.send_to_membership(MembershipMessage::Join);
             let (clients, door) = (self.clients.clone(), self.door.clone());
-            if let Err(why) = spawn("acceptor", CONNECTION_STACK, move || clients.accept_until_shut(&door)) {
+            if let Err(why) =
+                spawn("acceptor", CONNECTION_STACK_BYTES, move || clients.accept_until_stopped(&door))
+            {
                 slog::crit!(self.log, "nobody can be taken in any more"; "why" => why);
             }
         }
@@ -245,7 +252,7 @@
 
 /// The new process's side.
 pub struct Taking {
-    line: Line,
+    line: PacketSocket,
     taker: Taker,
     with: Option<OwnedFd>,
     listener: Option<TcpListener>,
@@ -257,7 +264,7 @@
     why: Option<&'static str>,
 }
 
-impl Hears for Taking {
+impl MessageHandler for Taking {
     fn agreed(&mut self, version: u16) {
         if !self.taker.agreed(version) {
             self.why = Some("no version that both speak");
@@ -290,7 +297,7 @@
         };
         self.coming.push(Coming { stream: TcpStream::from(fd), unread, open, skipping });
         // From here on it is this process's, should it serve.
-        let _ = self.line.send(&word::took(number), None);
+        let _ = self.line.send(&message::client_received(number), None);
     }
 
     fn idle(&mut self, member: &str) {
@@ -313,7 +320,7 @@
     /// Greets the process that is to be succeeded, if this one was started to do so.
     pub fn begin() -> Option<Result<Taking, String>> {
         std::env::var_os(TAKES_OVER)?;
-        let line = std::io::stdin().as_fd().try_clone_to_owned().map(Line::of);
+        let line = std::io::stdin().as_fd().try_clone_to_owned().map(PacketSocket::from_fd);
         Some(line.map_err(|e| format!("standard input: {e}")).and_then(|line| {
             let (unread, coming, memory) = (Vec::new(), Vec::new(), Vec::new());
             let mut taking = Taking {
@@ -327,7 +334,7 @@
                 idle: Vec::new(),
                 why: None,
             };
-            taking.line.send(&word::hello(SPOKEN.0, SPOKEN.1), None)?;
+            taking.line.send(&message::hello(SUPPORTED_VERSIONS.0, SUPPORTED_VERSIONS.1), None)?;
             taking.until(Stage::Preparing)?;
             Ok(taking)
         }))
@@ -346,13 +353,13 @@
     }
 
     fn word(&mut self, wait: Duration) -> Result<(), String> {
-        match self.line.receive(LONGEST, wait)? {
-            Came::Word(word, with) => {
+        match self.line.receive(MAX_MESSAGE_LEN, wait)? {
+            Received::Packet(word, with) => {
                 self.with = with;
-                word::to_taker(&word, self);
+                message::deliver_to_new(&word, self);
             }
-            Came::Nothing => {}
-            Came::End => {
+            Received::TimedOut => {}
+            Received::Closed => {
                 if !self.taker.gone() {
                     return Err("the old process goes on without this one".to_owned());
                 }
@@ -364,7 +371,7 @@
 
     /// Says that this process could serve, and waits for the listener.
     pub fn listener(&mut self) -> Result<TcpListener, String> {
-        self.line.send(&word::ready(), None)?;
+        self.line.send(&message::ready(), None)?;
         self.until(Stage::Holding)?;
         self.listener.take().ok_or_else(|| "no listener came".to_owned())
     }
@@ -373,23 +380,26 @@
     pub fn serve(mut self, clients: &Arc<SharedClients>) -> Result<(), String> {
         self.until(Stage::Serving)?;
         if !self.memory.is_empty() {
-            clients.clock.post(&clients.desk, ToDesk::Recall(std::mem::take(&mut self.memory)));
+            clients.clock.post(
+                &clients.dispatcher,
+                DispatcherMessage::RestoreSnapshot(std::mem::take(&mut self.memory)),
+            );
         }
         self.take_in(clients);
         let clients = clients.clone();
-        clients.coming.store(true, Ordering::Release);
+        clients.receiving_transfers.store(true, Ordering::Release);
         std::thread::spawn(move || {
             while self.word(WORD).is_ok() {
                 self.take_in(&clients);
             }
-            clients.coming.store(false, Ordering::Release);
+            clients.receiving_transfers.store(false, Ordering::Release);
         });
         Ok(())
     }
 
     fn take_in(&mut self, clients: &Arc<SharedClients>) {
         for (member, stream) in self.idle.drain(..) {
-            clients.clock.post(&clients.desk, ToDesk::Take(member, stream));
+            clients.clock.post(&clients.dispatcher, DispatcherMessage::AdoptConnection(member, stream));
         }
         // Those sent last ask most: they are not to wait behind the others.
         for client in self.coming.drain(..).rev() {
--- a/crates/front/src/worker_watch.rs
+++ b/crates/front/src/worker_watchdog.rs
@@ -147,5 +147,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/worker_watch.rs"]
+#[path = "../tests/unit/worker_watchdog.rs"]
 mod tests;
--- a/crates/front/tests/calls.rs
+++ b/crates/front/tests/calls.rs
@@ -1,5 +1,6 @@
 //! The machine's calls fail for a while, through a library of ours in the process: nothing that passes ends anything.
 
+use cluster::{PROGRAM, TestCluster, wait_until};
 use juniperdock_fault_controls::{Controls, preload};
 use juniperdock_test_support::{Client, Front, PATIENCE, address, message, txn};
 use std::io::Write;
@@ -7,9 +8,8 @@
 use std::path::PathBuf;
 use std::process::Command;
 use std::time::{Duration, Instant};
-use town::{PROGRAM, Town, until};
 
-mod town;
+mod cluster;
 
 /// Every call that these faults can meet does.
 const ALL: u32 = 65_536;
@@ -29,15 +29,15 @@
         controls.write(&self.0).expect("a file");
     }
 
-    fn front(&self, town: &Town) -> Front {
-        self.front_with(town, None)
+    fn front(&self, cluster: &TestCluster) -> Front {
+        self.front_with(cluster, None)
     }
 
     /// With the text of an operators' file.
-    fn front_with(&self, town: &Town, charter: Option<&str>) -> Front {
+    fn front_with(&self, cluster: &TestCluster, charter: Option<&str>) -> Front {
         let environment = preload(&self.0).expect("the library");
-        let config = Front::config(&town.known, 1024);
-        Front::with_environment(PROGRAM, address(), town.agent.at, &config, charter, &environment)
+        let config = Front::config(&cluster.server_list, 1024);
+        Front::with_environment(PROGRAM, address(), cluster.agent.at, &config, charter, &environment)
     }
 }
 
@@ -49,27 +49,27 @@
 
 #[test]
 fn a_process_that_starts_while_the_machine_has_no_sockets_serves_once_it_has() {
-    let town = Town::new();
+    let cluster = TestCluster::new();
     let faults = Faults::new("start", Controls { fails: ALL, ..Controls::default() });
-    let front = faults.front(&town);
+    let front = faults.front(&cluster);
     let started = Instant::now();
-    until(|| started.elapsed() > Duration::from_millis(600));
+    wait_until(|| started.elapsed() > Duration::from_millis(600));
     faults.set(Controls::default());
-    until(|| front.client().ask(&txn("order", 3000, "w")).value.is_some());
+    wait_until(|| front.client().ask(&txn("order", 3000, "w")).value.is_some());
 }
 
 #[test]
 fn a_failed_wait_for_a_signal_ends_no_process() {
     for seed in 1..9 {
-        let town = Town::new();
+        let cluster = TestCluster::new();
         let faults = Faults::new("signal", Controls { seed, fails: ALL / 2, ..Controls::default() });
-        let front = faults.front(&town);
+        let front = faults.front(&cluster);
         // It waits for signals once it serves; every other read fails by then.
-        until(|| TcpStream::connect(front.at).is_ok());
+        wait_until(|| TcpStream::connect(front.at).is_ok());
         let serves = Instant::now();
-        until(|| serves.elapsed() > Duration::from_millis(100));
+        wait_until(|| serves.elapsed() > Duration::from_millis(100));
         faults.set(Controls::default());
-        until(|| front.client().ask(&txn("order", 3000, "w")).value.is_some());
+        wait_until(|| front.client().ask(&txn("order", 3000, "w")).value.is_some());
         front.signal("-TERM");
         assert!(front.end().0);
     }
@@ -77,16 +77,16 @@
 
 #[test]
 fn a_disk_that_fails_leaves_the_last_whole_snapshot() {
-    let town = Town::new();
+    let cluster = TestCluster::new();
     let faults = Faults::new("disk", Controls::default());
     let snapshot = std::env::temp_dir().join(format!("jd-calls-snapshot-{}", std::process::id()));
     let charter = format!("{{ snapshot: {{ path: {:?}, every_s: 1 }} }}", snapshot.display().to_string());
-    let front = faults.front_with(&town, Some(&charter));
-    until(|| snapshot.exists());
+    let front = faults.front_with(&cluster, Some(&charter));
+    wait_until(|| snapshot.exists());
     faults.set(Controls { disk: ALL / 2, ..Controls::default() });
     // Five more are due; whichever of them comes to its end, what lies there is whole.
     let fails = Instant::now();
-    until(|| {
+    wait_until(|| {
         let shown = Command::new(PROGRAM).args(["snapshot", "show"]).arg(&snapshot).output();
         assert!(shown.expect("it runs").status.success(), "a snapshot that is not whole");
         fails.elapsed() > Duration::from_secs(5)
@@ -100,10 +100,10 @@
 
 #[test]
 fn shortages_of_the_machine_end_no_connection_of_a_client() {
-    let town = Town::new();
+    let cluster = TestCluster::new();
     let faults = Faults::new("short", Controls::default());
-    let front = faults.front(&town);
-    until(|| front.client().ask(&txn("order", 3000, "w")).value.is_some());
+    let front = faults.front(&cluster);
+    wait_until(|| front.client().ask(&txn("order", 3000, "w")).value.is_some());
     let mut client = front.client();
     faults.set(Controls { fails: SOME, short: SOME, interrupted: SOME, ..Controls::default() });
     for i in 0..60 {
@@ -120,11 +120,11 @@
 /// once and behind no piece of another; so do their answers.
 #[test]
 fn long_statements_that_are_moved_in_parts_arrive_whole() {
-    let town = Town::new();
+    let cluster = TestCluster::new();
     let faults = Faults::new("parts", Controls::default());
-    let front = faults.front(&town);
-    until(|| front.client().ask(&txn("order", 3000, "w")).value.is_some());
-    town.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
+    let front = faults.front(&cluster);
+    wait_until(|| front.client().ask(&txn("order", 3000, "w")).value.is_some());
+    cluster.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
     faults.set(Controls { short: ALL, interrupted: SOME, ..Controls::default() });
     let mut client = front.client();
     let long = format!("\\x{}", "9f03".repeat(16 << 10));
@@ -134,7 +134,7 @@
         assert!(reply.value.is_some() && reply.last == b'Z', "{:?} {:?}", reply.code, reply.detail);
     }
     faults.set(Controls::default());
-    let seen: Vec<String> = town.members.iter().flat_map(|member| member.seen.try_iter()).collect();
+    let seen: Vec<String> = cluster.members.iter().flat_map(|member| member.seen.try_iter()).collect();
     for i in 0..6 {
         let its: Vec<&String> = seen.iter().filter(|seen| seen.contains(&format!("id=part{i},"))).collect();
         assert_eq!(its.len(), 1, "statement {i} arrives once");
@@ -150,10 +150,10 @@
 
 #[test]
 fn who_comes_while_a_process_ends_is_answered_though_calls_are_interrupted() {
-    let town = Town::new();
+    let cluster = TestCluster::new();
     let faults = Faults::new("ends", Controls::default());
-    let front = faults.front(&town);
-    until(|| front.client().ask(&txn("lookup", 3000, "r")).value.is_some());
+    let front = faults.front(&cluster);
+    wait_until(|| front.client().ask(&txn("lookup", 3000, "r")).value.is_some());
     faults.set(Controls { interrupted: ALL / 2, ..Controls::default() });
     front.signal("-TERM");
     let told = Instant::now();
--- a/crates/front/tests/clocks.rs
+++ b/crates/front/tests/clocks.rs
@@ -1,28 +1,28 @@
 //! The wall clock of a process is off when it starts, by seconds or an hour: it serves all the same, and reads nothing
 //! that is older than allowed.
 
+use cluster::{PROGRAM, TestCluster, wait_until};
 use juniperdock_connection::spawn;
 use juniperdock_fault_controls::{Controls, preload};
 use juniperdock_front::clock::Clock;
-use juniperdock_server_clock::{Told, Verdict};
+use juniperdock_server_clock::{PositionSample, Verdict};
 use juniperdock_test_support::{Front, address, txn};
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
-use town::{PROGRAM, Town, until};
 
-mod town;
+mod cluster;
 
 /// A front whose wall clock is off by so much, for as long as it runs.
-fn with_clock_off(town: &Town, name: &str, off_ms: i64) -> Front {
-    with_clock_off_and(town, name, off_ms, None)
+fn with_clock_off(cluster: &TestCluster, name: &str, off_ms: i64) -> Front {
+    with_clock_off_and(cluster, name, off_ms, None)
 }
 
-fn with_clock_off_and(town: &Town, name: &str, off_ms: i64, charter: Option<&str>) -> Front {
+fn with_clock_off_and(cluster: &TestCluster, name: &str, off_ms: i64, charter: Option<&str>) -> Front {
     let file = std::env::temp_dir().join(format!("jd-clock-{name}-{}", std::process::id()));
     Controls { wall_clock_ms: off_ms, ..Controls::default() }.write(&file).expect("a file");
     let environment = preload(&file).expect("the library");
-    let config = Front::config(&town.known, 1024);
-    let front = Front::with_environment(PROGRAM, address(), town.agent.at, &config, charter, &environment);
+    let config = Front::config(&cluster.server_list, 1024);
+    let front = Front::with_environment(PROGRAM, address(), cluster.agent.at, &config, charter, &environment);
     drop(front.client());
     let _ = std::fs::remove_file(file);
     front
@@ -37,10 +37,10 @@
 #[test]
 fn a_wall_clock_that_is_off_at_the_start_keeps_nobody_from_being_served() {
     for (name, off_ms) in [("a", -3_600_000), ("b", -10_000), ("c", -1000), ("d", 1000), ("e", 3_600_000)] {
-        let town = Town::new();
-        let front = with_clock_off(&town, name, off_ms);
-        until(|| front.client().ask(&txn("order", 3000, "w")).value.is_some());
-        until(|| front.client().ask(&txn("lookup", 3000, "r")).value.is_some());
+        let cluster = TestCluster::new();
+        let front = with_clock_off(&cluster, name, off_ms);
+        wait_until(|| front.client().ask(&txn("order", 3000, "w")).value.is_some());
+        wait_until(|| front.client().ask(&txn("lookup", 3000, "r")).value.is_some());
         let served = reads_served(&front, 20);
         assert!(served >= 18, "{served} of 20 with a clock that is off by {off_ms} ms");
     }
@@ -50,8 +50,8 @@
 #[test]
 fn what_waits_while_a_clock_is_corrected_is_served() {
     for (name, off_ms) in [("h", -3_600_000), ("i", -10_000), ("j", -1000)] {
-        let town = Town::new();
-        let front = with_clock_off(&town, name, off_ms);
+        let cluster = TestCluster::new();
+        let front = with_clock_off(&cluster, name, off_ms);
         let served = std::thread::scope(|scope| {
             let asked: Vec<_> = (0..24)
                 .map(|i| {
@@ -69,20 +69,20 @@
 /// What a process knew is as old as it is for the next one, whatever was done to the wall clock in between.
 #[test]
 fn a_snapshot_is_as_old_as_it_is_whatever_the_wall_clock_says() {
-    let town = Town::new();
+    let cluster = TestCluster::new();
     let file = std::env::temp_dir().join(format!("jd-clocks-snapshot-{}", std::process::id()));
     let charter = format!("{{ snapshot: {{ path: {:?}, every_s: 1 }} }}", file.display().to_string());
     let ended = |front: Front| {
         front.signal("-TERM");
         front.end().1
     };
-    let first = with_clock_off_and(&town, "k", 0, Some(&charter));
+    let first = with_clock_off_and(&cluster, "k", 0, Some(&charter));
     assert!(first.client().ask(&txn("order", 3000, "w")).value.is_some());
-    until(|| file.exists());
+    wait_until(|| file.exists());
     ended(first);
     for (name, off_ms) in [("l", -3_600_000), ("m", 3_600_000)] {
         let kept = std::fs::read(&file).expect("a snapshot");
-        let text = ended(with_clock_off_and(&town, name, off_ms, Some(&charter)));
+        let text = ended(with_clock_off_and(&cluster, name, off_ms, Some(&charter)));
         assert!(text.contains("a snapshot is taken up"), "clock off by {off_ms} ms: {text}");
         std::fs::write(&file, kept).expect("a file");
     }
@@ -92,17 +92,17 @@
 #[test]
 fn with_a_wall_clock_that_is_behind_no_replica_is_read_beyond_its_bound() {
     for (name, off_ms) in [("f", -1000), ("g", -10_000)] {
-        let town = Town::new();
-        let front = with_clock_off(&town, name, off_ms);
-        until(|| front.client().ask(&txn("order", 3000, "w")).value.is_some());
-        town.members[1].stand_still();
-        town.members[2].stand_still();
+        let cluster = TestCluster::new();
+        let front = with_clock_off(&cluster, name, off_ms);
+        wait_until(|| front.client().ask(&txn("order", 3000, "w")).value.is_some());
+        cluster.members[1].stand_still();
+        cluster.members[2].stand_still();
         // The bound is 300 ms; what the replicas have is older by then.
         let stood = Instant::now();
-        until(|| stood.elapsed() > Duration::from_millis(700));
-        town.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
+        wait_until(|| stood.elapsed() > Duration::from_millis(700));
+        cluster.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
         let served = reads_served(&front, 30);
-        let stale = town.members[1..].iter().flat_map(|member| member.seen.try_iter()).count();
+        let stale = cluster.members[1..].iter().flat_map(|member| member.seen.try_iter()).count();
         assert_eq!(stale, 0, "reads of old data, clock off by {off_ms} ms");
         assert!(served >= 20, "{served} of 30 at the primary");
     }
@@ -110,10 +110,10 @@
 
 #[test]
 fn one_server_whose_clock_is_ahead_changes_nothing_for_the_others() {
-    let town = Town::new();
-    let front = town.front();
-    until(|| front.client().ask(&txn("order", 3000, "w")).value.is_some());
-    town.members[2].stand_at(Duration::from_secs(3600));
+    let cluster = TestCluster::new();
+    let front = cluster.start_front();
+    wait_until(|| front.client().ask(&txn("order", 3000, "w")).value.is_some());
+    cluster.members[2].stand_at(Duration::from_secs(3600));
     let served = reads_served(&front, 40);
     assert!(served >= 36, "{served} of 40");
     assert!(front.client().ask(&txn("order", 3000, "w2")).value.is_some());
@@ -123,7 +123,7 @@
 fn ahead_by(clock: &Clock, by: Duration) -> Verdict {
     let told = |server| {
         let now = clock.now();
-        Told { server, position: now + by, primary: true, asked: now, now }
+        PositionSample { server, position: now + by, primary: true, asked: now, now }
     };
     clock.judge(told(0));
     clock.judge(told(1))
@@ -136,13 +136,13 @@
     spawn("clock", 64 << 10, ring).expect("a coroutine");
     let (rung, rings) = channel();
     let (begun, before) = (Instant::now(), clock.now());
-    clock.at(before + HOUR / 2, move || {
+    clock.run_at(before + HOUR / 2, move || {
         let _ = rung.send(());
     });
     assert!(matches!(ahead_by(&clock, HOUR), Verdict::Behind(by) if by >= HOUR));
     // One that is due soon rings all the same, so the thread has looked at all that is due.
     let (soon, is_due) = channel();
-    clock.at(clock.now() + Duration::from_millis(50), move || {
+    clock.run_at(clock.now() + Duration::from_millis(50), move || {
         let _ = soon.send(());
     });
     is_due.recv_timeout(Duration::from_secs(20)).expect("it is due");
--- a/crates/front/tests/town/mod.rs
+++ b/crates/front/tests/cluster/mod.rs
@@ -7,21 +7,21 @@
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_juniperdock");
 
 /// One group: member 0 is its primary, 1 and 2 are replicas.
-pub struct Town {
+pub struct TestCluster {
     pub agent: Agent,
     pub members: Vec<Member>,
-    pub known: String,
+    pub server_list: String,
 }
 
-impl Town {
-    pub fn new() -> Town {
-        Town::told(WATCH)
+impl TestCluster {
+    pub fn new() -> TestCluster {
+        TestCluster::with_response_head(WATCH)
     }
 
-    pub fn told(head: &'static str) -> Town {
+    pub fn with_response_head(head: &'static str) -> TestCluster {
         let members: Vec<Member> = (0..3).map(|i| Member::start(i == 0)).collect();
-        let known = Town::list(&members, 1, ["up"; 3]);
-        Town { agent: Agent::start(head), members, known }
+        let server_list = TestCluster::list(&members, 1, ["up"; 3]);
+        TestCluster { agent: Agent::start(head), members, server_list }
     }
 
     pub fn list(members: &[Member], version: u64, states: [&str; 3]) -> String {
@@ -30,26 +30,26 @@
         list(version, true, &entries)
     }
 
-    pub fn front(&self) -> Front {
-        Front::start(PROGRAM, self.agent.at, &self.known, 1024)
+    pub fn start_front(&self) -> Front {
+        Front::start(PROGRAM, self.agent.at, &self.server_list, 1024)
     }
 
-    pub fn tell(&self, version: u64, states: [&str; 3]) {
-        self.agent.tell(Town::list(&self.members, version, states));
+    pub fn publish_list(&self, version: u64, states: [&str; 3]) {
+        self.agent.tell(TestCluster::list(&self.members, version, states));
     }
 
     /// The next txn that a member is sent.
-    pub fn sent(&self, member: usize) -> String {
+    pub fn next_txn(&self, member: usize) -> String {
         self.members[member].seen.recv_timeout(PATIENCE).expect("a txn goes there")
     }
 
-    pub fn quiet(&self, member: usize) -> bool {
+    pub fn received_nothing(&self, member: usize) -> bool {
         self.members[member].seen.try_recv().is_err()
     }
 }
 
 /// Asks until an answer is as it should be.
-pub fn until(mut good: impl FnMut() -> bool) {
+pub fn wait_until(mut good: impl FnMut() -> bool) {
     let begun = Instant::now();
     while !good() {
         assert!(begun.elapsed() < PATIENCE, "it does not come about");
--- a/crates/front/tests/connects.rs
+++ b/crates/front/tests/connects.rs
@@ -1,13 +1,13 @@
 //! Connections to servers that never come up: their time-outs keep nobody else from having its turn.
 
+use cluster::{PROGRAM, wait_until};
 use juniperdock_test_support::{Front, address, list, txn};
 use socket2::{Domain, SockAddr, Socket, Type};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::{Duration, Instant};
-use town::{PROGRAM, until};
 
-mod town;
+mod cluster;
 
 /// A machine that is itself stopped for a moment looks the same to the process.
 const FOREIGN_DELAYS: u64 = 2;
@@ -34,7 +34,7 @@
             sockets.push(filler);
         }
         let server = SilentServer { at, _sockets: sockets };
-        until(|| server.is_silent());
+        wait_until(|| server.is_silent());
         server
     }
 
@@ -64,7 +64,7 @@
     let mut client = front.client();
     client.say(&txn("order", 30_000, "waits"));
     let begun = Instant::now();
-    until(|| begun.elapsed() > Duration::from_secs(8));
+    wait_until(|| begun.elapsed() > Duration::from_secs(8));
     drop(client);
     front.signal("-TERM");
     let (well, text) = front.end();
--- a/crates/front/tests/discovery.rs
+++ b/crates/front/tests/discovery.rs
@@ -1,13 +1,13 @@
 //! Discovery that goes away and comes back, by several ways of failing, while descriptors are short and while fronts
 //! start.
 
+use cluster::{PROGRAM, TestCluster, wait_until};
 use juniperdock_test_support::{Client, Front, PATIENCE, address, txn};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
-use town::{PROGRAM, Town, until};
 
-mod town;
+mod cluster;
 
 /// A change counts as told so long after discovery had it and could be reached.
 const TOLD_AFTER: Duration = Duration::from_secs(6);
@@ -23,24 +23,24 @@
     stream
 }
 
-fn list(town: &Town, version: u64, states: [&str; 3]) -> String {
-    let list = Town::list(&town.members, version, states);
+fn list(cluster: &TestCluster, version: u64, states: [&str; 3]) -> String {
+    let list = TestCluster::list(&cluster.members, version, states);
     format!("{HEAD}{:x}\r\n{list}\n\r\n", list.len() + 1)
 }
 
 /// Reads are served by nobody but the primary from some time on, within what counts as told.
-fn drains_are_in_force(town: &Town, front: &Front, since: Instant) {
+fn drains_are_in_force(cluster: &TestCluster, front: &Front, since: Instant) {
     let mut client = front.client();
-    until(|| {
-        town.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
+    wait_until(|| {
+        cluster.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
         let _ = client.ask(&txn("lookup", 20_000, "r"));
-        town.members[0].seen.try_iter().count() > 0
+        cluster.members[0].seen.try_iter().count() > 0
     });
     assert!(since.elapsed() < TOLD_AFTER, "{:?}", since.elapsed());
     for _ in 0..20 {
         assert!(client.ask(&txn("lookup", 20_000, "r")).value.is_some());
     }
-    assert!(town.quiet(1) && town.quiet(2));
+    assert!(cluster.received_nothing(1) && cluster.received_nothing(2));
 }
 
 /// How calls fail while discovery is down.
@@ -87,18 +87,18 @@
 #[test]
 fn whatever_calls_failed_before_a_change_is_in_force_in_time_once_discovery_is_back() {
     for how in [Failure::Refused, Failure::Reset, Failure::Error, Failure::Silent, Failure::EndlessHead] {
-        let town = Town::new();
+        let cluster = TestCluster::new();
         let at = address();
         let listener = TcpListener::bind(at).expect("a free address");
-        let front = Front::start(PROGRAM, at, &town.known, 1024);
-        let watch = answer_watch(&listener, &list(&town, 1, ["up"; 3]));
-        until(|| front.client().ask(&txn("order", 20_000, "first")).value.is_some());
+        let front = Front::start(PROGRAM, at, &cluster.server_list, 1024);
+        let watch = answer_watch(&listener, &list(&cluster, 1, ["up"; 3]));
+        wait_until(|| front.client().ask(&txn("order", 20_000, "first")).value.is_some());
         drop((watch, listener));
         fail(at, how);
         let listener = TcpListener::bind(at).expect("its address");
         let back = Instant::now();
-        let _watch = answer_watch(&listener, &list(&town, 2, ["up", "draining", "draining"]));
-        drains_are_in_force(&town, &front, back);
+        let _watch = answer_watch(&listener, &list(&cluster, 2, ["up", "draining", "draining"]));
+        drains_are_in_force(&cluster, &front, back);
     }
 }
 
@@ -111,19 +111,19 @@
 #[test]
 fn while_idle_clients_fill_the_descriptors_the_watch_comes_back_and_servers_are_reached() {
     const SOCKETS: usize = 64;
-    let town = Town::new();
+    let cluster = TestCluster::new();
     let at = address();
     let listener = TcpListener::bind(at).expect("a free address");
-    let front = Front::start(PROGRAM, at, &town.known, SOCKETS as u32);
-    let watch = answer_watch(&listener, &list(&town, 1, ["up"; 3]));
-    until(|| front.client().ask(&txn("order", 20_000, "first")).value.is_some());
+    let front = Front::start(PROGRAM, at, &cluster.server_list, SOCKETS as u32);
+    let watch = answer_watch(&listener, &list(&cluster, 1, ["up"; 3]));
+    wait_until(|| front.client().ask(&txn("order", 20_000, "first")).value.is_some());
     drop((watch, listener));
     // All that the front had open to its servers ends too.
-    town.members.iter().for_each(juniperdock_test_support::Member::cut);
+    cluster.members.iter().for_each(juniperdock_test_support::Member::cut);
     let mut idle = fill(&front, SOCKETS);
     let listener = TcpListener::bind(at).expect("its address");
     let back = Instant::now();
-    let _watch = answer_watch(&listener, &list(&town, 2, ["up", "draining", "draining"]));
+    let _watch = answer_watch(&listener, &list(&cluster, 2, ["up", "draining", "draining"]));
     assert!(back.elapsed() < TOLD_AFTER, "{:?}", back.elapsed());
     // Some of them were there to the end: their place is still filled.
     idle.retain_mut(|stream| {
@@ -133,7 +133,7 @@
     assert!(idle.len() >= SOCKETS / 8, "{}", idle.len());
     // Who speaks finds a place, and its server is reached.
     let patience = Duration::from_millis(500);
-    until(|| {
+    wait_until(|| {
         Client::open_within(front.at, patience)
             .is_some_and(|mut c| c.ask(&txn("order", 2_000, "now")).value.is_some())
     });
@@ -142,14 +142,14 @@
 
 #[test]
 fn nine_of_ten_fronts_that_are_killed_at_once_are_ready_in_time_without_discovery() {
-    let town = Town::new();
+    let cluster = TestCluster::new();
     // It takes connections and never answers.
     let silent = TcpListener::bind(address()).expect("a free address");
     let agent = silent.local_addr().expect("an address");
     // Most of the servers are gone, too.
-    town.members[1].welcome(false);
-    town.members[2].welcome(false);
-    let start = |at| Front::again(PROGRAM, at, agent, &town.known, 1024, None);
+    cluster.members[1].welcome(false);
+    cluster.members[2].welcome(false);
+    let start = |at| Front::again(PROGRAM, at, agent, &cluster.server_list, 1024, None);
     let fronts: Vec<Front> = (0..10).map(|_| start(address())).collect();
     fronts.iter().for_each(|front| drop(front.client()));
     let places: Vec<SocketAddr> = fronts.iter().map(|front| front.at).collect();
@@ -159,7 +159,7 @@
     let fronts: Vec<Front> = places.into_iter().map(start).collect();
     let mut in_time = 0;
     for front in &fronts {
-        until(|| Client::open_within(front.at, PATIENCE).is_some());
+        wait_until(|| Client::open_within(front.at, PATIENCE).is_some());
         in_time += usize::from(begun.elapsed() < Duration::from_secs(10));
     }
     assert!(in_time >= 9, "{in_time} of 10");
@@ -169,10 +169,10 @@
 
 #[test]
 fn a_discovery_that_says_it_is_overloaded_is_called_ever_less_often_and_in_time_when_it_is_not() {
-    let town = Town::new();
+    let cluster = TestCluster::new();
     let listener = TcpListener::bind(address()).expect("a free address");
     let at = listener.local_addr().expect("an address");
-    let front = Front::start(PROGRAM, at, &town.known, 1024);
+    let front = Front::start(PROGRAM, at, &cluster.server_list, 1024);
     let begun = Instant::now();
     let mut calls = 0;
     while begun.elapsed() < Duration::from_secs(10) {
@@ -182,6 +182,6 @@
     // Some times a second, as after other failures, would be eighty.
     assert!((3..=10).contains(&calls), "{calls}");
     let back = Instant::now();
-    let _watch = answer_watch(&listener, &list(&town, 2, ["up", "draining", "draining"]));
-    drains_are_in_force(&town, &front, back);
+    let _watch = answer_watch(&listener, &list(&cluster, 2, ["up", "draining", "draining"]));
+    drains_are_in_force(&cluster, &front, back);
 }
--- a/crates/front/tests/desk.rs
+++ b/crates/front/tests/dispatcher.rs
@@ -3,14 +3,14 @@
 use juniperdock_connection::{BufferLimits, Link};
 use juniperdock_front::clock::Clock;
 use juniperdock_front::counters::Counters;
-use juniperdock_front::desk::{Desk, Hire};
-use juniperdock_front::mail::{Answer, Arrival, Job, ToDesk, ToMember};
+use juniperdock_front::dispatcher::{Dispatcher, SpawnMember};
 use juniperdock_front::mailbox::Mailbox;
+use juniperdock_front::messages::{Answer, Arrival, DispatcherMessage, Job, MemberMessage};
 use juniperdock_front::request_log::RequestLog;
 use juniperdock_request_guard::{ClientPresence, RequestGuard};
-use juniperdock_router::host::Ending;
+use juniperdock_router::host::AttemptOutcome;
 use juniperdock_router::host::Role;
-use juniperdock_router::host::{ColdStart, Effect, Level, Report, Standing, TxnType};
+use juniperdock_router::host::{ColdStart, Consistency, Effect, FrontInfo, Report, TxnType};
 use juniperdock_router::routing::Router;
 use juniperdock_server_list::{ProbeLimits, ProbeQueue, ServerList};
 use may::sync::mpsc::channel;
@@ -21,7 +21,7 @@
 fn list(at: SocketAddr) -> ServerList {
     let entry = format!(r#"{{"id":"m","addr":"{at}","cell":3,"state":"up"}}"#);
     let text = format!(r#"{{"version":1,"full":true,"servers":[{entry}]}}"#);
-    ServerList::read(text.as_bytes()).expect("a list")
+    ServerList::parse(text.as_bytes()).expect("a list")
 }
 
 /// A client that does not leave.
@@ -34,11 +34,11 @@
 }
 
 /// An order that came in then.
-fn arrival(ticket: u64, at: Duration, expiry: Duration, client: Mailbox<(u64, Answer)>) -> ToDesk {
+fn arrival(ticket: u64, at: Duration, expiry: Duration, client: Mailbox<(u64, Answer)>) -> DispatcherMessage {
     let (kind, cell, statement, left) = (0, 3, "".into(), 0..0);
     let (retried, session, wrote_ago) = (false, None, None);
     let guard = RequestGuard::new(expiry, Box::new(Stays), Arc::default());
-    ToDesk::Arrived(Box::new(Arrival {
+    DispatcherMessage::Arrived(Box::new(Arrival {
         ticket,
         at,
         kind,
@@ -55,15 +55,15 @@
 }
 
 fn probes() -> ProbeQueue {
-    ProbeQueue::new(1, ProbeLimits::of(100))
+    ProbeQueue::new(1, ProbeLimits::for_connections(100))
 }
 
 fn make() -> Result<Router, String> {
     let sla = Duration::from_secs(1);
-    let (effect, level) = (Effect::OnceOnly, Level::Write);
-    let kinds = vec![TxnType { sla, value: 1.0, late_value: 0.0, effect, level }];
+    let (effect, consistency) = (Effect::OnceOnly, Consistency::Write);
+    let kinds = vec![TxnType { sla, value: 1.0, late_value: 0.0, effect, consistency }];
     let cold = ColdStart { share: 1.0, warm_up: sla, multiple: 2.0, window: sla };
-    Ok(Router::new(1, Standing { me: 0, fronts: 1, zone: 0 }, kinds, cold))
+    Ok(Router::new(1, FrontInfo { index: 0, fronts: 1, zone: 0 }, kinds, cold))
 }
 
 fn link_to(at: SocketAddr) -> Link {
@@ -75,11 +75,11 @@
 fn after_a_panic_the_desk_answers_all_and_starts_anew() {
     let (clock, _ring) = Clock::start(Duration::ZERO).expect("a clock");
     let ((mail, read), (discovery, _discovery)) = (channel(), channel());
-    let hire: Hire = Box::new(|_, _, _, _| Ok(()));
+    let hire: SpawnMember = Box::new(|_, _, _, _| Ok(()));
     let counters = Arc::new(Counters::default());
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let (make, zones, now) = (Box::new(make), Vec::new(), clock.now());
-    let desk = Desk::new(
+    let desk = Dispatcher::new(
         make,
         vec!["order".to_owned()],
         zones,
@@ -103,10 +103,14 @@
         let client = Mailbox { mail: answers.clone(), bell: link.bell() };
         arrival(ticket, now, now + Duration::from_secs(left), client)
     };
-    let _ = mail.send(ToDesk::List(list(at)));
+    let _ = mail.send(DispatcherMessage::List(list(at)));
     let _ = mail.send(arrival(1, 9000));
     // An input that no router can take.
-    let _ = mail.send(ToDesk::Probed { member: 99, ending: Ending::Committed, report: Report::default() });
+    let _ = mail.send(DispatcherMessage::Probed {
+        member: 99,
+        ending: AttemptOutcome::Committed,
+        report: Report::default(),
+    });
     assert!(matches!(told.recv(), Ok((1, Answer::Unknown(_)))));
     let _ = mail.send(arrival(2, 0));
     assert!(matches!(told.recv(), Ok((2, Answer::Declined(_)))), "it goes on");
@@ -118,7 +122,7 @@
     let (clock, _ring) = Clock::start(Duration::ZERO).expect("a clock");
     let ((mail, read), (discovery, _discovery), (jobs, job)) = (channel(), channel(), channel());
     // The member's actor is the story's own: what it is given stays unwritten.
-    let hire: Hire = Box::new(move |_, _, read, _| {
+    let hire: SpawnMember = Box::new(move |_, _, read, _| {
         let jobs = jobs.clone();
         std::thread::spawn(move || {
             while let Ok(mail) = read.recv() {
@@ -130,7 +134,7 @@
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let kinds = vec!["order".to_owned()];
     let (counters, zones) = (Arc::new(Counters::default()), Vec::new());
-    let desk = Desk::new(
+    let desk = Dispatcher::new(
         Box::new(make),
         kinds,
         zones,
@@ -150,22 +154,26 @@
     let link = link_to(at);
     let (answers, told) = channel();
     let client = Mailbox { mail: answers, bell: link.bell() };
-    let _ = mail.send(ToDesk::List(list(at)));
+    let _ = mail.send(DispatcherMessage::List(list(at)));
     let report = Report { role: Some(Role::Primary), position: Some(clock.now()), ..Report::default() };
-    let _ = mail.send(ToDesk::Probed { member: 0, ending: Ending::Committed, report });
+    let _ = mail.send(DispatcherMessage::Probed { member: 0, ending: AttemptOutcome::Committed, report });
     let now = clock.now();
     let _ = mail.send(arrival(1, now, now + Duration::from_secs(900), client));
     let submit = loop {
-        if let ToMember::Job(Job::Submit(submit)) = job.recv().expect("a job") {
+        if let MemberMessage::Job(Job::Submit(submit)) = job.recv().expect("a job") {
             break submit;
         }
     };
     assert_eq!(submit.permit.check(clock.now()), Ok(()));
     // An input that no router can take: the txn gets its answer while its connection is still to come up.
-    let _ = mail.send(ToDesk::Probed { member: 99, ending: Ending::Committed, report: Report::default() });
+    let _ = mail.send(DispatcherMessage::Probed {
+        member: 99,
+        ending: AttemptOutcome::Committed,
+        report: Report::default(),
+    });
     assert!(matches!(told.recv(), Ok((1, Answer::Unknown(_)))));
     let (tell, taken) = channel();
-    let _ = mail.send(ToDesk::Turn(tell));
+    let _ = mail.send(DispatcherMessage::Turn(tell));
     let _ = taken.recv();
-    assert!(submit.permit.settle(clock.now()).is_err(), "rule 1: nothing is sent after the answer");
+    assert!(submit.permit.consume(clock.now()).is_err(), "rule 1: nothing is sent after the answer");
 }
--- a/crates/front/tests/endings.rs
+++ b/crates/front/tests/endings.rs
@@ -1,22 +1,22 @@
 //! A connection or a process ends while something is owed on it: an answer that is not out yet, a statement that is
 //! half read, statements behind one that is refused. Whatever was taken gets its final answer first.
 
+use cluster::{PROGRAM, TestCluster, wait_until};
 use juniperdock_test_support::{Client, Does, Front, PATIENCE, address, message, row, txn};
 use socket2::{Domain, Socket, Type};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
-use town::{PROGRAM, Town, until};
 
-mod town;
+mod cluster;
 
 /// Descriptors of a front that has room for 18 clients, closes idle ones soon beyond 13, and asks one to leave for
 /// each that comes beyond 18.
 const FEW_DESCRIPTORS: u32 = 52;
 const CLIENTS: usize = 18;
 
-fn few_descriptors(town: &Town) -> Front {
-    Front::start(PROGRAM, town.agent.at, &town.known, FEW_DESCRIPTORS)
+fn few_descriptors(cluster: &TestCluster) -> Front {
+    Front::start(PROGRAM, cluster.agent.at, &cluster.server_list, FEW_DESCRIPTORS)
 }
 
 /// As `txn`, of a session of its own.
@@ -36,24 +36,24 @@
 }
 
 /// The front knows its primary and its replicas.
-fn begin(town: &Town, front: &Front) {
-    until(|| front.client().ask(&of_session("0", "order", 20_000, "first")).value.is_some());
-    until(|| front.client().ask(&of_session("0", "lookup", 20_000, "first")).value.is_some());
-    town.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
+fn begin(cluster: &TestCluster, front: &Front) {
+    wait_until(|| front.client().ask(&of_session("0", "order", 20_000, "first")).value.is_some());
+    wait_until(|| front.client().ask(&of_session("0", "lookup", 20_000, "first")).value.is_some());
+    cluster.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
 }
 
 /// The process has been told to end, and takes nobody in any more.
 fn shutting_down(front: &Front) {
     front.signal("-TERM");
-    until(|| TcpStream::connect(front.at).is_err());
+    wait_until(|| TcpStream::connect(front.at).is_err());
 }
 
 /// A client whose order hangs at the primary.
-fn with_a_hanging_order(town: &Town, front: &Front, ms: u32) -> Client {
-    town.members[0].set(Does::Hangs);
+fn with_a_hanging_order(cluster: &TestCluster, front: &Front, ms: u32) -> Client {
+    cluster.members[0].set(Does::Hangs);
     let mut client = front.client();
     client.say(&of_session("a", "order", ms, "hangs"));
-    assert!(town.sent(0).contains("id=hangs,"));
+    assert!(cluster.next_txn(0).contains("id=hangs,"));
     client
 }
 
@@ -67,9 +67,9 @@
 
 #[test]
 fn half_a_statement_is_answered_when_the_process_ends() {
-    let town = Town::new();
-    let front = town.front();
-    begin(&town, &front);
+    let cluster = TestCluster::new();
+    let front = cluster.start_front();
+    begin(&cluster, &front);
     let mut client = front.client();
     let (first, second) = halves(&txn("order", 20_000, "half"));
     client.stream.write_all(&first).expect("the front reads");
@@ -82,15 +82,15 @@
 
 #[test]
 fn half_a_statement_is_no_idle_connection() {
-    let town = Town::new();
-    let front = few_descriptors(&town);
-    begin(&town, &front);
+    let cluster = TestCluster::new();
+    let front = few_descriptors(&cluster);
+    begin(&cluster, &front);
     let mut idle = front.client();
     let mut client = front.client();
     let (first, second) = halves(&txn("order", 20_000, "half"));
     client.stream.write_all(&first).expect("the front reads");
     let _crowd: Vec<Client> = (0..CLIENTS - 3).map(|_| front.client()).collect();
-    until(|| has_ended(&mut idle));
+    wait_until(|| has_ended(&mut idle));
     let _ = client.stream.write_all(&second);
     let reply = client.reply();
     assert!(reply.value.is_some() || reply.code.is_some(), "{reply:?}");
@@ -99,13 +99,13 @@
 #[test]
 fn an_answer_that_is_half_out_is_not_cut_off_to_make_room() {
     const LENGTH: usize = 16 << 20;
-    let town = Town::new();
-    let config =
-        Front::config(&town.known, FEW_DESCRIPTORS).replace("\"memory_mb\":192", "\"memory_mb\":4096");
-    let front = Front::with(PROGRAM, address(), town.agent.at, &config, None);
-    begin(&town, &front);
+    let cluster = TestCluster::new();
+    let config = Front::config(&cluster.server_list, FEW_DESCRIPTORS)
+        .replace("\"memory_mb\":192", "\"memory_mb\":4096");
+    let front = Front::with(PROGRAM, address(), cluster.agent.at, &config, None);
+    begin(&cluster, &front);
     let long = [row(&vec![b'x'; LENGTH]), juniperdock_test_support::wire::ready()].concat();
-    town.members.iter().for_each(|member| member.once(Does::Says(long.clone())));
+    cluster.members.iter().for_each(|member| member.once(Does::Says(long.clone())));
     // Its machine takes next to nothing that it does not read.
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.set_recv_buffer_size(4096).expect("a size");
@@ -115,24 +115,24 @@
     client.stream.write_all(&[0, 0, 0, 9, 0, 3, 0, 0, 0]).expect("an opening");
     assert_eq!(client.reply().last, b'Z');
     client.say(&txn("order", 20_000, "long"));
-    assert!(town.sent(0).contains("id=long,"));
+    assert!(cluster.next_txn(0).contains("id=long,"));
     // The first byte has come, so all of it has been handed on as far as it goes.
     assert_eq!(client.stream.peek(&mut [0]).expect("an answer"), 1);
     // Others come until somebody has been asked to leave for them, more than once.
     let mut others: Vec<Client> = (0..CLIENTS).map(|_| front.client()).collect();
     let waited = Instant::now();
-    until(|| waited.elapsed() > Duration::from_millis(400));
+    wait_until(|| waited.elapsed() > Duration::from_millis(400));
     others.extend((0..CLIENTS).map(|_| front.client()));
-    until(|| others.iter_mut().any(has_ended));
+    wait_until(|| others.iter_mut().any(has_ended));
     assert_eq!(client.reply().value.map(|value| value.len()), Some(LENGTH));
 }
 
 #[test]
 fn all_that_was_read_behind_a_first_statement_without_a_slot_is_refused_too() {
-    let town = Town::new();
-    let front = few_descriptors(&town);
-    begin(&town, &front);
-    town.members[0].set(Does::Hangs);
+    let cluster = TestCluster::new();
+    let front = few_descriptors(&cluster);
+    begin(&cluster, &front);
+    cluster.members[0].set(Does::Hangs);
     let _busy: Vec<Client> = (0..CLIENTS)
         .map(|i| {
             let mut client = front.client();
@@ -153,13 +153,13 @@
 
 #[test]
 fn what_comes_behind_a_statement_in_hand_while_the_process_ends_is_answered() {
-    let town = Town::new();
-    let front = town.front();
-    begin(&town, &front);
-    let mut client = with_a_hanging_order(&town, &front, 4900);
+    let cluster = TestCluster::new();
+    let front = cluster.start_front();
+    begin(&cluster, &front);
+    let mut client = with_a_hanging_order(&cluster, &front, 4900);
     shutting_down(&front);
     let shut = Instant::now();
-    until(|| shut.elapsed() > Duration::from_millis(1500));
+    wait_until(|| shut.elapsed() > Duration::from_millis(1500));
     // Its time is over only after the process has to be gone.
     let said = shut.elapsed();
     client.say(&of_session("b", "order", 4900, "behind"));
@@ -172,10 +172,10 @@
 
 #[test]
 fn a_statement_with_more_time_than_the_process_has_left_is_answered_before_it_ends() {
-    let town = Town::new();
-    let front = town.front();
-    begin(&town, &front);
-    let mut client = with_a_hanging_order(&town, &front, 60_000);
+    let cluster = TestCluster::new();
+    let front = cluster.start_front();
+    begin(&cluster, &front);
+    let mut client = with_a_hanging_order(&cluster, &front, 60_000);
     shutting_down(&front);
     let reply = client.reply();
     assert_eq!(reply.code.as_deref(), Some("40003"), "{reply:?}");
@@ -186,23 +186,23 @@
 #[test]
 fn a_statement_that_crosses_being_asked_to_leave_is_answered_or_not_sent_on() {
     for _ in 0..5 {
-        let town = Town::new();
-        let front = few_descriptors(&town);
-        begin(&town, &front);
+        let cluster = TestCluster::new();
+        let front = few_descriptors(&cluster);
+        begin(&cluster, &front);
         let mut clients: Vec<Client> = (0..CLIENTS - 5).map(|_| front.client()).collect();
         let rested = Instant::now();
-        until(|| rested.elapsed() > Duration::from_millis(300));
+        wait_until(|| rested.elapsed() > Duration::from_millis(300));
         // While the process has no turn the client that has rested longest says something, and others come that
         // need its slot.
         front.signal("-STOP");
-        until(|| front.stopped());
+        wait_until(|| front.stopped());
         clients[0].say(&txn("order", 20_000, "crosses"));
         let _others: Vec<TcpStream> =
             (0..CLIENTS).map(|_| TcpStream::connect(front.at).expect("the machine takes it in")).collect();
         front.signal("-CONT");
         let reply = clients[0].reply();
         let answered = reply.value.is_some() || reply.code.is_some();
-        let sent = town.members[0].seen.try_iter().any(|text| text.contains("id=crosses,"));
+        let sent = cluster.members[0].seen.try_iter().any(|text| text.contains("id=crosses,"));
         assert!(answered || !sent, "{reply:?}");
     }
 }
--- a/crates/front/tests/moments.rs
+++ b/crates/front/tests/moments.rs
@@ -2,6 +2,7 @@
 //! side, or laid in wait while the front stands still; what a story waits for it sees, in the machine's own table of
 //! sockets where nothing else tells.
 
+use cluster::{PROGRAM, TestCluster, wait_until};
 use juniperdock_test_support::wire::{Said, Store, parameter, ready, serve};
 use juniperdock_test_support::{Client, Does, Front, PATIENCE, address, message, row, txn, unix_ms};
 use socket2::{Domain, SockRef, Socket, Type};
@@ -11,9 +12,8 @@
 use std::sync::Mutex;
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Duration;
-use town::{PROGRAM, Town, until};
 
-mod town;
+mod cluster;
 
 /// How a client leaves.
 #[derive(Clone, Copy, Debug)]
@@ -60,11 +60,11 @@
     table().into_iter().find(|row| row.local == front.at && row.remote == client)
 }
 
-/// As `Town::front`, with connects that may take as long as a story needs.
-fn patient(town: &Town) -> Front {
-    let config =
-        Front::config(&town.known, 1024).replace("\"ConnectTimeout\":250.0", "\"ConnectTimeout\":20000.0");
-    Front::with(PROGRAM, address(), town.agent.at, &config, None)
+/// As `TestCluster::front`, with connects that may take as long as a story needs.
+fn patient(cluster: &TestCluster) -> Front {
+    let config = Front::config(&cluster.server_list, 1024)
+        .replace("\"ConnectTimeout\":250.0", "\"ConnectTimeout\":20000.0");
+    Front::with(PROGRAM, address(), cluster.agent.at, &config, None)
 }
 
 /// Leaves; what it gives back is still open where only the sending has ended.
@@ -86,7 +86,7 @@
 fn leave_noticed(front: &Front, client: Client, way: Way) -> Option<TcpStream> {
     let at = client.stream.local_addr().expect("an address");
     let kept = leave(client, way);
-    until(|| end_of(front, at).is_none_or(|row| !matches!(row.state, ESTABLISHED | CLOSE_WAIT)));
+    wait_until(|| end_of(front, at).is_none_or(|row| !matches!(row.state, ESTABLISHED | CLOSE_WAIT)));
     for _ in 0..3 {
         assert_eq!(front.client().ask("SET a = 1").last, b'Z');
     }
@@ -95,25 +95,25 @@
 
 /// An order is served: the front knows its members, and none of them has anything that a story has not seen. On a
 /// busy machine connections may come up too late for a first one.
-fn begin(town: &Town, front: &Front) {
-    until(|| front.client().ask(&txn("order", 20_000, "first")).value.is_some());
-    town.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
+fn begin(cluster: &TestCluster, front: &Front) {
+    wait_until(|| front.client().ask(&txn("order", 20_000, "first")).value.is_some());
+    cluster.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
 }
 
 /// An order of another client is served by now.
 fn next_is_served(front: &Front) {
     let mut other = front.client();
-    until(|| other.ask(&txn("order", 20_000, "next")).value.is_some());
+    wait_until(|| other.ask(&txn("order", 20_000, "next")).value.is_some());
 }
 
 /// Whether any member has been sent this one, up to now.
-fn was_sent(town: &Town, id: &str) -> bool {
-    (0..town.members.len()).filter(|&member| was_sent_to(town, member, id)).count() > 0
+fn was_sent(cluster: &TestCluster, id: &str) -> bool {
+    (0..cluster.members.len()).filter(|&member| was_sent_to(cluster, member, id)).count() > 0
 }
 
-fn was_sent_to(town: &Town, member: usize, id: &str) -> bool {
+fn was_sent_to(cluster: &TestCluster, member: usize, id: &str) -> bool {
     let id = format!("id={id},");
-    town.members[member].seen.try_iter().filter(|text| text.contains(&id)).count() > 0
+    cluster.members[member].seen.try_iter().filter(|text| text.contains(&id)).count() > 0
 }
 
 fn order(front: &Front, id: &str) -> Client {
@@ -130,104 +130,104 @@
 #[test]
 fn who_leaves_while_there_is_no_writer_is_not_sent_on() {
     for way in WAYS {
-        let town = Town::new();
-        town.members[0].be_primary(false);
-        let front = patient(&town);
+        let cluster = TestCluster::new();
+        cluster.members[0].be_primary(false);
+        let front = patient(&cluster);
         // On a busy machine a report may be too old when it is read: then it is asked again.
-        until(|| front.client().ask(&txn("lookup", 20_000, "r")).value.is_some());
+        wait_until(|| front.client().ask(&txn("lookup", 20_000, "r")).value.is_some());
         let client = order(&front, "gone");
         turn(&front);
         let _kept = leave_noticed(&front, client, way);
-        town.members[2].be_primary(true);
+        cluster.members[2].be_primary(true);
         next_is_served(&front);
-        assert!(!was_sent(&town, "gone"), "{way:?}");
+        assert!(!was_sent(&cluster, "gone"), "{way:?}");
     }
 }
 
 #[test]
 fn who_leaves_while_there_is_no_room_is_not_sent_on() {
     for way in WAYS {
-        let town = Town::new();
-        let front = patient(&town);
-        begin(&town, &front);
-        town.members[0].set(Does::Hangs);
+        let cluster = TestCluster::new();
+        let front = patient(&cluster);
+        begin(&cluster, &front);
+        cluster.members[0].set(Does::Hangs);
         let hang: Vec<Client> = (0..4).map(|i| order(&front, &format!("hangs{i}"))).collect();
-        (0..4).for_each(|_| drop(town.sent(0)));
+        (0..4).for_each(|_| drop(cluster.next_txn(0)));
         let client = order(&front, "gone");
         turn(&front);
-        assert!(town.quiet(0), "it waits for room");
+        assert!(cluster.received_nothing(0), "it waits for room");
         let _kept = leave_noticed(&front, client, way);
-        town.members[0].set(Does::Serves);
-        town.members[0].cut();
+        cluster.members[0].set(Does::Serves);
+        cluster.members[0].cut();
         next_is_served(&front);
-        assert!(!was_sent(&town, "gone"), "{way:?}");
+        assert!(!was_sent(&cluster, "gone"), "{way:?}");
         drop(hang);
     }
 }
 
 /// The primary has been served by before, and a connection to it is being made: it has accepted, and says nothing.
-fn being_made(town: &Town, front: &Front, id: &str) -> Client {
-    begin(town, front);
-    town.members[0].welcome(false);
-    town.members[0].cut();
+fn being_made(cluster: &TestCluster, front: &Front, id: &str) -> Client {
+    begin(cluster, front);
+    cluster.members[0].welcome(false);
+    cluster.members[0].cut();
     // Nothing idle is left to be used.
-    until(|| !table().iter().any(|row| row.remote == town.members[0].at && row.state == ESTABLISHED));
+    wait_until(|| !table().iter().any(|row| row.remote == cluster.members[0].at && row.state == ESTABLISHED));
     let client = order(front, id);
-    until(|| town.members[0].connections() > 0);
+    wait_until(|| cluster.members[0].connections() > 0);
     client
 }
 
 #[test]
 fn who_leaves_while_a_connection_is_being_made_is_not_sent_on() {
     for way in WAYS {
-        let town = Town::new();
-        let front = patient(&town);
-        let client = being_made(&town, &front, "gone");
+        let cluster = TestCluster::new();
+        let front = patient(&cluster);
+        let client = being_made(&cluster, &front, "gone");
         let _kept = leave_noticed(&front, client, way);
-        town.members[0].welcome(true);
+        cluster.members[0].welcome(true);
         next_is_served(&front);
-        assert!(!was_sent(&town, "gone"), "{way:?}");
+        assert!(!was_sent(&cluster, "gone"), "{way:?}");
     }
 }
 
 #[test]
 fn who_leaves_after_an_unwritten_failure_is_not_sent_on() {
     for way in WAYS {
-        let town = Town::new();
-        let front = patient(&town);
-        let client = being_made(&town, &front, "gone");
+        let cluster = TestCluster::new();
+        let front = patient(&cluster);
+        let client = being_made(&cluster, &front, "gone");
         // It ends before the welcome: the txn is put back, and nobody is known as the primary.
-        town.members.iter().for_each(|member| member.welcome(false));
-        town.members[0].cut();
-        until(|| town.members[0].connections() > 0);
+        cluster.members.iter().for_each(|member| member.welcome(false));
+        cluster.members[0].cut();
+        wait_until(|| cluster.members[0].connections() > 0);
         let _kept = leave_noticed(&front, client, way);
-        town.members.iter().for_each(|member| member.welcome(true));
+        cluster.members.iter().for_each(|member| member.welcome(true));
         next_is_served(&front);
-        assert!(!was_sent(&town, "gone"), "{way:?}");
+        assert!(!was_sent(&cluster, "gone"), "{way:?}");
     }
 }
 
 #[test]
 fn who_leaves_after_being_handed_to_a_connection_that_has_ended_is_not_sent_on() {
     for way in WAYS {
-        let town = Town::new();
-        let front = patient(&town);
+        let cluster = TestCluster::new();
+        let front = patient(&cluster);
         let mut client = front.client();
         assert!(client.ask(&txn("order", 20_000, "first")).value.is_some());
-        town.sent(0);
+        cluster.next_txn(0);
         // The end of the idle connection and the next txn are laid in wait together.
         front.signal("-STOP");
-        until(|| front.stopped());
-        town.members[0].welcome(false);
-        town.members[0].cut();
+        wait_until(|| front.stopped());
+        cluster.members[0].welcome(false);
+        cluster.members[0].cut();
         client.say(&txn("order", 60_000, "gone"));
-        until(|| end_of(&front, client.stream.local_addr().unwrap()).is_some_and(|row| row.unread > 0));
+        wait_until(|| end_of(&front, client.stream.local_addr().unwrap()).is_some_and(|row| row.unread > 0));
         front.signal("-CONT");
-        until(|| town.members[0].connections() > 0);
+        wait_until(|| cluster.members[0].connections() > 0);
         let _kept = leave_noticed(&front, client, way);
-        town.members[0].welcome(true);
+        cluster.members[0].welcome(true);
         next_is_served(&front);
-        assert!(!was_sent(&town, "gone"), "{way:?}");
+        assert!(!was_sent(&cluster, "gone"), "{way:?}");
     }
 }
 
@@ -287,19 +287,19 @@
 #[test]
 fn who_leaves_while_a_connection_comes_up_late_is_not_sent_on() {
     for way in WAYS {
-        let town = Town::new();
-        let front = patient(&town);
-        begin(&town, &front);
+        let cluster = TestCluster::new();
+        let front = patient(&cluster);
+        begin(&cluster, &front);
         // The primary is at another address from now on.
         let late = Late::new();
-        let moved = town.known.replace(&town.members[0].at.to_string(), &late.at.to_string());
-        town.agent.tell(moved.replace("\"version\":1", "\"version\":2"));
+        let moved = cluster.server_list.replace(&cluster.members[0].at.to_string(), &late.at.to_string());
+        cluster.agent.tell(moved.replace("\"version\":1", "\"version\":2"));
         let at = late.at;
         let coming = || table().into_iter().any(|row| row.remote == at && row.state == SYN_SENT);
         let mut client = front.client();
         // Once the list has come in, orders go there and wait.
         let mut tries = 0;
-        until(|| {
+        wait_until(|| {
             tries += 1;
             client = order(&front, &format!("gone{tries}"));
             let begun = std::time::Instant::now();
@@ -317,29 +317,29 @@
 #[test]
 fn what_stands_behind_a_clients_own_statement_is_not_sent_on_when_it_leaves() {
     for way in WAYS {
-        let town = Town::new();
-        let front = patient(&town);
-        begin(&town, &front);
-        town.members[0].once(Does::Hangs);
+        let cluster = TestCluster::new();
+        let front = patient(&cluster);
+        begin(&cluster, &front);
+        cluster.members[0].once(Does::Hangs);
         let mut client = order(&front, "ahead");
         client.say(&txn("order", 60_000, "gone"));
-        assert!(town.sent(0).contains("id=ahead,"));
+        assert!(cluster.next_txn(0).contains("id=ahead,"));
         let _kept = leave_noticed(&front, client, way);
-        town.members[0].cut();
+        cluster.members[0].cut();
         next_is_served(&front);
-        assert!(!was_sent(&town, "gone"), "{way:?}");
+        assert!(!was_sent(&cluster, "gone"), "{way:?}");
     }
 }
 
 #[test]
 fn who_sends_much_at_once_and_leaves_is_noticed_while_its_first_txn_is_out() {
     for way in WAYS {
-        let town = Town::new();
-        let front = patient(&town);
-        begin(&town, &front);
-        town.members[0].once(Does::Hangs);
+        let cluster = TestCluster::new();
+        let front = patient(&cluster);
+        begin(&cluster, &front);
+        cluster.members[0].once(Does::Hangs);
         let mut client = order(&front, "ahead");
-        assert!(town.sent(0).contains("id=ahead,"));
+        assert!(cluster.next_txn(0).contains("id=ahead,"));
         // Far more than the front keeps of what a client sends and the machine takes beyond that.
         let long = txn("order", 60_000, "gone").replace("\\x9f03", &format!("\\x{}", "9f".repeat(32 << 10)));
         client.stream.set_write_timeout(Some(PATIENCE)).expect("a limit");
@@ -350,46 +350,46 @@
         front.signal("-TERM");
         let (well, text) = front.end();
         assert!(well && !text.contains(" left=0 ") && text.contains(" guard_acts=0 "), "{way:?}: {text}");
-        town.members[0].cut();
-        assert!(!was_sent(&town, "gone"), "{way:?}");
+        cluster.members[0].cut();
+        assert!(!was_sent(&cluster, "gone"), "{way:?}");
     }
 }
 
 #[test]
 fn who_leaves_while_the_front_has_no_turn_is_not_sent_on() {
     for way in WAYS {
-        let town = Town::new();
-        let front = patient(&town);
+        let cluster = TestCluster::new();
+        let front = patient(&cluster);
         let mut client = front.client();
         assert!(client.ask(&txn("order", 20_000, "first")).value.is_some());
         let at = client.stream.local_addr().expect("an address");
         front.signal("-STOP");
-        until(|| front.stopped());
+        wait_until(|| front.stopped());
         client.say(&txn("order", 60_000, "gone"));
-        until(|| end_of(&front, at).is_some_and(|row| row.unread > 0));
+        wait_until(|| end_of(&front, at).is_some_and(|row| row.unread > 0));
         let _kept = leave(client, way);
-        until(|| end_of(&front, at).is_none_or(|row| row.state != ESTABLISHED));
+        wait_until(|| end_of(&front, at).is_none_or(|row| row.state != ESTABLISHED));
         front.signal("-CONT");
         next_is_served(&front);
-        assert!(!was_sent(&town, "gone"), "{way:?}");
+        assert!(!was_sent(&cluster, "gone"), "{way:?}");
     }
 }
 
 #[test]
 fn who_leaves_while_the_front_has_no_turn_is_seen_before_the_welcome_that_lies_there() {
     for (way, welcome_first) in WAYS.into_iter().flat_map(|way| [(way, false), (way, true)]) {
-        let town = Town::new();
-        let front = patient(&town);
-        let client = being_made(&town, &front, "gone");
+        let cluster = TestCluster::new();
+        let front = patient(&cluster);
+        let client = being_made(&cluster, &front, "gone");
         let at = client.stream.local_addr().expect("an address");
         front.signal("-STOP");
-        until(|| front.stopped());
+        wait_until(|| front.stopped());
         // For longer than the front takes for a turn of its own.
         let stopped = std::time::Instant::now();
-        let lies = || table().iter().any(|row| row.remote == town.members[0].at && row.unread > 0);
+        let lies = || table().iter().any(|row| row.remote == cluster.members[0].at && row.unread > 0);
         let welcome = || {
-            town.members[0].welcome(true);
-            until(lies);
+            cluster.members[0].welcome(true);
+            wait_until(lies);
         };
         let mut kept = None;
         let mut client = Some(client);
@@ -398,47 +398,52 @@
                 welcome();
             } else if let Some(client) = client.take() {
                 kept = leave(client, way);
-                until(|| end_of(&front, at).is_none_or(|row| row.state != ESTABLISHED));
+                wait_until(|| end_of(&front, at).is_none_or(|row| row.state != ESTABLISHED));
             }
         }
-        until(|| stopped.elapsed() > Duration::from_millis(100));
+        wait_until(|| stopped.elapsed() > Duration::from_millis(100));
         front.signal("-CONT");
         next_is_served(&front);
-        assert!(!was_sent(&town, "gone"), "{way:?}, welcome first: {welcome_first}");
+        assert!(!was_sent(&cluster, "gone"), "{way:?}, welcome first: {welcome_first}");
         drop(kept);
     }
 }
 
 #[test]
 fn a_member_that_the_list_lets_go_is_asked_all_the_same_where_that_is_advice_only() {
-    let town = Town::new();
-    town.members[0].be_primary(false);
-    let config = Front::config(&town.known, 1024).replace("\"WarmUp\"", "\"GoneIsAdvice\":true,\"WarmUp\"");
-    let front = Front::with(PROGRAM, address(), town.agent.at, &config, None);
+    let cluster = TestCluster::new();
+    cluster.members[0].be_primary(false);
+    let config =
+        Front::config(&cluster.server_list, 1024).replace("\"WarmUp\"", "\"GoneIsAdvice\":true,\"WarmUp\"");
+    let front = Front::with(PROGRAM, address(), cluster.agent.at, &config, None);
     let mut client = front.client();
     assert!(client.ask(&txn("lookup", 20_000, "r")).value.is_some());
     // Its actor is told to end and, right behind that, to ask it: its idle connection is closed by then.
-    until(|| town.members[0].connections() > 0);
+    wait_until(|| cluster.members[0].connections() > 0);
     for version in 2..12 {
-        let gone = town.known.replace("\"version\":1", &format!("\"version\":{version}"));
-        let at = format!("\"addr\":\"{}\",", town.members[0].at);
+        let gone = cluster.server_list.replace("\"version\":1", &format!("\"version\":{version}"));
+        let at = format!("\"addr\":\"{}\",", cluster.members[0].at);
         let gone = gone.replace(&at, &format!("{at}\"role\":\"leader\","));
-        town.agent.tell(gone.replacen("\"up\"", if version % 2 == 0 { "\"removed\"" } else { "\"up\"" }, 1));
+        cluster.agent.tell(gone.replacen(
+            "\"up\"",
+            if version % 2 == 0 { "\"removed\"" } else { "\"up\"" },
+            1,
+        ));
         assert!(client.ask(&txn("lookup", 20_000, "r")).value.is_some());
     }
-    town.members[0].be_primary(true);
+    cluster.members[0].be_primary(true);
     next_is_served(&front);
 }
 
 #[test]
 fn who_has_come_when_the_front_ends_is_answered_and_nobody_is_let_in_after() {
     for _ in 0..5 {
-        let town = Town::new();
-        let front = town.front();
-        begin(&town, &front);
+        let cluster = TestCluster::new();
+        let front = cluster.start_front();
+        begin(&cluster, &front);
         front.signal("-TERM");
         front.signal("-STOP");
-        until(|| front.stopped());
+        wait_until(|| front.stopped());
         // It has come, and said all it wants; the front's wait for such is over when it goes on.
         let stopped = std::time::Instant::now();
         let at = front.at;
@@ -451,7 +456,7 @@
             let _ = stream.read_to_end(&mut text);
             String::from_utf8_lossy(&text).into_owned()
         });
-        until(|| stopped.elapsed() > Duration::from_millis(700));
+        wait_until(|| stopped.elapsed() > Duration::from_millis(700));
         front.signal("-CONT");
         let text = asks.join().expect("an end");
         assert!(text.contains("id=last,"), "{text:?}");
@@ -462,9 +467,9 @@
 #[test]
 fn who_came_last_has_a_while_for_its_first_txn_when_the_front_ends() {
     let served = || {
-        let town = Town::new();
-        let front = town.front();
-        begin(&town, &front);
+        let cluster = TestCluster::new();
+        let front = cluster.start_front();
+        begin(&cluster, &front);
         front.signal("-TERM");
         front.signal("-STOP");
         let stopped = std::time::Instant::now();
@@ -480,7 +485,7 @@
             let mut client = Client::open(at)?;
             client.tell(&txn("order", 20_000, "last")).then(|| client.reply().value.is_some())
         });
-        until(|| stopped.elapsed() > Duration::from_millis(700));
+        wait_until(|| stopped.elapsed() > Duration::from_millis(700));
         front.signal("-CONT");
         asks.join().expect("an end") == Some(true)
     };
@@ -490,17 +495,17 @@
 
 #[test]
 fn the_last_answer_is_not_lost_to_a_statement_that_crosses_the_end() {
-    let town = Town::new();
-    let front = patient(&town);
-    begin(&town, &front);
+    let cluster = TestCluster::new();
+    let front = patient(&cluster);
+    begin(&cluster, &front);
     let mut client = front.client();
     client.say(&txn("order", 20_000, "last"));
     let at = client.stream.local_addr().expect("an address");
     let end = || table().into_iter().find(|row| row.local == at && row.remote == front.at);
-    until(|| end().is_some_and(|row| row.unread > 0));
+    wait_until(|| end().is_some_and(|row| row.unread > 0));
     let idle = |row: Row| row.unread > 0 && row.state == CLOSE_WAIT;
     front.signal("-TERM");
-    until(|| end().is_some_and(idle));
+    wait_until(|| end().is_some_and(idle));
     // It has not read its answer, nor the end behind it, and says the next.
     client.say(&txn("order", 20_000, "crosses"));
     client.say(&txn("order", 20_000, "crosses"));
@@ -508,16 +513,16 @@
     assert_eq!(client.stream.read(&mut [0]).map_err(|e| e.kind()), Ok(0), "an end, no reset");
     drop(client);
     assert!(front.end().0);
-    assert!(!was_sent(&town, "crosses"));
+    assert!(!was_sent(&cluster, "crosses"));
 }
 
 #[test]
 fn an_address_that_does_not_answer_is_tried_again_before_what_it_has_counts_as_told() {
-    let town = Town::new();
-    let front = town.front();
-    town.agent.asked.recv_timeout(PATIENCE).expect("a watch");
-    let watched = || table().iter().any(|row| row.remote == town.agent.at && row.state == ESTABLISHED);
-    until(watched);
+    let cluster = TestCluster::new();
+    let front = cluster.start_front();
+    cluster.agent.asked.recv_timeout(PATIENCE).expect("a watch");
+    let watched = || table().iter().any(|row| row.remote == cluster.agent.at && row.state == ESTABLISHED);
+    wait_until(watched);
     let late = Late::new();
     let (mut tried, at) = (BTreeSet::new(), late.at);
     front.reconfigure(&format!("{{\"discovery\":\"{at}\"}}"));
@@ -533,13 +538,13 @@
 
 #[test]
 fn connections_that_came_and_went_leave_no_stacks_behind() {
-    let town = Town::new();
-    let front = town.front();
+    let cluster = TestCluster::new();
+    let front = cluster.start_front();
     for i in 0..300 {
         let mut client = front.client();
         assert!(client.ask(&txn("lookup", 20_000, "r")).value.is_some());
         if i % 3 == 0 {
-            town.members.iter().for_each(|member| member.cut());
+            cluster.members.iter().for_each(|member| member.cut());
         }
     }
     // Its own actors' and a few that are free.
@@ -548,8 +553,8 @@
 
 #[test]
 fn who_sends_without_a_pause_keeps_no_other_from_its_turn() {
-    let town = Town::new();
-    let front = town.front();
+    let cluster = TestCluster::new();
+    let front = cluster.start_front();
     assert!(front.client().ask(&txn("lookup", 20_000, "r")).value.is_some());
     let flood = front.client();
     let (mut says, mut hears) = (flood.stream.try_clone().expect("a copy"), flood.stream);
@@ -570,13 +575,14 @@
 
 #[test]
 fn an_answer_without_an_end_keeps_no_other_from_its_turn_and_ends_with_its_time() {
-    let town = Town::new();
-    let front = town.front();
-    begin(&town, &front);
+    let cluster = TestCluster::new();
+    let front = cluster.start_front();
+    begin(&cluster, &front);
     // A stand-in in place of a replica, which has a great deal to say and never comes to its end.
     let listener = TcpListener::bind(address()).expect("a free address");
-    let talks =
-        town.known.replace(&town.members[1].at.to_string(), &listener.local_addr().unwrap().to_string());
+    let talks = cluster
+        .server_list
+        .replace(&cluster.members[1].at.to_string(), &listener.local_addr().unwrap().to_string());
     let (tell, said) = channel();
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
@@ -593,9 +599,9 @@
             });
         }
     });
-    town.agent.tell(talks.replace("\"version\":1", "\"version\":2"));
+    cluster.agent.tell(talks.replace("\"version\":1", "\"version\":2"));
     let mut other = front.client();
-    until(|| {
+    wait_until(|| {
         assert!(other.ask(&txn("order", 20_000, "meanwhile")).value.is_some());
         said.try_recv().is_ok()
     });
@@ -606,113 +612,117 @@
 
 #[test]
 fn reports_that_come_with_answers_prove_data_where_nothing_may_be_asked() {
-    let town = Town::new();
-    let config = Front::config(&town.known, 1024)
+    let cluster = TestCluster::new();
+    let config = Front::config(&cluster.server_list, 1024)
         .replace("\"MayProbe\":true", "\"MayProbe\":false")
         .replace("[300.0,", "[60000.0,")
         .replace("[\"recent\",\"update\",", "[\"recent\",\"loose\",");
-    let front = Front::with(PROGRAM, address(), town.agent.at, &config, None);
+    let front = Front::with(PROGRAM, address(), cluster.agent.at, &config, None);
     let mut client = front.client();
     // Loose reads go to replicas, whose answers tell how far they are.
-    until(|| {
+    wait_until(|| {
         let report = format!("busy=0.1,x1=0,x0={:.3}", unix_ms() as f64 / 1000.0);
-        for member in &town.members[1..] {
+        for member in &cluster.members[1..] {
             member.set(Does::Says([row(b"a"), parameter("server_load", &report)].concat()));
         }
         let loose = txn("lookup", 20_000, "loose").replace("c=lookup", "c=mark");
         assert!(client.ask(&loose).value.is_some());
-        town.members[1].seen.try_iter().count() > 0
+        cluster.members[1].seen.try_iter().count() > 0
     });
     // A read with a bound on its age goes there too, by that proof.
-    until(|| {
+    wait_until(|| {
         let _ = client.ask(&txn("lookup", 200, "proven"));
-        was_sent_to(&town, 1, "proven")
+        was_sent_to(&cluster, 1, "proven")
     });
 }
 
-/// As `Town::front`, where members may not be probed.
-fn unasked(town: &Town, more: impl Fn(String) -> String) -> Front {
-    let config = Front::config(&town.known, 1024).replace("\"MayProbe\":true", "\"MayProbe\":false");
-    Front::with(PROGRAM, address(), town.agent.at, &more(config), None)
+/// As `TestCluster::front`, where members may not be probed.
+fn unasked(cluster: &TestCluster, more: impl Fn(String) -> String) -> Front {
+    let config = Front::config(&cluster.server_list, 1024).replace("\"MayProbe\":true", "\"MayProbe\":false");
+    Front::with(PROGRAM, address(), cluster.agent.at, &more(config), None)
 }
 
 /// Orders that a member was sent, up to now.
-fn orders(town: &Town, member: usize) -> usize {
-    town.members[member].seen.try_iter().filter(|text| text.contains("c=order,")).count()
+fn orders(cluster: &TestCluster, member: usize) -> usize {
+    cluster.members[member].seen.try_iter().filter(|text| text.contains("c=order,")).count()
 }
 
 #[test]
 fn where_nothing_may_be_asked_a_write_finds_its_primary_and_finds_it_again() {
-    let town = Town::new();
-    town.members[0].be_primary(false);
-    town.members[2].be_primary(true);
-    let front = unasked(&town, |config| config);
+    let cluster = TestCluster::new();
+    cluster.members[0].be_primary(false);
+    cluster.members[2].be_primary(true);
+    let front = unasked(&cluster, |config| config);
     let mut client = front.client();
     assert!(client.ask(&txn("order", 20_000, "first")).value.is_some());
-    let sent: Vec<usize> = (0..3).map(|member| orders(&town, member)).collect();
+    let sent: Vec<usize> = (0..3).map(|member| orders(&cluster, member)).collect();
     assert!(sent[0] <= 1 && sent[1] <= 1 && sent[2] == 1, "each was asked once at most: {sent:?}");
     for _ in 0..5 {
         assert!(client.ask(&txn("order", 20_000, "known")).value.is_some());
     }
-    assert_eq!((orders(&town, 0), orders(&town, 1), orders(&town, 2)), (0, 0, 5), "it is known by now");
+    assert_eq!(
+        (orders(&cluster, 0), orders(&cluster, 1), orders(&cluster, 2)),
+        (0, 0, 5),
+        "it is known by now"
+    );
     // Another takes over: whoever was it turns the next away, untouched.
-    town.members[2].be_primary(false);
-    town.members[1].be_primary(true);
+    cluster.members[2].be_primary(false);
+    cluster.members[1].be_primary(true);
     assert!(client.ask(&txn("order", 20_000, "after")).value.is_some());
-    assert_eq!(orders(&town, 1), 1);
+    assert_eq!(orders(&cluster, 1), 1);
 }
 
 #[test]
 fn where_nothing_may_be_asked_and_there_is_no_primary_a_write_is_declined_and_tried_sparingly() {
-    let town = Town::new();
-    town.members[0].be_primary(false);
-    let front = unasked(&town, |config| config);
+    let cluster = TestCluster::new();
+    cluster.members[0].be_primary(false);
+    let front = unasked(&cluster, |config| config);
     let mut client = front.client();
     let reply = client.ask(&txn("order", 2_000, "none"));
     assert_eq!(reply.code.as_deref(), Some("53300"), "it never ran: {reply:?}");
     // Each was asked at most every 250 ms, for the part of its time in which it is held.
-    let sent: usize = (0..3).map(|member| orders(&town, member)).sum();
+    let sent: usize = (0..3).map(|member| orders(&cluster, member)).sum();
     assert!((3..=12).contains(&sent), "{sent}");
-    town.members[1].be_primary(true);
+    cluster.members[1].be_primary(true);
     next_is_served(&front);
 }
 
 #[test]
 fn who_leaves_while_its_write_looks_for_a_primary_is_not_sent_on() {
     for way in WAYS {
-        let town = Town::new();
-        town.members[0].be_primary(false);
-        let front = unasked(&town, |config| config);
+        let cluster = TestCluster::new();
+        cluster.members[0].be_primary(false);
+        let front = unasked(&cluster, |config| config);
         let client = order(&front, "gone");
         // All have turned it away.
-        until(|| was_sent_to(&town, 0, "gone"));
+        wait_until(|| was_sent_to(&cluster, 0, "gone"));
         turn(&front);
         let _kept = leave_noticed(&front, client, way);
-        town.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
-        town.members[2].be_primary(true);
+        cluster.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
+        cluster.members[2].be_primary(true);
         next_is_served(&front);
-        assert!(!was_sent(&town, "gone"), "{way:?}");
+        assert!(!was_sent(&cluster, "gone"), "{way:?}");
     }
 }
 
 #[test]
 fn a_repeat_whose_commit_is_older_than_the_front_binds_the_reads_of_its_session() {
-    let town = Town::new();
-    let front = unasked(&town, |config| {
+    let cluster = TestCluster::new();
+    let front = unasked(&cluster, |config| {
         config
             .replace("\"SessionMarks\":\"client\"", "\"SessionMarks\":\"router\"")
             .replace("[\"recent\",\"update\",", "[\"own_writes\",\"update\",")
     });
     // Its mark is known from a write through a front that has died since: the answer tells when that was committed.
     let old = format!("{}", unix_ms() - 60_000);
-    town.members[0].once(Does::Says([row(b"a"), parameter("replay_position", &old)].concat()));
+    cluster.members[0].once(Does::Says([row(b"a"), parameter("replay_position", &old)].concat()));
     let mut client = front.client();
     assert!(client.ask(&txn("mark", 20_000, "again")).value.is_some());
     // Nothing proves of the replicas that they have it.
     for i in 0..20 {
         assert!(client.ask(&txn("lookup", 20_000, &format!("own{i}"))).value.is_some());
     }
-    let read = |member: usize| town.members[member].seen.try_iter().any(|text| text.contains("c=lookup,"));
+    let read = |member: usize| cluster.members[member].seen.try_iter().any(|text| text.contains("c=lookup,"));
     assert!(read(0) && !read(1) && !read(2));
 }
 
@@ -721,10 +731,10 @@
     let loads: [&[u8]; 6] =
         [b"x0=soon,x1=1", b"util=,x0", b"=,=,=", b"x0=99999999999.0,x1=0", b"util=1e999", b"\xff\xfe"];
     for load in loads {
-        let town = Town::new();
-        let front = unasked(&town, |config| config);
+        let cluster = TestCluster::new();
+        let front = unasked(&cluster, |config| config);
         let told = [&b"server_load\0"[..], load, &[0]].concat();
-        town.members[0].set(Does::Says([row(b"whole"), message(b'S', &told)].concat()));
+        cluster.members[0].set(Does::Says([row(b"whole"), message(b'S', &told)].concat()));
         let mut client = front.client();
         for i in 0..3 {
             let reply = client.ask(&txn("order", 20_000, &format!("o{i}")));
@@ -769,14 +779,14 @@
 
 #[test]
 fn a_watch_that_is_opened_anew_and_says_nothing_is_not_waited_for_as_long_as_one_that_has_spoken() {
-    let town = Town::new();
-    let drains = Town::list(&town.members, 9, ["up", "draining", "draining"]);
+    let cluster = TestCluster::new();
+    let drains = TestCluster::list(&cluster.members, 9, ["up", "draining", "draining"]);
     let cut = told(&drains);
     // The first falls silent. The next has nothing to say, or only the beginning of a list.
     for next in [String::new(), cut[..cut.len() / 2].to_owned()] {
-        let agent = Scripted::start(vec![told(&town.known), next, cut.clone()]);
-        let front = Front::start(PROGRAM, agent.at, &town.known, 1024);
-        begin(&town, &front);
+        let agent = Scripted::start(vec![told(&cluster.server_list), next, cut.clone()]);
+        let front = Front::start(PROGRAM, agent.at, &cluster.server_list, 1024);
+        begin(&cluster, &front);
         let mut client = front.client();
         agent.asked.recv_timeout(PATIENCE).expect("a watch");
         let silent = std::time::Instant::now();
@@ -784,25 +794,25 @@
         // 5.5 s, and 10.5 s before: what there is to tell counts as told after 6 s.
         assert!(silent.elapsed() < Duration::from_secs(9), "{:?}", silent.elapsed());
         // The replicas drain: all goes to the primary from now on.
-        until(|| {
-            town.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
+        wait_until(|| {
+            cluster.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
             let _ = client.ask(&txn("lookup", 20_000, "r"));
-            town.members[0].seen.try_iter().count() > 0
+            cluster.members[0].seen.try_iter().count() > 0
         });
         for _ in 0..20 {
-            until(|| client.ask(&txn("lookup", 20_000, "r")).value.is_some());
+            wait_until(|| client.ask(&txn("lookup", 20_000, "r")).value.is_some());
         }
-        assert!(town.quiet(1) && town.quiet(2));
+        assert!(cluster.received_nothing(1) && cluster.received_nothing(2));
     }
 }
 
 #[test]
 fn of_two_new_addresses_the_last_counts_and_the_watch_in_hand_does_until_then() {
-    let town = Town::new();
-    let front = town.front();
+    let cluster = TestCluster::new();
+    let front = cluster.start_front();
     let mut client = front.client();
     assert!(client.ask(&txn("lookup", 20_000, "r")).value.is_some());
-    town.agent.asked.recv_timeout(PATIENCE).expect("a watch");
+    cluster.agent.asked.recv_timeout(PATIENCE).expect("a watch");
     // The first new address takes the watch and says nothing; the second comes while it is waited for.
     let (mute, last) = (Scripted::start(vec![String::new()]), Scripted::start(vec![String::new()]));
     front.reconfigure(&format!("{{\"discovery\":\"{}\"}}", mute.at));
@@ -810,10 +820,12 @@
     front.reconfigure(&format!("{{\"discovery\":\"{}\"}}", last.at));
     last.asked.recv_timeout(PATIENCE).expect("a watch");
     // Nobody new has told anything: the old one still does.
-    town.tell(2, ["draining", "up", "up"]);
-    town.members[1].be_primary(true);
+    cluster.publish_list(2, ["draining", "up", "up"]);
+    cluster.members[1].be_primary(true);
     let mut other = front.client();
-    until(|| other.ask(&txn("order", 2_000, "moved")).value.is_some() && was_sent_to(&town, 1, "moved"));
+    wait_until(|| {
+        other.ask(&txn("order", 2_000, "moved")).value.is_some() && was_sent_to(&cluster, 1, "moved")
+    });
     // What has to be asked again is asked at the last.
     last.asked.recv_timeout(PATIENCE).expect("another watch");
     assert!(mute.asked.try_iter().count() <= 1, "at most one was on its way");
@@ -864,20 +876,20 @@
 
 #[test]
 fn bad_clients_leave_no_descriptor_no_seat_and_no_memory_behind() {
-    let town = Town::new();
-    let front = town.front();
+    let cluster = TestCluster::new();
+    let front = cluster.start_front();
     // What the machine keeps of connections that have ended is not the front's.
     let ended = |row: &Row| matches!(row.state, TIME_WAIT | LISTEN);
     let clients = || table().iter().filter(|row| row.local == front.at && !ended(row)).count();
     bad_clients(&front, 0);
-    until(|| clients() == 0);
+    wait_until(|| clients() == 0);
     let (held, memory) = (front.descriptors(), resident(&front));
     for round in 1..6 {
         bad_clients(&front, round);
     }
-    until(|| clients() == 0);
+    wait_until(|| clients() == 0);
     // Connections to members may be one more or less.
-    until(|| front.descriptors() <= held + 3);
+    wait_until(|| front.descriptors() <= held + 3);
     let grown = resident(&front).saturating_sub(memory);
     assert!(grown < 4 << 10, "{grown} KB more than {memory}");
     assert!(front.client().ask(&txn("order", 20_000, "after")).value.is_some());
@@ -888,32 +900,32 @@
 
 #[test]
 fn a_read_that_comes_while_its_sessions_write_is_out_sees_what_that_may_have_committed() {
-    let town = Town::new();
+    let cluster = TestCluster::new();
     let marks = |config: String| {
         config
             .replace("\"SessionMarks\":\"client\"", "\"SessionMarks\":\"router\"")
             .replace("[\"recent\",\"update\",", "[\"own_writes\",\"update\",")
     };
-    let front = unasked(&town, marks);
+    let front = unasked(&cluster, marks);
     let other = |id: &str| txn("order", 2_000, id).replace("'7f3a'", "'8a41'");
-    until(|| front.client().ask(&other("first")).value.is_some() && was_sent_to(&town, 0, "first"));
+    wait_until(|| front.client().ask(&other("first")).value.is_some() && was_sent_to(&cluster, 0, "first"));
     // The primary has it, may have committed it, and the answer does not come.
-    town.members[0].once(Does::Hangs);
+    cluster.members[0].once(Does::Hangs);
     let write = order(&front, "out");
-    assert!(town.sent(0).contains("id=out,"));
-    town.members[1..].iter().for_each(|member| member.seen.try_iter().for_each(drop));
+    assert!(cluster.next_txn(0).contains("id=out,"));
+    cluster.members[1..].iter().for_each(|member| member.seen.try_iter().for_each(drop));
     // Where the primary does not answer its reads are declined; none is answered from older data.
     let at_replicas = |id: &str| {
         let served =
             (0..20).filter(|i| front.client().ask(&txn("lookup", 500, &format!("{id}{i}"))).value.is_some());
-        (served.count(), town.quiet(1) && town.quiet(2))
+        (served.count(), cluster.received_nothing(1) && cluster.received_nothing(2))
     };
     assert!(at_replicas("beside").1);
     // Nor does it ever: its connection is reset. Another session's order finds the primary again.
-    town.members[0].cut();
+    cluster.members[0].cut();
     let told = Client { stream: write.stream }.reply();
     assert!(told.value.is_none() && told.code.as_deref() != Some("53300"), "it may have run: {told:?}");
-    until(|| front.client().ask(&other("next")).value.is_some());
-    town.members[1..].iter().for_each(|member| member.seen.try_iter().for_each(drop));
+    wait_until(|| front.client().ask(&other("next")).value.is_some());
+    cluster.members[1..].iter().for_each(|member| member.seen.try_iter().for_each(drop));
     assert_eq!(at_replicas("after"), (20, true));
 }
--- a/crates/front/tests/pipeline.rs
+++ b/crates/front/tests/pipeline.rs
@@ -1,12 +1,12 @@
 //! Statements that a client sends before its earlier ones are answered: worked on at once, answered in their order,
 //! each in its own time.
 
+use cluster::{PROGRAM, TestCluster, wait_until};
 use juniperdock_test_support::{Client, Does, Front, Member, PATIENCE, Reply, address, message, txn};
 use std::net::Shutdown;
 use std::time::Duration;
-use town::{PROGRAM, Town, until};
 
-mod town;
+mod cluster;
 
 /// What one connection may have in hand, in bytes, as `docs/front.md` says: statements, and a part beside each.
 const MAX_IN_HAND: usize = 272 << 10;
@@ -18,20 +18,20 @@
 }
 
 /// A front that knows its primary and its replicas, and a client whose first order hangs at the primary.
-fn behind_a_hanging_order(town: &Town, front: &Front) -> Client {
-    until(|| front.client().ask(&of_session("0", "order", 20_000, "first")).value.is_some());
-    until(|| front.client().ask(&of_session("0", "lookup", 20_000, "first")).value.is_some());
-    town.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
-    town.members[0].once(Does::Hangs);
+fn behind_a_hanging_order(cluster: &TestCluster, front: &Front) -> Client {
+    wait_until(|| front.client().ask(&of_session("0", "order", 20_000, "first")).value.is_some());
+    wait_until(|| front.client().ask(&of_session("0", "lookup", 20_000, "first")).value.is_some());
+    cluster.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
+    cluster.members[0].once(Does::Hangs);
     let mut client = front.client();
     client.say(&of_session("a", "order", 60_000, "ahead"));
-    assert!(town.sent(0).contains("id=ahead,"));
+    assert!(cluster.next_txn(0).contains("id=ahead,"));
     client
 }
 
-fn sent_anywhere(town: &Town, id: &str) -> bool {
+fn sent_anywhere(cluster: &TestCluster, id: &str) -> bool {
     let id = format!("id={id},");
-    let seen = town.members.iter().flat_map(|member| member.seen.try_iter());
+    let seen = cluster.members.iter().flat_map(|member| member.seen.try_iter());
     seen.filter(|text| text.contains(&id)).count() > 0
 }
 
@@ -45,19 +45,19 @@
 
 #[test]
 fn a_slow_statement_keeps_none_behind_it_from_being_worked_on() {
-    let town = Town::new();
-    let front = town.front();
-    let mut client = behind_a_hanging_order(&town, &front);
+    let cluster = TestCluster::new();
+    let front = cluster.start_front();
+    let mut client = behind_a_hanging_order(&cluster, &front);
     for id in ["b", "c", "d"] {
         client.say(&of_session(id, "order", 60_000, id));
     }
     client.say("SET a = 1");
-    let mut sent: Vec<String> = (0..3).map(|_| town.sent(0)).collect();
+    let mut sent: Vec<String> = (0..3).map(|_| cluster.next_txn(0)).collect();
     sent.sort();
     for (text, id) in sent.iter().zip(["b", "c", "d"]) {
         assert!(text.contains(&format!("id={id},")), "while the first is out: {text}");
     }
-    town.members[0].end_hanging();
+    cluster.members[0].end_hanging();
     assert!(unknown(&client.reply()));
     for id in ["b", "c", "d"] {
         let reply = client.reply();
@@ -69,52 +69,54 @@
 
 #[test]
 fn time_runs_from_the_arrival_of_a_statement_also_behind_a_slow_one() {
-    let town = Town::new();
-    let front = town.front();
-    let mut client = behind_a_hanging_order(&town, &front);
+    let cluster = TestCluster::new();
+    let front = cluster.start_front();
+    let mut client = behind_a_hanging_order(&cluster, &front);
     // One waits for the write before it in its session, one is out as well.
-    town.members[0].once(Does::Hangs);
+    cluster.members[0].once(Does::Hangs);
     client.say(&of_session("a", "order", 300, "waits"));
     client.say(&of_session("b", "order", 300, "out"));
-    assert!(town.sent(0).contains("id=out,"));
+    assert!(cluster.next_txn(0).contains("id=out,"));
     // Their time has passed once a statement that came later, and had as much, has been answered.
     let mut other = front.client();
-    town.members[0].once(Does::Hangs);
+    cluster.members[0].once(Does::Hangs);
     assert!(unknown(&other.ask(&of_session("c", "order", 320, "later"))));
-    town.members[0].cut();
+    cluster.members[0].cut();
     assert!(unknown(&client.reply()), "the first may have run");
     assert!(declined(&client.reply()), "its time was over before it could begin");
     assert!(unknown(&client.reply()), "its time was over while it was out");
-    assert!(!sent_anywhere(&town, "waits"));
+    assert!(!sent_anywhere(&cluster, "waits"));
 }
 
 #[test]
 fn a_sessions_read_behind_its_write_sees_it() {
-    let town = Town::new();
-    let config = Front::config(&town.known, 1024).replace("[\"recent\",", "[\"own_writes\",");
-    let front = Front::with(PROGRAM, address(), town.agent.at, &config, None);
-    let mut client = behind_a_hanging_order(&town, &front);
+    let cluster = TestCluster::new();
+    let config = Front::config(&cluster.server_list, 1024).replace("[\"recent\",", "[\"own_writes\",");
+    let front = Front::with(PROGRAM, address(), cluster.agent.at, &config, None);
+    let mut client = behind_a_hanging_order(&cluster, &front);
     // Replicas that are told nothing of it must not serve this one; another session's they may.
     client.say(&of_session("a", "lookup", 60_000, "own"));
     client.say(&of_session("b", "lookup", 60_000, "other"));
-    until(|| {
-        town.members[1..].iter().any(|member| member.seen.try_iter().any(|text| text.contains("id=other,")))
+    wait_until(|| {
+        cluster.members[1..]
+            .iter()
+            .any(|member| member.seen.try_iter().any(|text| text.contains("id=other,")))
     });
-    assert!(!sent_anywhere(&town, "own"), "its write is still out");
+    assert!(!sent_anywhere(&cluster, "own"), "its write is still out");
     // Replicas stay where they are from now on.
-    town.members[1..].iter().for_each(Member::stand_still);
-    town.members[0].cut();
+    cluster.members[1..].iter().for_each(Member::stand_still);
+    cluster.members[0].cut();
     assert!(unknown(&client.reply()));
     assert!(client.reply().value.is_some() && client.reply().value.is_some());
     let at_replicas = |member: &Member| member.seen.try_iter().any(|text| text.contains("id=own,"));
-    assert!(!town.members[1..].iter().any(at_replicas), "they can't have what it wrote");
+    assert!(!cluster.members[1..].iter().any(at_replicas), "they can't have what it wrote");
 }
 
 #[test]
 fn what_is_sent_beyond_the_limit_is_refused_in_its_turn_and_the_connection_goes_on() {
-    let town = Town::new();
-    let front = town.front();
-    let mut client = behind_a_hanging_order(&town, &front);
+    let cluster = TestCluster::new();
+    let front = cluster.start_front();
+    let mut client = behind_a_hanging_order(&cluster, &front);
     // All of one session: they wait for the write before them.
     let statement = |i: usize| {
         let long = format!("\\x{}", "9f".repeat(4 << 10));
@@ -128,40 +130,40 @@
     assert!((20..80).contains(&fit), "{fit}");
     // All of it has been read: another client's turn comes after.
     (0..3).for_each(|_| assert_eq!(front.client().ask("SET a = 1").last, b'Z'));
-    town.members[0].end_hanging();
+    cluster.members[0].end_hanging();
     assert!(unknown(&client.reply()));
     for i in 0..100 {
         let reply = client.reply();
         assert_eq!((reply.value.is_some(), declined(&reply)), (i < fit, i >= fit), "{i}: {reply:?}");
     }
     assert!(client.ask(&of_session("a", "order", 20_000, "after")).value.is_some());
-    let seen: Vec<String> = town.members.iter().flat_map(|member| member.seen.try_iter()).collect();
+    let seen: Vec<String> = cluster.members.iter().flat_map(|member| member.seen.try_iter()).collect();
     assert_eq!(seen.iter().filter(|text| text.contains("id=n")).count(), fit, "none of the refused was sent");
 }
 
 #[test]
 fn when_the_client_leaves_none_of_them_is_sent_again_and_none_begins() {
-    let town = Town::new();
-    let front = town.front();
-    let mut client = behind_a_hanging_order(&town, &front);
-    town.members.iter().for_each(|member| member.set(Does::Hangs));
+    let cluster = TestCluster::new();
+    let front = cluster.start_front();
+    let mut client = behind_a_hanging_order(&cluster, &front);
+    cluster.members.iter().for_each(|member| member.set(Does::Hangs));
     for id in ["b", "c", "d"] {
         client.say(&of_session(id, "lookup", 60_000, id));
     }
     client.say(&of_session("a", "order", 60_000, "waits"));
     let mut out = 0;
-    until(|| {
-        out += town.members.iter().map(|member| member.seen.try_iter().count()).sum::<usize>();
+    wait_until(|| {
+        out += cluster.members.iter().map(|member| member.seen.try_iter().count()).sum::<usize>();
         out == 3
     });
     client.stream.shutdown(Shutdown::Both).expect("it leaves");
     (0..3).for_each(|_| assert_eq!(front.client().ask("SET a = 1").last, b'Z'));
     // Reads whose connection ends are sent again, were it not for that.
-    town.members.iter().for_each(|member| member.set(Does::Serves));
-    town.members.iter().for_each(Member::cut);
-    until(|| front.client().ask(&of_session("e", "order", 20_000, "next")).value.is_some());
-    until(|| front.client().ask(&of_session("e", "lookup", 20_000, "next")).value.is_some());
-    let seen: Vec<String> = town.members.iter().flat_map(|member| member.seen.try_iter()).collect();
+    cluster.members.iter().for_each(|member| member.set(Does::Serves));
+    cluster.members.iter().for_each(Member::cut);
+    wait_until(|| front.client().ask(&of_session("e", "order", 20_000, "next")).value.is_some());
+    wait_until(|| front.client().ask(&of_session("e", "lookup", 20_000, "next")).value.is_some());
+    let seen: Vec<String> = cluster.members.iter().flat_map(|member| member.seen.try_iter()).collect();
     assert!(seen.iter().all(|text| text.contains("id=next,")), "{seen:?}");
     front.signal("-TERM");
     let (well, text) = front.end();
@@ -170,9 +172,9 @@
 
 #[test]
 fn a_client_is_seen_to_leave_whatever_it_has_sent_before() {
-    let town = Town::new();
-    let front = town.front();
-    let mut client = behind_a_hanging_order(&town, &front);
+    let cluster = TestCluster::new();
+    let front = cluster.start_front();
+    let mut client = behind_a_hanging_order(&cluster, &front);
     // Far more than the front keeps of it and the machine's buffers hold: it is read all the same.
     let long = of_session("a", "order", 60_000, "behind")
         .replace("\\x9f03", &format!("\\x{}", "9f".repeat(60 << 10)));
@@ -181,8 +183,8 @@
         assert!(client.tell(&long), "all is read");
     }
     drop(client);
-    until(|| front.client().ask(&of_session("e", "order", 20_000, "next")).value.is_some());
-    assert!(!sent_anywhere(&town, "behind"));
+    wait_until(|| front.client().ask(&of_session("e", "order", 20_000, "next")).value.is_some());
+    assert!(!sent_anywhere(&cluster, "behind"));
     front.signal("-TERM");
     let (well, text) = front.end();
     assert!(well && !text.contains(" left=0 ") && text.contains(" guard_acts=0 "), "{text}");
@@ -191,15 +193,15 @@
 #[test]
 fn statements_in_pieces_behind_others_count_from_their_last_byte() {
     use std::io::Write;
-    let town = Town::new();
-    let front = town.front();
-    let mut client = behind_a_hanging_order(&town, &front);
+    let cluster = TestCluster::new();
+    let front = cluster.start_front();
+    let mut client = behind_a_hanging_order(&cluster, &front);
     let slow = message(b'Q', format!("{}\0", of_session("b", "order", 1000, "slow")).as_bytes());
     let (head, tail) = slow.split_at(slow.len() - 1);
     client.stream.write_all(head).expect("a part");
     std::thread::sleep(Duration::from_millis(1100));
     client.stream.write_all(tail).expect("the rest");
-    assert!(town.sent(0).contains("id=slow,"), "its time has just begun");
-    town.members[0].end_hanging();
+    assert!(cluster.next_txn(0).contains("id=slow,"), "its time has just begun");
+    cluster.members[0].end_hanging();
     assert!(unknown(&client.reply()) && client.reply().value.is_some());
 }
