--- a/crates/front/tests/sockets.rs
+++ b/crates/front/tests/sockets.rs
@@ -1,18 +1,18 @@
 //! Stories on sockets: the built program among stand-ins. Each waits for what is to happen, never for a time.
 
+use cluster::{PROGRAM, TestCluster, wait_until};
 use juniperdock_test_support::{Agent, Does, Front, PATIENCE, WATCH, error, list, message, row, txn};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
 use std::process::Command;
 use std::time::{Duration, Instant};
-use town::{PROGRAM, Town, until};
 
-mod town;
+mod cluster;
 
 #[test]
 fn reads_go_to_replicas_writes_to_the_primary_and_values_come_back_as_they_were() {
-    let town = Town::new();
-    let front = town.front();
+    let cluster = TestCluster::new();
+    let front = cluster.start_front();
     let mut client = front.client();
     assert_eq!(client.ask("SET a = 1").last, b'Z');
     for i in 0..20 {
@@ -23,20 +23,20 @@
         let (first, second) = (client.reply(), client.reply());
         let (first, second) = (first.value.expect("a value"), second.value.expect("a value"));
         assert!(first.windows(4).any(|w| w == b"id=r") && second.windows(4).any(|w| w == b"id=w"));
-        let sent = town.sent(0);
+        let sent = cluster.next_txn(0);
         assert_eq!(second, sent.as_bytes());
         // Unchanged, but for what is left of its time.
         let left: u32 = sent.split(",d=").nth(1).and_then(|s| s.split(',').next()).unwrap().parse().unwrap();
         assert!(left <= 2000);
         assert_eq!(sent, write.replace("d=2000", &format!("d={left}")));
     }
-    assert!(town.quiet(0), "no read went to the primary");
+    assert!(cluster.received_nothing(0), "no read went to the primary");
     let bytes: Vec<u8> = (0..=255).cycle().take(60_000).collect();
     // A member may give more than a client may send, as far as memory allows.
     let more = bytes.repeat(10);
     for bytes in [bytes, more] {
         for i in [1, 2] {
-            town.members[i].set(Does::Says(row(&bytes)));
+            cluster.members[i].set(Does::Says(row(&bytes)));
         }
         assert!(client.ask(&txn("lookup", 2000, "big")).value == Some(bytes));
     }
@@ -44,56 +44,56 @@
 
 #[test]
 fn a_write_waits_for_a_primary_and_then_goes_there() {
-    let town = Town::new();
-    town.members[0].be_primary(false);
-    let front = town.front();
+    let cluster = TestCluster::new();
+    cluster.members[0].be_primary(false);
+    let front = cluster.start_front();
     let mut client = front.client();
     client.say(&txn("order", 2000, "w"));
     // Reads are served meanwhile, by members that have said that they are replicas.
     assert!(front.client().ask(&txn("lookup", 2000, "r")).value.is_some());
-    town.members[2].be_primary(true);
+    cluster.members[2].be_primary(true);
     assert!(client.reply().value.is_some());
-    until(|| town.sent(2).contains("id=w"));
+    wait_until(|| cluster.next_txn(2).contains("id=w"));
 }
 
 #[test]
 fn a_write_turned_away_untouched_goes_to_the_next_primary() {
-    let town = Town::new();
-    let front = town.front();
+    let cluster = TestCluster::new();
+    let front = cluster.start_front();
     let mut client = front.client();
     assert!(client.ask(&txn("order", 2000, "w1")).value.is_some());
-    town.members[0].be_primary(false);
-    town.members[1].be_primary(true);
+    cluster.members[0].be_primary(false);
+    cluster.members[1].be_primary(true);
     assert!(client.ask(&txn("order", 2000, "w2")).value.is_some(), "it never ran at member 0");
-    until(|| town.sent(1).contains("id=w2"));
+    wait_until(|| cluster.next_txn(1).contains("id=w2"));
 }
 
 #[test]
 fn what_may_have_run_goes_again_only_where_its_type_allows() {
-    let town = Town::new();
-    let front = town.front();
+    let cluster = TestCluster::new();
+    let front = cluster.start_front();
     let mut client = front.client();
     assert!(client.ask(&txn("order", 2000, "first")).value.is_some());
-    town.sent(0);
+    cluster.next_txn(0);
     // The connection ends after the last byte: the order may have run.
-    town.members[0].once(Does::Breaks(Vec::new()));
+    cluster.members[0].once(Does::Breaks(Vec::new()));
     let reply = client.ask(&txn("order", 2000, "once"));
     assert!(reply.value.is_none() && reply.code.is_some());
     assert!(!["53300", "57P03"].contains(&reply.code.as_deref().unwrap()), "no decline: it may have run");
-    assert!(town.sent(0).contains("id=once"));
+    assert!(cluster.next_txn(0).contains("id=once"));
     // A referenced one goes again, inside its group and window; half a row is no answer.
     let half = row(b"half a value")[..50].to_vec();
-    town.members[0].once(Does::Breaks(half));
+    cluster.members[0].once(Does::Breaks(half));
     let reply = client.ask(&txn("mark", 2000, "again"));
     assert!(reply.value.is_some_and(|value| value.windows(8).any(|w| w == b"id=again")));
-    assert!(town.sent(0).contains("id=again") && town.sent(0).contains("id=again"));
-    assert!(town.quiet(0), "the order went once");
+    assert!(cluster.next_txn(0).contains("id=again") && cluster.next_txn(0).contains("id=again"));
+    assert!(cluster.received_nothing(0), "the order went once");
 }
 
 #[test]
 fn nonsense_from_a_member_never_reaches_a_client() {
-    let town = Town::new();
-    let front = town.front();
+    let cluster = TestCluster::new();
+    let front = cluster.start_front();
     let mut client = front.client();
     assert!(client.ask(&txn("order", 2000, "first")).value.is_some());
     let two = [row(b"one"), row(b"two")].concat();
@@ -115,66 +115,66 @@
     ] {
         // The member lives, and keeps its slot.
         assert!(client.ask(&txn("order", 2000, "good")).value.is_some());
-        town.members[0].once(Does::Says(says.clone()));
+        cluster.members[0].once(Does::Says(says.clone()));
         let reply = client.ask(&txn("order", 2000, "bad"));
         assert_eq!((reply.value, reply.last), (None, b'Z'), "{says:?}");
         assert!(reply.code.is_some_and(|code| code != "53300"), "no decline, it may have run: {says:?}");
     }
     // An error about the statement is the client's, as it came; no other member is tried.
-    town.members[0].once(Does::Fails("42601"));
+    cluster.members[0].once(Does::Fails("42601"));
     assert_eq!(client.ask(&txn("mark", 2000, "syntax")).code.as_deref(), Some("42601"));
-    until(|| town.sent(0).contains("id=syntax"));
-    assert!(town.quiet(0));
+    wait_until(|| cluster.next_txn(0).contains("id=syntax"));
+    assert!(cluster.received_nothing(0));
     // Turned away unseen, it goes again; an error is one.
-    town.members[0].once(Does::Fails("53300"));
+    cluster.members[0].once(Does::Fails("53300"));
     assert!(client.ask(&txn("order", 2000, "full")).value.is_some());
-    town.members[0].once(Does::Fails("XX000"));
+    cluster.members[0].once(Does::Fails("XX000"));
     assert!(client.ask(&txn("order", 2000, "error")).value.is_none());
 }
 
 #[test]
 fn a_drained_member_gets_nothing_new() {
-    let town = Town::new();
-    let front = town.front();
+    let cluster = TestCluster::new();
+    let front = cluster.start_front();
     let mut client = front.client();
-    town.tell(2, ["up", "draining", "up"]);
+    cluster.publish_list(2, ["up", "draining", "up"]);
     // Once the list has come in, none goes there any more.
     let mut since = 0;
-    until(|| {
+    wait_until(|| {
         assert!(client.ask(&txn("lookup", 2000, "r")).value.is_some());
-        since = if town.quiet(1) { since + 1 } else { 0 };
+        since = if cluster.received_nothing(1) { since + 1 } else { 0 };
         since == 50
     });
 }
 
 #[test]
 fn a_drain_is_seen_by_what_waits_for_a_connection() {
-    let town = Town::new();
-    town.members.iter().for_each(|m| m.welcome(false));
+    let cluster = TestCluster::new();
+    cluster.members.iter().for_each(|m| m.welcome(false));
     // The only primary is asked for by a probe and then for the write; neither gets its connection yet.
-    let front = town.front();
+    let front = cluster.start_front();
     let mut client = front.client();
-    town.members[0].welcome(true);
+    cluster.members[0].welcome(true);
     assert!(client.ask(&txn("order", 2000, "w1")).value.is_some());
-    town.sent(0);
-    town.members[0].welcome(false);
-    town.members[0].cut();
+    cluster.next_txn(0);
+    cluster.members[0].welcome(false);
+    cluster.members[0].cut();
     client.say(&txn("order", 2000, "w2"));
-    town.tell(2, ["draining", "up", "up"]);
-    until(|| town.agent.asked.try_recv().is_ok());
+    cluster.publish_list(2, ["draining", "up", "up"]);
+    wait_until(|| cluster.agent.asked.try_recv().is_ok());
     let reply = client.reply();
     assert!(reply.value.is_none());
-    assert!(town.quiet(0), "nothing was written after the drain");
+    assert!(cluster.received_nothing(0), "nothing was written after the drain");
 }
 
 #[test]
 fn a_member_that_never_welcomes_costs_one_connect() {
-    let town = Town::new();
-    let front = town.front();
+    let cluster = TestCluster::new();
+    let front = cluster.start_front();
     let mut client = front.client();
     assert!(client.ask(&txn("lookup", 2000, "r")).value.is_some());
-    town.members[1].welcome(false);
-    town.members[1].cut();
+    cluster.members[1].welcome(false);
+    cluster.members[1].cut();
     for i in 0..20 {
         assert!(client.ask(&txn("lookup", 2000, &format!("r{i}"))).value.is_some());
     }
@@ -182,11 +182,11 @@
 
 #[test]
 fn each_txn_is_answered_before_its_expiry_though_its_member_hangs() {
-    let town = Town::new();
-    let front = town.front();
+    let cluster = TestCluster::new();
+    let front = cluster.start_front();
     let mut client = front.client();
     assert!(client.ask(&txn("order", 2000, "first")).value.is_some());
-    town.members[0].set(Does::Hangs);
+    cluster.members[0].set(Does::Hangs);
     let begun = Instant::now();
     let reply = client.ask(&txn("order", 300, "w"));
     assert!(reply.code.is_some_and(|code| code != "53300" && code != "57P03"));
@@ -198,13 +198,13 @@
 
 #[test]
 fn a_client_that_leaves_is_noticed() {
-    let town = Town::new();
-    let front = town.front();
+    let cluster = TestCluster::new();
+    let front = cluster.start_front();
     assert!(front.client().ask(&txn("lookup", 2000, "r")).value.is_some());
-    town.members[0].set(Does::Hangs);
+    cluster.members[0].set(Does::Hangs);
     let mut leaver = front.client();
     leaver.say(&txn("order", 2000, "w"));
-    until(|| town.sent(0).contains("id=w"));
+    wait_until(|| cluster.next_txn(0).contains("id=w"));
     drop(leaver);
     assert!(front.client().ask(&txn("lookup", 2000, "r")).value.is_some());
     front.signal("-TERM");
@@ -214,8 +214,8 @@
 
 #[test]
 fn bad_input_gets_an_error_and_stops_no_one_else() {
-    let town = Town::new();
-    let front = town.front();
+    let cluster = TestCluster::new();
+    let front = cluster.start_front();
     let mut good = front.client();
     assert!(good.ask(&txn("lookup", 2000, "r")).value.is_some());
     for (text, names) in [
@@ -286,13 +286,13 @@
     for head in
         ["HTTP/1.1 500 no\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", WATCH]
     {
-        let town = Town::told(head);
-        town.agent.tell("{\"version\":9".to_owned());
-        let front = town.front();
+        let cluster = TestCluster::with_response_head(head);
+        cluster.agent.tell("{\"version\":9".to_owned());
+        let front = cluster.start_front();
         let mut client = front.client();
         // It is asked for again, and again.
         for _ in 0..3 {
-            town.agent.asked.recv_timeout(PATIENCE).expect("another watch");
+            cluster.agent.asked.recv_timeout(PATIENCE).expect("another watch");
         }
         assert!(client.ask(&txn("lookup", 2000, "r")).value.is_some());
     }
@@ -300,36 +300,36 @@
 
 #[test]
 fn a_new_configuration_moves_the_watch_and_a_bad_one_changes_nothing() {
-    let town = Town::new();
-    let front = town.front();
+    let cluster = TestCluster::new();
+    let front = cluster.start_front();
     let mut client = front.client();
     assert!(client.ask(&txn("order", 2000, "first")).value.is_some());
-    town.agent.asked.recv_timeout(PATIENCE).expect("a watch");
+    cluster.agent.asked.recv_timeout(PATIENCE).expect("a watch");
     for bad in ["", "{\"discovery\":", "{}", "{\"discovery\":\"there\"}"] {
         front.reconfigure(bad);
         assert!(client.ask(&txn("lookup", 2000, "r")).value.is_some(), "{bad}");
     }
     // What is in hand does not notice.
-    town.members[0].set(Does::Hangs);
+    cluster.members[0].set(Does::Hangs);
     client.say(&txn("order", 500, "w"));
-    until(|| town.sent(0).contains("id=w"));
+    wait_until(|| cluster.next_txn(0).contains("id=w"));
     let moved = Agent::start(WATCH);
     front.reconfigure(&format!("{{\"discovery\":\"{}\"}}", moved.at));
     moved.asked.recv_timeout(PATIENCE).expect("a watch at the new address");
     assert!(client.reply().code.is_some());
     // From its first word on only the new address counts.
-    moved.tell(Town::list(&town.members, 2, ["up", "draining", "up"]));
+    moved.tell(TestCluster::list(&cluster.members, 2, ["up", "draining", "up"]));
     let mut since = 0;
-    until(|| {
+    wait_until(|| {
         assert!(client.ask(&txn("lookup", 2000, "r")).value.is_some());
-        since = if town.quiet(1) { since + 1 } else { 0 };
+        since = if cluster.received_nothing(1) { since + 1 } else { 0 };
         since == 50
     });
-    town.tell(3, ["up", "up", "draining"]);
+    cluster.publish_list(3, ["up", "up", "draining"]);
     for _ in 0..50 {
         assert!(client.ask(&txn("lookup", 2000, "r")).value.is_some());
     }
-    assert!(town.quiet(1));
+    assert!(cluster.received_nothing(1));
     front.signal("-TERM");
     front.signal("-HUP");
     let (well, text) = front.end();
@@ -338,21 +338,21 @@
 
 #[test]
 fn members_come_and_go_and_nothing_of_them_is_kept() {
-    let town = Town::new();
-    let front = town.front();
+    let cluster = TestCluster::new();
+    let front = cluster.start_front();
     let mut client = front.client();
-    let (at, descriptors) = (town.members[0].at, front.descriptors());
+    let (at, descriptors) = (cluster.members[0].at, front.descriptors());
     for version in 2..102 {
         // Another primary at the same address each time, the one before it gone.
         let names = [version - 1, version].map(|v| if v == 1 { "m-0".to_owned() } else { format!("p-{v}") });
-        let before = town.members[0].connections();
-        town.agent.tell(list(version, false, &[(&names[0], at, "removed"), (&names[1], at, "up")]));
-        until(|| {
+        let before = cluster.members[0].connections();
+        cluster.agent.tell(list(version, false, &[(&names[0], at, "removed"), (&names[1], at, "up")]));
+        wait_until(|| {
             let answered = client.ask(&txn("order", 2000, "w")).value.is_some();
-            answered && town.members[0].connections() > before
+            answered && cluster.members[0].connections() > before
         });
     }
-    until(|| front.descriptors() <= descriptors + 4);
+    wait_until(|| front.descriptors() <= descriptors + 4);
     front.signal("-TERM");
     let (_, text) = front.end();
     let ended = text.split("members_ended=").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
@@ -361,14 +361,14 @@
 
 #[test]
 fn sigterm_answers_all_that_was_taken() {
-    let town = Town::new();
-    let front = town.front();
+    let cluster = TestCluster::new();
+    let front = cluster.start_front();
     let mut idle = front.client();
     let mut busy = front.client();
     assert!(idle.ask(&txn("order", 2000, "first")).value.is_some());
-    town.members[0].set(Does::Hangs);
+    cluster.members[0].set(Does::Hangs);
     busy.say(&txn("order", 900, "w"));
-    until(|| town.sent(0).contains("id=w"));
+    wait_until(|| cluster.next_txn(0).contains("id=w"));
     front.signal("-TERM");
     assert!(front.client().ask(&txn("lookup", 2000, "new")).value.is_some(), "clients still come");
     assert!(busy.reply().code.is_some());
@@ -379,34 +379,34 @@
 
 #[test]
 fn what_came_in_while_the_front_stood_still_has_less_time_left() {
-    let town = Town::new();
-    let front = town.front();
+    let cluster = TestCluster::new();
+    let front = cluster.start_front();
     let mut client = front.client();
     assert!(client.ask(&txn("order", 2000, "first")).value.is_some());
-    town.sent(0);
+    cluster.next_txn(0);
     front.signal("-STOP");
-    until(|| front.stopped());
+    wait_until(|| front.stopped());
     let begun = Instant::now();
     client.say(&txn("order", 500, "late"));
-    until(|| begun.elapsed() > Duration::from_millis(700));
+    wait_until(|| begun.elapsed() > Duration::from_millis(700));
     front.signal("-CONT");
     let reply = client.reply();
     assert!(reply.value.is_none(), "its client has given up by now: {reply:?}");
-    assert!(town.quiet(0), "nothing is sent for it");
+    assert!(cluster.received_nothing(0), "nothing is sent for it");
     assert!(client.ask(&txn("order", 2000, "next")).value.is_some());
 }
 
 #[test]
 fn a_killed_front_comes_back_from_nothing() {
-    let town = Town::new();
-    let front = town.front();
+    let cluster = TestCluster::new();
+    let front = cluster.start_front();
     let mut client = front.client();
     assert!(client.ask(&txn("lookup", 2000, "r")).value.is_some());
     let at = front.at;
     front.signal("-KILL");
     assert_eq!(client.reply().last, 0);
     drop(front);
-    let front = Front::again(PROGRAM, at, town.agent.at, &town.known, 1024, None);
+    let front = Front::again(PROGRAM, at, cluster.agent.at, &cluster.server_list, 1024, None);
     assert!(front.client().ask(&txn("order", 2000, "w")).value.is_some());
     front.signal("-USR1");
     front.signal("-TERM");
@@ -415,22 +415,22 @@
 
 #[test]
 fn when_descriptors_are_used_up_idle_clients_leave_first() {
-    let town = Town::new();
-    let front = Front::start(PROGRAM, town.agent.at, &town.known, 52);
+    let cluster = TestCluster::new();
+    let front = Front::start(PROGRAM, cluster.agent.at, &cluster.server_list, 52);
     let mut clients: Vec<_> = (0..60).map(|_| front.client()).collect();
     // Those that came last are here, those idle longest were asked to leave.
-    until(|| front.client().ask(&txn("lookup", 2000, "r")).value.is_some());
+    wait_until(|| front.client().ask(&txn("lookup", 2000, "r")).value.is_some());
     assert_eq!(clients[0].reply().last, 0);
     drop(clients);
-    until(|| front.descriptors() < 25);
+    wait_until(|| front.descriptors() < 25);
     // Clients have a budget of their own, idle connections too: those idle for long are closed in time.
     let mut clients: Vec<_> = (0..11).map(|_| front.client()).collect();
     clients.iter().for_each(|client| client.stream.set_nonblocking(true).unwrap());
-    until(|| clients.iter_mut().filter_map(|client| client.stream.read(&mut [0]).ok()).count() == 3);
+    wait_until(|| clients.iter_mut().filter_map(|client| client.stream.read(&mut [0]).ok()).count() == 3);
     drop(clients);
-    until(|| front.descriptors() < 25);
+    wait_until(|| front.descriptors() < 25);
     // Busy ones stay; who finds no seat is told so.
-    for member in &town.members {
+    for member in &cluster.members {
         member.set(Does::Hangs);
     }
     let mut busy: Vec<_> = (0..18)
--- a/crates/front/tests/unit/member.rs
+++ b/crates/front/tests/unit/member.rs
@@ -3,21 +3,21 @@
 use super::*;
 use juniperdock_request_guard::{ClientPresence, RequestGuard};
 
-fn reach(desk: Sender<ToDesk>) -> Reach {
+fn reach(dispatcher: Sender<DispatcherMessage>) -> PoolContext {
     let (clock, _ring) = Clock::start(Duration::ZERO).expect("a clock");
     let second = Duration::from_secs(1);
-    Reach {
+    PoolContext {
         clock,
-        desk,
+        dispatcher,
         counters: Arc::default(),
         log: slog::Logger::root(slog::Discard, slog::o!()),
         request_log: RequestLog::new(slog::Logger::root(slog::Discard, slog::o!()), false),
-        connect: second,
-        idle: 15 * second,
-        stack: 64 << 10,
-        open: Arc::default(),
-        most: 0,
-        longest: pg::LONGEST,
+        connect_timeout: second,
+        idle_timeout: 15 * second,
+        stack_bytes: 64 << 10,
+        open_connections: Arc::default(),
+        max_connections: 0,
+        max_message_bytes: pg::LONGEST,
     }
 }
 
@@ -38,18 +38,19 @@
     let (statement, left, at) = ("".into(), 0..0, Duration::ZERO);
     let give_up = Duration::from_secs(3600);
     let permit = guard().permit(until);
-    Job::Submit(crate::mail::Submit { ticket: 7, statement, left, give_up, permit, at })
+    Job::Submit(crate::messages::Submit { ticket: 7, statement, left, give_up, permit, at })
 }
 
 #[test]
 fn mail_behind_the_word_to_leave_is_not_lost() {
     let ((mail, read), (desk, told)) = (channel(), channel());
-    let member = Member::new(3, SocketAddr::from(([127, 0, 0, 1], 1)), mail.clone(), reach(desk));
+    let member = MemberPool::new(3, SocketAddr::from(([127, 0, 0, 1], 1)), mail.clone(), reach(desk));
     // All in one go: the list lets it go, and the router asks it all the same. There is no room for a connection.
-    let _ = mail.send(ToMember::Leave);
-    let _ = mail.send(ToMember::Job(Job::Probe { at: Duration::ZERO }));
+    let _ = mail.send(MemberMessage::Leave);
+    let _ = mail.send(MemberMessage::Job(Job::Probe { at: Duration::ZERO }));
     member.run(&read);
-    let full = |mail| matches!(mail, ToDesk::Probed { member: 3, ending: Ending::Full, .. });
+    let full =
+        |mail| matches!(mail, DispatcherMessage::Probed { member: 3, ending: AttemptOutcome::Full, .. });
     assert!(told.try_iter().any(full), "it hears what came of its probe");
 }
 
@@ -57,11 +58,11 @@
 fn nothing_is_connected_for_what_is_not_to_be_written_any_more() {
     let ((mail, _read), (desk, told)) = (channel(), channel());
     let mut reach = reach(desk);
-    reach.most = 9;
-    let mut member = Member::new(3, SocketAddr::from(([127, 0, 0, 1], 1)), mail, reach);
-    member.take(ToMember::Job(submit(Duration::ZERO)));
+    reach.max_connections = 9;
+    let mut member = MemberPool::new(3, SocketAddr::from(([127, 0, 0, 1], 1)), mail, reach);
+    member.take(MemberMessage::Job(submit(Duration::ZERO)));
     assert!(member.connections.is_empty(), "no handshake for nobody");
-    let moot = |mail| matches!(mail, ToDesk::Ended(end) if end.ticket == 7 && end.ending == Ending::Moot);
+    let moot = |mail| matches!(mail, DispatcherMessage::Ended(end) if end.ticket == 7 && end.ending == AttemptOutcome::Moot);
     assert!(told.try_iter().any(moot));
 }
 
@@ -98,11 +99,11 @@
 }
 
 /// Carries one job over a connection of its own, as its coroutine does; gives what the dispatcher is told.
-fn carry(address: SocketAddr, mail: Receiver<ToConnection>) -> Vec<ToDesk> {
+fn carry(address: SocketAddr, mail: Receiver<ToConnection>) -> Vec<DispatcherMessage> {
     let ((pool, _pool), (desk, told)) = (channel(), channel());
     let (ended, end) = std::sync::mpsc::channel();
     let reach = reach(desk);
-    spawn("line", reach.stack, move || {
+    spawn("line", reach.stack_bytes, move || {
         let (kept, rings) = (RefCell::default(), Cell::default());
         let line = Line { id: 1, member: 3, address, pool, reach, mail, kept, rings };
         line.live(&mut Some(submit(Duration::from_secs(3600))), None);
@@ -113,8 +114,8 @@
     told.try_iter().collect()
 }
 
-fn is_moot(mail: &ToDesk) -> bool {
-    matches!(mail, ToDesk::Ended(end) if end.ticket == 7 && end.ending == Ending::Moot)
+fn is_moot(mail: &DispatcherMessage) -> bool {
+    matches!(mail, DispatcherMessage::Ended(end) if end.ticket == 7 && end.ending == AttemptOutcome::Moot)
 }
 
 #[test]
--- a/crates/front/tests/upgrade.rs
+++ b/crates/front/tests/upgrade.rs
@@ -37,15 +37,15 @@
     println!("{} passed, 0 failed", stories.len());
 }
 
-struct Town {
+struct TestCluster {
     members: Vec<Member>,
     /// Answers watches for as long as the story lasts.
     _agent: Agent,
     front: Front,
 }
 
-impl Town {
-    fn new() -> Town {
+impl TestCluster {
+    fn new() -> TestCluster {
         let members: Vec<Member> = (0..3).map(|i| Member::start(i == 0)).collect();
         let names = ["m-0", "m-1", "m-2"];
         let entries: Vec<_> =
@@ -56,7 +56,7 @@
             format!("{{ control: {{ path: {:?} }}, log: {{ form: 'json' }} }}", path.display().to_string());
         let front = Front::again(PROGRAM, at, agent.at, &known, 1024, Some(&charter));
         drop(front.client());
-        Town { members, _agent: agent, front }
+        TestCluster { members, _agent: agent, front }
     }
 
     /// Whether the command succeeded, and what it printed.
@@ -78,7 +78,7 @@
     }
 }
 
-impl Drop for Town {
+impl Drop for TestCluster {
     fn drop(&mut self) {
         let (good, status) = self.command(&["--json", "status"]);
         let pid = status.split("\"pid\":").nth(1).and_then(|rest| rest.split([',', '}']).next());
@@ -88,7 +88,7 @@
     }
 }
 
-fn until(mut good: impl FnMut() -> bool) {
+fn wait_until(mut good: impl FnMut() -> bool) {
     let begun = Instant::now();
     while !good() {
         assert!(begun.elapsed() < PATIENCE, "it does not come about");
@@ -117,19 +117,19 @@
     std::fs::write(&file, "{ log: { form: 'json' } }").expect("a file");
     assert_eq!(bare(&["--charter", &name, "check"]), (Some(0), "no fault found\n".to_owned()));
     let _ = std::fs::remove_file(&file);
-    let town = Town::new();
-    assert!(town.front.client().ask(&txn("order", 2000, "first")).value.is_some());
-    let (good, said) = town.command(&["status", "2"]);
+    let cluster = TestCluster::new();
+    assert!(cluster.front.client().ask(&txn("order", 2000, "first")).value.is_some());
+    let (good, said) = cluster.command(&["status", "2"]);
     assert!(good && said.contains("m-0") && said.contains("1 groups"), "{said}");
-    assert!(town.command(&["--json", "status"]).1.contains("\"counters\":{"));
+    assert!(cluster.command(&["--json", "status"]).1.contains("\"counters\":{"));
 }
 
 fn control() {
     use std::io::{Read, Write};
-    let town = Town::new();
-    let path = town.front.path("control");
+    let cluster = TestCluster::new();
+    let path = cluster.front.path("control");
     assert_eq!(std::fs::metadata(&path).expect("a socket").permissions().mode() & 0o777, 0o600);
-    let mut client = town.front.client();
+    let mut client = cluster.front.client();
     // One hangs with half a frame; others talk nonsense, or another version.
     let mut hangs = UnixStream::connect(&path).expect("a connection");
     hangs.write_all(&[0, 0, 0]).expect("sent");
@@ -142,7 +142,7 @@
         assert!(said.contains("expected"), "{bytes:?}: {said:?}");
     }
     assert!(client.ask(&txn("order", 2000, "w")).value.is_some());
-    assert!(town.command(&["status"]).0);
+    assert!(cluster.command(&["status"]).0);
 }
 
 fn snapshot() {
@@ -159,7 +159,7 @@
     };
     let front = start();
     assert!(front.client().ask(&txn("order", 2000, "first")).value.is_some());
-    until(|| file.exists() && show().1.contains("\"term\": 1"));
+    wait_until(|| file.exists() && show().1.contains("\"term\": 1"));
     front.signal("-TERM");
     assert!(front.end().0);
     let good = std::fs::read(&file).expect("a snapshot");
@@ -181,73 +181,74 @@
 }
 
 fn busy() {
-    let town = Town::new();
-    let old = town.serving();
-    let (mut busy, mut idle, mut half) = (town.front.client(), town.front.client(), town.front.client());
+    let cluster = TestCluster::new();
+    let old = cluster.serving();
+    let (mut busy, mut idle, mut half) =
+        (cluster.front.client(), cluster.front.client(), cluster.front.client());
     assert!(busy.ask(&txn("order", 2000, "first")).value.is_some());
-    town.members[0].set(Does::Hangs);
+    cluster.members[0].set(Does::Hangs);
     busy.say(&txn("order", 1500, "long"));
-    until(|| town.members[0].seen.try_iter().any(|seen| seen.contains("id=long")));
-    town.members[0].set(Does::Serves);
+    wait_until(|| cluster.members[0].seen.try_iter().any(|seen| seen.contains("id=long")));
+    cluster.members[0].set(Does::Serves);
     // Half a statement is sent before the hand-over, the rest after it.
     let whole =
         juniperdock_test_support::message(b'Q', format!("{}\0", txn("lookup", 2000, "half")).as_bytes());
     std::io::Write::write_all(&mut half.stream, &whole[..20]).expect("sent");
-    let (good, said) = town.command(&["upgrade"]);
+    let (good, said) = cluster.command(&["upgrade"]);
     assert!(good, "{said}");
-    assert!(town.command(&["status"]).0);
-    until(|| town.serving() != old);
+    assert!(cluster.command(&["status"]).0);
+    wait_until(|| cluster.serving() != old);
     std::io::Write::write_all(&mut half.stream, &whole[20..]).expect("sent");
     assert!(half.reply().value.is_some(), "its half statement came along");
     assert!(idle.ask(&txn("order", 2000, "idle")).value.is_some());
     // The one that was busy gets its one answer from the old process, and goes on with the new one.
     assert_eq!(busy.reply().code.as_deref(), Some("40003"));
     assert!(busy.ask(&txn("order", 2000, "next")).value.is_some());
-    until(|| !std::path::Path::new(&format!("/proc/{old}")).exists() || zombie(&old));
+    wait_until(|| !std::path::Path::new(&format!("/proc/{old}")).exists() || zombie(&old));
 }
 
 /// A program that fails as a successor in a way; a file beside it, `how.begun`, tells that it was started.
-fn failing(town: &Town, how: &str) -> String {
-    let path = town.front.path(how);
+fn failing(cluster: &TestCluster, how: &str) -> String {
+    let path = cluster.front.path(how);
     let own = std::env::current_exe().expect("its own path").display().to_string();
-    let begun = begun(town, how).display().to_string();
+    let begun = begun(cluster, how).display().to_string();
     std::fs::write(&path, format!("#!/bin/sh\n: > {begun:?}\nexec {own:?} successor {how}\n"))
         .expect("a file");
     std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o700)).expect("a program");
     path.display().to_string()
 }
 
-fn begun(town: &Town, how: &str) -> std::path::PathBuf {
-    town.front.path(&format!("{how}.begun"))
+fn begun(cluster: &TestCluster, how: &str) -> std::path::PathBuf {
+    cluster.front.path(&format!("{how}.begun"))
 }
 
 fn after_commit() {
-    let town = Town::new();
-    let old = town.serving();
-    let mut client = town.front.client();
+    let cluster = TestCluster::new();
+    let old = cluster.serving();
+    let mut client = cluster.front.client();
     assert!(client.ask(&txn("order", 2000, "first")).value.is_some());
-    let program = failing(&town, "commit");
-    assert!(town.command(&["upgrade", "--program", &program]).0, "it had committed");
+    let program = failing(&cluster, "commit");
+    assert!(cluster.command(&["upgrade", "--program", &program]).0, "it had committed");
     assert_eq!(client.reply().last, 0, "who was handed over has to come again");
-    assert!(town.front.client().ask(&txn("order", 2000, "again")).value.is_some());
-    assert_eq!(town.serving(), old);
+    assert!(cluster.front.client().ask(&txn("order", 2000, "again")).value.is_some());
+    assert_eq!(cluster.serving(), old);
     // And the next one succeeds; hundreds of statements sent ahead come along.
-    let mut ahead = town.front.client();
+    let mut ahead = cluster.front.client();
     (0..200).for_each(|i| ahead.say(&txn("lookup", 5000, &format!("a{i}"))));
-    until(|| town.command(&["upgrade"]).0);
+    wait_until(|| cluster.command(&["upgrade"]).0);
     let seen = |reply: juniperdock_test_support::Reply, id: String| {
         reply.value.is_some_and(|value| String::from_utf8_lossy(&value).contains(&format!("id={id},")))
     };
     assert!((0..200).all(|i| seen(ahead.reply(), format!("a{i}"))), "each answered once, in order");
-    until(|| town.serving() != old);
+    wait_until(|| cluster.serving() != old);
 }
 
 fn in_the_middle() {
-    let town = Town::new();
-    let mut client = town.front.client();
+    let cluster = TestCluster::new();
+    let mut client = cluster.front.client();
     assert!(client.ask(&txn("order", 2000, "first")).value.is_some());
-    let program = failing(&town, "waits");
-    let charter = town.front.path("charter.json5");
+    let program = failing(&cluster, "waits");
+    let charter = cluster.front.path("charter.json5");
     let mut first = Command::new(PROGRAM)
         .arg("--charter")
         .arg(&charter)
@@ -256,24 +257,24 @@
         .spawn()
         .expect("it runs");
     // Asked any earlier, the second one could be the first to arrive, and succeed.
-    until(|| begun(&town, "waits").exists());
-    let (good, said) = town.command(&["upgrade"]);
+    wait_until(|| begun(&cluster, "waits").exists());
+    let (good, said) = cluster.command(&["upgrade"]);
     assert!(!good && said.contains("under way"), "{said}");
     let text = std::fs::read_to_string(&charter).expect("a file");
     let text = text.replacen('{', "{ held: { of_all: 1 },", 1);
     std::fs::write(&charter, text).expect("a file");
-    town.front.signal("-HUP");
-    until(|| town.command(&["--json", "status"]).1.contains("\"reloads\":1"));
+    cluster.front.signal("-HUP");
+    wait_until(|| cluster.command(&["--json", "status"]).1.contains("\"reloads\":1"));
     assert!(client.ask(&txn("order", 2000, "next")).value.is_some(), "served all the while");
-    town.front.signal("-TERM");
+    cluster.front.signal("-TERM");
     assert_eq!(client.reply().last, 0, "it ends as ever");
     let _ = first.wait();
-    until(|| zombie(&town.front.id().to_string()));
+    wait_until(|| zombie(&cluster.front.id().to_string()));
 }
 
 /// The program itself, after a shell has done something; `name.begun` tells its process id.
-fn behind(town: &Town, name: &str, first: &str) -> String {
-    let (path, begun) = (town.front.path(name), begun(town, name).display().to_string());
+fn behind(cluster: &TestCluster, name: &str, first: &str) -> String {
+    let (path, begun) = (cluster.front.path(name), begun(cluster, name).display().to_string());
     let text = format!(
         "#!/bin/sh\n{first}\necho $$ > {begun:?}.new && mv {begun:?}.new {begun:?}\nexec {PROGRAM:?}\n"
     );
@@ -283,48 +284,48 @@
 }
 
 fn out_of_descriptors() {
-    let town = Town::new();
-    let old = town.serving();
-    let mut clients: Vec<Client> = (0..60).map(|_| town.front.client()).collect();
-    let program = behind(&town, "poor", "ulimit -n 40");
-    let (good, said) = town.command(&["upgrade", "--program", &program]);
+    let cluster = TestCluster::new();
+    let old = cluster.serving();
+    let mut clients: Vec<Client> = (0..60).map(|_| cluster.front.client()).collect();
+    let program = behind(&cluster, "poor", "ulimit -n 40");
+    let (good, said) = cluster.command(&["upgrade", "--program", &program]);
     assert!(!good && said.contains("undone"), "{said}");
-    assert!(begun(&town, "poor").exists(), "it was started");
-    assert_eq!(town.serving(), old);
+    assert!(begun(&cluster, "poor").exists(), "it was started");
+    assert_eq!(cluster.serving(), old);
     for (i, client) in clients.iter_mut().enumerate() {
         assert!(
             client.ask(&txn("lookup", 5000, &format!("c{i}"))).value.is_some(),
             "client {i} is served on"
         );
     }
-    assert!(town.command(&["upgrade"]).0, "the next one succeeds");
-    until(|| town.serving() != old);
+    assert!(cluster.command(&["upgrade"]).0, "the next one succeeds");
+    wait_until(|| cluster.serving() != old);
     assert!(clients[59].ask(&txn("lookup", 5000, "after")).value.is_some());
 }
 
 fn old_killed() {
     for wait in [0, 2, 6, 15, 40] {
-        let town = Town::new();
-        let mut idle: Vec<Client> = (0..20).map(|_| town.front.client()).collect();
+        let cluster = TestCluster::new();
+        let mut idle: Vec<Client> = (0..20).map(|_| cluster.front.client()).collect();
         assert!(idle[0].ask(&txn("order", 2000, "first")).value.is_some());
-        let program = behind(&town, "next", "");
+        let program = behind(&cluster, "next", "");
         let mut command = Command::new(PROGRAM)
             .arg("--charter")
-            .arg(town.front.path("charter.json5"))
+            .arg(cluster.front.path("charter.json5"))
             .args(["upgrade", "--program", &program])
             .stdout(std::process::Stdio::null())
             .stderr(std::process::Stdio::null())
             .spawn()
             .expect("it runs");
-        until(|| begun(&town, "next").exists());
-        let next = std::fs::read_to_string(begun(&town, "next")).expect("its id").trim().to_owned();
+        wait_until(|| begun(&cluster, "next").exists());
+        let next = std::fs::read_to_string(begun(&cluster, "next")).expect("its id").trim().to_owned();
         std::thread::sleep(Duration::from_millis(wait));
-        town.front.signal("-KILL");
+        cluster.front.signal("-KILL");
         let _ = command.wait();
         let gone = || !std::path::Path::new(&format!("/proc/{next}")).exists() || zombie(&next);
-        until(|| gone() || Client::open(town.front.at).is_some());
+        wait_until(|| gone() || Client::open(cluster.front.at).is_some());
         if !gone() {
-            let reply = town.front.client().ask(&txn("order", 5000, "after"));
+            let reply = cluster.front.client().ask(&txn("order", 5000, "after"));
             assert!(reply.value.is_some(), "killed after {wait} ms: who stays serves: {reply:?}");
             let _ = Command::new("kill").args(["-KILL", &next]).status();
         }
@@ -337,25 +338,28 @@
 }
 
 fn change() {
-    let town = Town::new();
-    let mut client = town.front.client();
+    let cluster = TestCluster::new();
+    let mut client = cluster.front.client();
     assert!(client.ask(&txn("order", 2000, "first")).value.is_some());
     assert!(
-        !town.command(&["primary", "move", "9"]).0 && !town.command(&["primary", "move", "2", "--to", "x"]).0
+        !cluster.command(&["primary", "move", "9"]).0
+            && !cluster.command(&["primary", "move", "2", "--to", "x"]).0
     );
-    let (good, said) = town.command(&["primary", "move", "2", "--to", "m-1"]);
+    let (good, said) = cluster.command(&["primary", "move", "2", "--to", "m-1"]);
     assert!(good && said.contains("Order"), "{said}");
     let held = |client: &mut Client, id: &str| client.say(&txn("order", 4000, id));
     held(&mut client, "held");
-    assert!(town.command(&["status"]).1.contains("handing over"));
-    let seen: Vec<String> = town.members[0].seen.try_iter().collect();
+    assert!(cluster.command(&["status"]).1.contains("handing over"));
+    let seen: Vec<String> = cluster.members[0].seen.try_iter().collect();
     assert!(!seen.iter().any(|seen| seen.contains("id=held")));
-    town.members[0].be_primary(false);
-    town.members[1].be_primary(true);
+    cluster.members[0].be_primary(false);
+    cluster.members[1].be_primary(true);
     assert!(client.reply().value.is_some());
-    assert!(town.command(&["primary", "move", "2"]).0);
+    assert!(cluster.command(&["primary", "move", "2"]).0);
     held(&mut client, "called");
-    assert!(town.command(&["primary", "cancel", "2"]).0 && !town.command(&["primary", "cancel", "2"]).0);
+    assert!(
+        cluster.command(&["primary", "cancel", "2"]).0 && !cluster.command(&["primary", "cancel", "2"]).0
+    );
     assert!(client.reply().value.is_some());
 }
 
--- a/crates/front/tests/worker.rs
+++ b/crates/front/tests/worker.rs
@@ -29,7 +29,7 @@
     let (tell, told) = channel();
     for ms in [0, 1, 5, 30, 60] {
         let tell = tell.clone();
-        clock.at(clock.now() + Duration::from_millis(ms), move || {
+        clock.run_at(clock.now() + Duration::from_millis(ms), move || {
             let _ = tell.send(current().id());
         });
     }
--- a/crates/hot-restart/src/giver.rs
+++ b/crates/hot-restart/src/giver.rs
@@ -1,6 +1,6 @@
 //! The side that serves until it has committed.
 
-use crate::{SPOKEN, agreed};
+use crate::{SUPPORTED_VERSIONS, agreed};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -179,7 +179,7 @@
             Phase::Done | Phase::Undone(_) => return None,
         };
         let committed = self.phase == Phase::Committed;
-        let unspoken = |&versions: &(u16, u16)| agreed(SPOKEN, versions).is_none();
+        let unspoken = |&versions: &(u16, u16)| agreed(SUPPORTED_VERSIONS, versions).is_none();
         match () {
             () if self.gone => Some(Why::Ended),
             () if self.nonsense => Some(Why::Nonsense),
@@ -207,7 +207,7 @@
                 Some(Do::Keep(client))
             }
             Phase::Started => {
-                let version = agreed(SPOKEN, self.versions?)?;
+                let version = agreed(SUPPORTED_VERSIONS, self.versions?)?;
                 self.go(now, Phase::Agreed);
                 // The time for its readiness counts from its start.
                 Some(Do::Agree(version))
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -7,14 +7,14 @@
 //! was busy then stays with the giver until it is answered, and follows one by one.
 
 mod giver;
+pub mod message;
 mod taker;
-pub mod word;
 
 pub use giver::{Do, Giver, Phase, Times, Why};
 pub use taker::{Stage, Taker};
 
 /// The versions of the hand-over that are spoken here, the lowest and the highest.
-pub const SPOKEN: (u16, u16) = (1, 1);
+pub const SUPPORTED_VERSIONS: (u16, u16) = (1, 1);
 
 /// The highest version that both sides speak.
 ///
--- a/crates/hot-restart/src/word.rs
+++ b/crates/hot-restart/src/message.rs
@@ -4,7 +4,7 @@
 use crate::giver::Giver;
 
 /// The most bytes of one word.
-pub const LONGEST: usize = 32 << 10;
+pub const MAX_MESSAGE_LEN: usize = 32 << 10;
 
 fn number<const N: usize>(bytes: &[u8]) -> Option<([u8; N], &[u8])> {
     bytes.split_first_chunk::<N>().map(|(head, rest)| (*head, rest))
@@ -21,7 +21,7 @@
 }
 
 /// From the taker: it has that client.
-pub fn took(client: u64) -> Vec<u8> {
+pub fn client_received(client: u64) -> Vec<u8> {
     [&b"t"[..], &client.to_be_bytes()].concat()
 }
 
@@ -62,7 +62,7 @@
 }
 
 /// Hands a word of the taker to the giver.
-pub fn to_giver(word: &[u8], giver: &mut Giver) {
+pub fn deliver_to_old(word: &[u8], giver: &mut Giver) {
     match word.split_first() {
         Some((b'h', fields)) => match number(fields).zip(fields.get(2..).and_then(number)) {
             Some(((lowest, _), (highest, []))) => {
@@ -80,7 +80,7 @@
 }
 
 /// What a taker does with the words of the giver.
-pub trait Hears {
+pub trait MessageHandler {
     fn agreed(&mut self, version: u16);
     fn memory(&mut self, piece: &[u8]);
     fn listener(&mut self);
@@ -92,7 +92,7 @@
 }
 
 /// Hands a word of the giver to the taker.
-pub fn to_taker(word: &[u8], taker: &mut impl Hears) {
+pub fn deliver_to_new(word: &[u8], taker: &mut impl MessageHandler) {
     match word.split_first() {
         Some((b'a', fields)) => match number(fields) {
             Some((version, [])) => taker.agreed(u16::from_be_bytes(version)),
--- a/crates/hot-restart/src/taker.rs
+++ b/crates/hot-restart/src/taker.rs
@@ -41,7 +41,7 @@
     }
 
     pub fn agreed(&mut self, version: u16) -> bool {
-        let spoken = (crate::SPOKEN.0..=crate::SPOKEN.1).contains(&version);
+        let spoken = (crate::SUPPORTED_VERSIONS.0..=crate::SUPPORTED_VERSIONS.1).contains(&version);
         self.step(&[Stage::Greeting], if spoken { Stage::Preparing } else { Stage::Refused }) && spoken
     }
 
--- a/crates/hot-restart/tests/stories.rs
+++ b/crates/hot-restart/tests/stories.rs
@@ -1,7 +1,7 @@
 //! Both sides, and each way in which one may fail the other.
 
-use juniperdock_hot_restart::word::{self, Hears};
-use juniperdock_hot_restart::{Do, Giver, Phase, SPOKEN, Stage, Taker, Times, Why};
+use juniperdock_hot_restart::message::{self, MessageHandler};
+use juniperdock_hot_restart::{Do, Giver, Phase, SUPPORTED_VERSIONS, Stage, Taker, Times, Why};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -19,8 +19,8 @@
 /// Ready, the offer made, clients 1 to 3 sent at 100 ms, none of which has rested.
 fn moving() -> Giver {
     let mut giver = Giver::new(ms(0), TIMES);
-    giver.hello(SPOKEN.0, SPOKEN.1);
-    assert_eq!(all(&mut giver, 10), [Do::Agree(SPOKEN.1)]);
+    giver.hello(SUPPORTED_VERSIONS.0, SUPPORTED_VERSIONS.1);
+    assert_eq!(all(&mut giver, 10), [Do::Agree(SUPPORTED_VERSIONS.1)]);
     giver.ready();
     assert_eq!(all(&mut giver, 70), [Do::Offer]);
     assert_eq!(all(&mut giver, 100), [Do::Gather]);
@@ -50,7 +50,7 @@
 #[test]
 fn clients_that_have_rested_go_first_and_the_others_are_not_kept_waiting_for_them() {
     let mut giver = Giver::new(ms(0), TIMES);
-    giver.hello(SPOKEN.0, SPOKEN.1);
+    giver.hello(SUPPORTED_VERSIONS.0, SUPPORTED_VERSIONS.1);
     all(&mut giver, 10);
     giver.ready();
     assert_eq!(all(&mut giver, 100), [Do::Offer]);
@@ -65,8 +65,8 @@
     assert_eq!(all(&mut giver, 320)[0], Do::Commit);
     // Where they come without end, the rest is sent all the same.
     let mut giver = Giver::new(ms(0), Times { taken: Duration::from_secs(99), ..TIMES });
-    giver.hello(SPOKEN.0, SPOKEN.1);
-    assert_eq!(all(&mut giver, 0), [Do::Agree(SPOKEN.1)]);
+    giver.hello(SUPPORTED_VERSIONS.0, SUPPORTED_VERSIONS.1);
+    assert_eq!(all(&mut giver, 0), [Do::Agree(SUPPORTED_VERSIONS.1)]);
     giver.ready();
     assert_eq!(all(&mut giver, 0), [Do::Offer]);
     giver.sent(ms(1499), 1);
@@ -117,11 +117,11 @@
 #[test]
 fn another_version_nonsense_and_a_call_off_undo_it() {
     let mut giver = Giver::new(ms(0), TIMES);
-    giver.hello(SPOKEN.1 + 1, SPOKEN.1 + 4);
+    giver.hello(SUPPORTED_VERSIONS.1 + 1, SUPPORTED_VERSIONS.1 + 4);
     assert_eq!((all(&mut giver, 1), giver.phase()), (vec![Do::Resume], Phase::Undone(Why::Version)));
     for word in [&b"x"[..], b"", b"h\0", b"t\0\0\0\0\0\0\0\x09", b"r", b"t"] {
         let mut giver = moving();
-        word::to_giver(word, &mut giver);
+        message::deliver_to_old(word, &mut giver);
         assert_eq!(all(&mut giver, 110)[0], Do::Resume, "{word:?}");
         assert_eq!(giver.phase(), Phase::Undone(Why::Nonsense));
     }
@@ -139,21 +139,21 @@
 #[test]
 fn a_taker_serves_nobody_before_the_commit() {
     let mut taker = Taker::default();
-    assert!(taker.agreed(SPOKEN.1) && taker.listener());
+    assert!(taker.agreed(SUPPORTED_VERSIONS.1) && taker.listener());
     assert_eq!(taker.client(), Some(false));
     assert!(taker.commit());
     assert_eq!((taker.client(), taker.clients(), taker.gone()), (Some(true), 2, true));
     let mut taker = Taker::default();
-    assert!(taker.agreed(SPOKEN.1) && taker.listener() && !taker.gone());
+    assert!(taker.agreed(SUPPORTED_VERSIONS.1) && taker.listener() && !taker.gone());
     assert_eq!(taker.stage(), Stage::Refused);
-    assert!(!Taker::default().commit() && !Taker::default().agreed(SPOKEN.1 + 1));
+    assert!(!Taker::default().commit() && !Taker::default().agreed(SUPPORTED_VERSIONS.1 + 1));
     assert_eq!(Taker::default().client(), None);
 }
 
 #[derive(Default)]
 struct Heard(Vec<String>);
 
-impl Hears for Heard {
+impl MessageHandler for Heard {
     fn agreed(&mut self, version: u16) {
         self.0.push(format!("agreed {version}"));
     }
@@ -184,16 +184,16 @@
 fn words_come_through_as_they_were_said() {
     let mut heard = Heard::default();
     let words = [
-        word::agree(1),
-        word::listener(),
-        word::unread(b"abc"),
-        word::client(7, true, false),
-        word::commit(),
-        word::idle("m"),
+        message::agree(1),
+        message::listener(),
+        message::unread(b"abc"),
+        message::client(7, true, false),
+        message::commit(),
+        message::idle("m"),
     ];
-    words.iter().for_each(|word| word::to_taker(word, &mut heard));
+    words.iter().for_each(|word| message::deliver_to_new(word, &mut heard));
     for bad in [&b""[..], b"c", b"c\0\0\0\0\0\0\0\x01\x02\0", b"a\0", b"sx", b"l1", b"?"] {
-        word::to_taker(bad, &mut heard);
+        message::deliver_to_new(bad, &mut heard);
     }
     let good = ["agreed 1", "listener", "unread 3", "client 7 true false", "commit", "idle m"];
     assert_eq!(heard.0[..6], good);
@@ -257,7 +257,7 @@
 
     #[test]
     fn no_bytes_upset_either_side(word in proptest::collection::vec(any::<u8>(), 0..40)) {
-        word::to_giver(&word, &mut moving());
-        word::to_taker(&word, &mut Heard::default());
+        message::deliver_to_old(&word, &mut moving());
+        message::deliver_to_new(&word, &mut Heard::default());
     }
 }
--- a/crates/lab/src/circle.rs
+++ b/crates/lab/src/circle.rs
@@ -5,7 +5,7 @@
 use hdrhistogram::Histogram;
 use juniperdock_emulator::{Calendar, Stream};
 use juniperdock_membership::{
-    Event, Fellows, Host, Keys, Liveness, NEWEST, Refused, Standing, Times, life_at,
+    Connectivity, Event, Host, Keys, Liveness, Membership, NEWEST_VERSION, Refused, Timing, incarnation_at,
 };
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -125,7 +125,7 @@
 }
 
 struct Node {
-    core: Option<Fellows>,
+    core: Option<Membership>,
     begun: Duration,
     life: u32,
     starts: u32,
@@ -252,7 +252,7 @@
                     }
                 } else {
                     self.act(to, |core, now, hands| {
-                        let _ = core.heard(now, from, &bytes, hands);
+                        let _ = core.handle_datagram(now, from, &bytes, hands);
                     });
                 }
             }
@@ -262,7 +262,7 @@
                     return;
                 }
                 node.set = Duration::MAX;
-                self.act(front, |core, now, hands| core.due(now, hands));
+                self.act(front, |core, now, hands| core.handle_timeout(now, hands));
             }
             Happens::Begins(i) => self.begin(i),
             Happens::Ends(i) => self.end(i),
@@ -275,26 +275,26 @@
 
     fn start(&mut self, front: usize) {
         let every = Duration::from_millis(self.circle.every_ms);
-        let keys = Keys::read(&["5a".repeat(32)]).expect("a good key");
-        let times = Times::of(every);
+        let keys = Keys::parse(&["5a".repeat(32)]).expect("a good key");
+        let times = Timing::with_period(every);
         let node = &mut self.nodes[front];
         node.starts += 1;
-        node.life = life_at(UNIX + self.now);
+        node.life = incarnation_at(UNIX + self.now);
         let seed = Stream::of(self.seed, "fellows", front * 64 + node.starts as usize).number();
         let (n, life) = (self.circle.fronts, node.life);
-        node.core = Some(Fellows::new(front, n, life, seed, NEWEST, times, keys));
+        node.core = Some(Membership::new(front, n, life, seed, NEWEST_VERSION, times, keys));
         (node.begun, node.set) = (self.now, Duration::MAX);
-        self.act(front, |core, now, hands| core.due(now, hands));
+        self.act(front, |core, now, hands| core.handle_timeout(now, hands));
     }
 
     /// Lets a core act, and sends what it wants sent.
-    fn act(&mut self, front: usize, call: impl FnOnce(&mut Fellows, Duration, &mut Hands)) {
+    fn act(&mut self, front: usize, call: impl FnOnce(&mut Membership, Duration, &mut Hands)) {
         let mut hands = Hands::default();
         let node = &mut self.nodes[front];
         let (at, life, begun) = (self.now, node.life, node.begun);
         let Some(core) = node.core.as_mut() else { return };
         call(core, at - begun, &mut hands);
-        let mut next = core.next().saturating_add(begun).max(at);
+        let mut next = core.next_timeout().saturating_add(begun).max(at);
         let slow = (0..self.active.len())
             .any(|i| self.active[i] && self.circle.ills[i].what == Plight::Slow && self.met[i][front]);
         if slow {
@@ -403,11 +403,11 @@
                         // It reads what has come, then finds its timers late.
                         for (from, bytes) in std::mem::take(&mut self.nodes[front].kept) {
                             self.act(front, |core, now, hands| {
-                                let _ = core.heard(now, from, &bytes, hands);
+                                let _ = core.handle_datagram(now, from, &bytes, hands);
                             });
                         }
                         self.nodes[front].set = Duration::MAX;
-                        self.act(front, |core, now, hands| core.due(now, hands));
+                        self.act(front, |core, now, hands| core.handle_timeout(now, hands));
                     }
                 }
                 Plight::Cut | Plight::Unheard => self.nodes[front].deaf = None,
@@ -419,7 +419,7 @@
         let calm = !self.active.iter().any(|&active| active);
         let there: Vec<usize> = (0..self.nodes.len()).filter(|&f| self.nodes[f].core.is_some()).collect();
         let views = there.iter().filter_map(|&f| self.nodes[f].core.as_ref());
-        let whole = |core: &Fellows| core.standing().0 == Standing::Whole;
+        let whole = |core: &Membership| core.connectivity().0 == Connectivity::Majority;
         let agree = there.len() == self.nodes.len()
             && views.clone().all(|core| whole(core) && core.present().len() == self.nodes.len());
         let [datagrams, bytes] = self.ended;
@@ -469,14 +469,14 @@
             (self.seen.datagrams_per_s, self.seen.bytes_per_s) = (datagrams as f64 / per, bytes as f64 / per);
         }
         for core in self.nodes.iter().filter_map(|node| node.core.as_ref()) {
-            self.seen.standing[core.standing().0 as usize] += 1;
+            self.seen.standing[core.connectivity().0 as usize] += 1;
             for why in Refused::ALL {
                 let count = core.refused[why as usize];
                 if count > 0 {
                     *self.seen.refused.entry(why.name()).or_default() += count;
                 }
             }
-            for fellow in core.fellows() {
+            for fellow in core.peers() {
                 let gone = self.nodes[fellow.index].deaf.is_some();
                 if !gone {
                     *self.seen.held.entry(fellow.liveness.name()).or_default() += 1;
--- a/crates/lab/src/fleet/play.rs
+++ b/crates/lab/src/fleet/play.rs
@@ -11,7 +11,7 @@
 use crate::scenario::{Befallen, Befalls, Fleet, Load, Of, OfKind, Reads, Runs, Scenario};
 use crate::sockets::{State, Town, client, list, settings};
 use juniperdock_emulator::{Entry, Note, Out, World};
-use juniperdock_router::host::{Ending, Listed};
+use juniperdock_router::host::{AttemptOutcome, ListedState};
 use juniperdock_test_support::{Agent, WATCH, address};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -385,7 +385,7 @@
     }
 
     fn tell(&mut self, at: Duration, front: usize, entry: &Entry, text: String) {
-        let state = if entry.state == Listed::Up { "up" } else { "stopped" };
+        let state = if entry.state == ListedState::Up { "up" } else { "stopped" };
         match &mut self.unsaid[front] {
             Some(unsaid) => unsaid.push((entry.member, state, text)),
             None => self.say(at, front, entry.member, state, text),
@@ -407,7 +407,7 @@
             ),
             Note::Over { front, txn, member, ending } => {
                 let never = ending.never_ran();
-                let cancelled = matches!(ending, Ending::Cancelled | Ending::TimedOut);
+                let cancelled = matches!(ending, AttemptOutcome::Cancelled | AttemptOutcome::TimedOut);
                 (
                     "ended",
                     json!({ "front": front, "txn": txn, "member": member, "never_ran": never, "cancelled": cancelled }),
--- a/crates/lab/src/fleet/relay.rs
+++ b/crates/lab/src/fleet/relay.rs
@@ -2,7 +2,7 @@
 //! lost, delayed, doubled, bent, replayed, forged or cut in one direction alone.
 
 use juniperdock_emulator::Stream;
-use juniperdock_membership::{Event, Fellows, Host, Keys, NEWEST, Times};
+use juniperdock_membership::{Event, Host, Keys, Membership, NEWEST_VERSION, Timing};
 use mio::net::UdpSocket;
 use mio::{Events, Interest, Poll, Token};
 use std::cmp::Reverse;
@@ -56,7 +56,7 @@
 }
 
 struct Forger {
-    core: Fellows,
+    core: Membership,
     begun: Instant,
     due: Duration,
 }
@@ -265,15 +265,15 @@
         let seed = self.chance.number();
         let forger = self.forgers[at].get_or_insert_with(|| {
             let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-            let life = juniperdock_membership::life_at(unix) + FORGED_LIFE;
-            let keys = Keys::read(&["0f".repeat(32)]).expect("a key, though not theirs");
-            let times = Times::of(Duration::from_millis(50));
-            let core = Fellows::new(from, n, life, seed, NEWEST, times, keys);
+            let life = juniperdock_membership::incarnation_at(unix) + FORGED_LIFE;
+            let keys = Keys::parse(&["0f".repeat(32)]).expect("a key, though not theirs");
+            let times = Timing::with_period(Duration::from_millis(50));
+            let core = Membership::new(from, n, life, seed, NEWEST_VERSION, times, keys);
             Forger { core, begun: Instant::now(), due: Duration::ZERO }
         });
         let mut sent = Sent::default();
         forger.due = forger.due.max(forger.begun.elapsed()) + Duration::from_millis(50);
-        forger.core.due(forger.due, &mut sent);
+        forger.core.handle_timeout(forger.due, &mut sent);
         sent.0
     }
 }
--- a/crates/lab/src/fronts.rs
+++ b/crates/lab/src/fronts.rs
@@ -3,8 +3,8 @@
 
 use crate::scenario::Scenario;
 use juniperdock_emulator::{Entry, Out, Stream, Told, World};
-use juniperdock_membership::{Fellows, Keys, NEWEST, Times, life_at};
-use juniperdock_router::host::{Effect, Host, Level, Listed, Standing, TxnType};
+use juniperdock_membership::{Keys, Membership, NEWEST_VERSION, Timing, incarnation_at};
+use juniperdock_router::host::{Consistency, Effect, FrontInfo, Host, ListedState, TxnType};
 use juniperdock_router::routing::Router;
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -96,13 +96,13 @@
         if policy == Policy::Router {
             let fronts = scenario.fleet.fronts;
             let zone = world.shape().fronts[front];
-            let standing = Standing { me: front, fronts, zone };
+            let standing = FrontInfo { index: front, fronts, zone };
             let own = Stream::of(seed, "router", front).number();
             let mut router = Router::new(own, standing, types, scenario.cold());
-            router.allow_submissions(10);
+            router.set_max_submissions(10);
             router.allow_cancelling();
             router.allow_probes(true);
-            router.allow_come_back(Duration::from_millis(500));
+            router.set_max_retry_after(Duration::from_millis(500));
             let ids = Ids {
                 front,
                 born: world.now(),
@@ -115,10 +115,18 @@
             };
             let (stopped, cold) = (BTreeSet::new(), None);
             let fellows = scenario.fleet.fellows.then(|| {
-                let keys = Keys::read(&["5a".repeat(32)]).expect("a good key");
-                let life = life_at(UNIX + world.now());
+                let keys = Keys::parse(&["5a".repeat(32)]).expect("a good key");
+                let life = incarnation_at(UNIX + world.now());
                 let seed = Stream::of(seed, "fellows", front).number() ^ u64::from(life);
-                Box::new(Fellows::new(front, fronts, life, seed, NEWEST, Times::of(FELLOWS), keys))
+                Box::new(Membership::new(
+                    front,
+                    fronts,
+                    life,
+                    seed,
+                    NEWEST_VERSION,
+                    Timing::with_period(FELLOWS),
+                    keys,
+                ))
             });
             return Front::Router(Box::new(Routed { router, ids, broken, stopped, cold, turn: 0, fellows }));
         }
@@ -146,7 +154,7 @@
     }
 
     /// Its part among the fronts, if it has one.
-    pub fn fellows(&self) -> Option<&Fellows> {
+    pub fn fellows(&self) -> Option<&Membership> {
         match self {
             Front::Router(front) => front.fellows.as_deref(),
             Front::Plain(_) => None,
@@ -156,7 +164,7 @@
     /// Whom the front takes for the primary of a group, if it tells.
     pub fn believes(&self, group: usize) -> Option<Option<usize>> {
         match self {
-            Front::Router(front) => Some(front.router.tenure().holder(group)),
+            Front::Router(front) => Some(front.router.primary_tracker().primary(group)),
             Front::Plain(_) => None,
         }
     }
@@ -184,7 +192,7 @@
     stopped: BTreeSet<usize>,
     cold: Option<usize>,
     turn: u32,
-    fellows: Option<Box<Fellows>>,
+    fellows: Option<Box<Membership>>,
 }
 
 /// Sends between fronts go through the world; what has changed is looked up where it is wanted.
@@ -247,29 +255,29 @@
         }
     }
 
-    fn unknown(&mut self, txn: usize) {
+    fn answer_unknown(&mut self, txn: usize) {
         *self.turn += 1;
         if self.broken != Some(Broken::Answers) || !self.turn.is_multiple_of(3) {
             self.world.answer(self.ids.front, self.ids.txns[txn], Told::Unknown, None);
         }
     }
 
-    fn release(&mut self, txn: usize) {
+    fn release_txn(&mut self, txn: usize) {
         self.ids.of.remove(&self.ids.txns[txn]);
         self.ids.free.push(txn);
     }
 
-    fn forget(&mut self, _member: usize) {}
+    fn release_member(&mut self, _member: usize) {}
 
     fn probe(&mut self, member: usize) {
         self.world.probe(self.ids.front, member);
     }
 
-    fn remind(&mut self, at: Duration, handle: u64) {
+    fn set_timer(&mut self, at: Duration, handle: u64) {
         self.world.remind(self.ids.front, self.ids.born + at, handle);
     }
 
-    fn listen(&mut self) {}
+    fn subscribe_to_member_list(&mut self) {}
 }
 
 impl Routed {
@@ -280,11 +288,11 @@
         let now = world.now().saturating_sub(born);
         let mut letters = Letters(front, world);
         match out {
-            Out::Born { .. } | Out::Due { handle: REMINDER, .. } => fellows.due(now, &mut letters),
-            Out::Shared { from, bytes, .. } => drop(fellows.heard(now, *from, bytes, &mut letters)),
+            Out::Born { .. } | Out::Due { handle: REMINDER, .. } => fellows.handle_timeout(now, &mut letters),
+            Out::Shared { from, bytes, .. } => drop(fellows.handle_datagram(now, *from, bytes, &mut letters)),
             _ => return false,
         }
-        let next = fellows.next();
+        let next = fellows.next_timeout();
         if next != self.ids.meets || now >= self.ids.meets {
             self.ids.meets = next;
             world.remind(front, born.saturating_add(next), REMINDER);
@@ -300,7 +308,9 @@
         let born = self.ids.born;
         let at = |at: Option<Duration>| at.and_then(|at| at.checked_sub(born));
         match out {
-            Out::Listed { entry, .. } if entry.state != Listed::Up => drop(self.stopped.insert(entry.member)),
+            Out::Listed { entry, .. } if entry.state != ListedState::Up => {
+                self.stopped.insert(entry.member);
+            }
             Out::Listed { entry, .. } => {
                 self.stopped.remove(&entry.member);
                 self.cold = entry.started.map(|_| entry.member).or(self.cold);
@@ -334,14 +344,14 @@
             (Out::Born { known, .. }, _) => {
                 let mut named = Vec::with_capacity(known.len());
                 for e in known {
-                    router.listed(now, e.member, e.group, e.zone, e.state, e.primary, up_for(e, now));
+                    router.member_listed(now, e.member, e.group, e.zone, e.state, e.primary, up_for(e, now));
                     named.push(e.member);
                 }
-                router.list_ended(now, Some(&named), &mut hands);
+                router.list_completed(now, Some(&named), &mut hands);
             }
             (Out::Listed { entry: e, .. }, _) => {
-                router.listed(now, e.member, e.group, e.zone, e.state, e.primary, up_for(e, now));
-                router.list_ended(now, None, &mut hands);
+                router.member_listed(now, e.member, e.group, e.zone, e.state, e.primary, up_for(e, now));
+                router.list_completed(now, None, &mut hands);
             }
             (&Out::Arrived { kind, group, left, retried, .. }, Some(index)) => {
                 router.txn_arrived(now, index, kind, group, left, retried, None, None, None, 0, &mut hands);
@@ -363,9 +373,9 @@
             }
             (&Out::Probed { member, ending, report, .. }, _) => {
                 let report = juniperdock_router::host::Report { position: at(report.position), ..report };
-                router.probed(now, member, ending, report, &mut hands);
+                router.probe_ended(now, member, ending, report, &mut hands);
             }
-            (&Out::Due { handle, .. }, _) => router.reminder_due(now, handle, &mut hands),
+            (&Out::Due { handle, .. }, _) => router.timer_fired(now, handle, &mut hands),
             _ => {}
         }
     }
@@ -404,7 +414,7 @@
     fn take(&mut self, out: &Out, world: &mut World) {
         match *out {
             Out::Listed { ref entry, .. } => {
-                if entry.state == Listed::Up {
+                if entry.state == ListedState::Up {
                     self.stopped.remove(&entry.member);
                 } else {
                     self.stopped.insert(entry.member);
@@ -450,13 +460,13 @@
     fn choose(&mut self, kind: usize, group: usize, world: &World) -> Option<usize> {
         let primary =
             world.primary(group).filter(|p| !self.stopped.contains(p) && world.reachable(self.front, *p));
-        if self.types[kind].level == Level::Write || self.policy == Policy::Primary {
+        if self.types[kind].consistency == Consistency::Write || self.policy == Policy::Primary {
             return primary;
         }
         let warm_up = world.shape().cold.warm_up;
         let fit = |&m: &usize| {
-            let fresh = match self.types[kind].level {
-                Level::Bounded(bound) => world.age(m).is_some_and(|age| age + WAY < bound),
+            let fresh = match self.types[kind].consistency {
+                Consistency::Bounded(bound) => world.age(m).is_some_and(|age| age + WAY < bound),
                 _ => true,
             };
             let warm = self.cold.get(&m).is_none_or(|&since| since + warm_up < world.now());
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -3,7 +3,7 @@
 use crate::scenario::Scenario;
 use hdrhistogram::Histogram;
 use juniperdock_emulator::{Broken, How, Kind, Out, Told};
-use juniperdock_membership::{Fellows, Standing};
+use juniperdock_membership::{Connectivity, Membership};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -55,13 +55,13 @@
 }
 
 impl Fellowship {
-    pub fn of<'a>(fronts: impl Iterator<Item = &'a Fellows>) -> Fellowship {
+    pub fn of<'a>(fronts: impl Iterator<Item = &'a Membership>) -> Fellowship {
         let mut sum = Fellowship::default();
         for front in fronts {
-            match front.standing().0 {
-                Standing::Whole => sum.whole += 1,
-                Standing::Part => sum.part += 1,
-                Standing::Alone => sum.alone += 1,
+            match front.connectivity().0 {
+                Connectivity::Majority => sum.whole += 1,
+                Connectivity::Minority => sum.part += 1,
+                Connectivity::Isolated => sum.alone += 1,
             }
             sum.datagrams += front.datagrams_out;
             sum.bytes += front.bytes_out;
--- a/crates/lab/src/offices.rs
+++ b/crates/lab/src/offices.rs
@@ -3,8 +3,10 @@
 //! their look at the clock and the write. What is judged is what is true, not what any front says.
 
 use juniperdock_emulator::Stream;
-use juniperdock_lease::{DRIFT, Duties, Duty, Office, Sight};
-use juniperdock_membership::{Event, Fellows, Host, Keys, NEWEST, Standing, Times, life_at};
+use juniperdock_lease::{CLOCK_DRIFT_DIVISOR, FleetView, LeaseManager, TaskId, TaskSet};
+use juniperdock_membership::{
+    Connectivity, Event, Host, Keys, Membership, NEWEST_VERSION, Timing, incarnation_at,
+};
 use rayon::prelude::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -95,41 +97,41 @@
         self.sends.push((to, datagram.to_vec()));
     }
     fn event(&mut self, _event: Event) {}
-    fn told(&mut self, from: usize, body: &[u8]) {
+    fn deliver(&mut self, from: usize, body: &[u8]) {
         self.bodies.push((from, body.to_vec()));
     }
 }
 
 /// The office's way out: through the membership, sealed.
 struct Ways<'a> {
-    core: &'a mut Fellows,
+    core: &'a mut Membership,
     out: &'a mut Out,
-    done: &'a mut Vec<(Duty, u64)>,
-    refused: &'a mut Vec<(Duty, u64)>,
+    done: &'a mut Vec<(TaskId, u64)>,
+    refused: &'a mut Vec<(TaskId, u64)>,
     took: &'a mut u64,
 }
 
 impl juniperdock_lease::Host for Ways<'_> {
     fn send(&mut self, to: usize, body: &[u8]) {
-        self.core.post(to, body, self.out);
+        self.core.send_payload(to, body, self.out);
     }
     fn event(&mut self, event: juniperdock_lease::Event) {
         match event {
-            juniperdock_lease::Event::Took(..) => *self.took += 1,
-            juniperdock_lease::Event::Refused(duty, term, _) => self.refused.push((duty, term)),
+            juniperdock_lease::Event::Acquired(..) => *self.took += 1,
+            juniperdock_lease::Event::StaleEffect(duty, term, _) => self.refused.push((duty, term)),
             _ => {}
         }
     }
-    fn effect(&mut self, _from: usize, duty: Duty, term: u64, _payload: &[u8]) {
+    fn effect(&mut self, _from: usize, duty: TaskId, term: u64, _payload: &[u8]) {
         self.done.push((duty, term));
     }
-    fn report(&mut self, _from: usize, _duty: Duty, _term: u64, _payload: &[u8]) {}
-    fn told(&mut self, _from: usize, _duty: Duty, _payload: &[u8]) {}
+    fn report(&mut self, _from: usize, _duty: TaskId, _term: u64, _payload: &[u8]) {}
+    fn announcement(&mut self, _from: usize, _duty: TaskId, _payload: &[u8]) {}
 }
 
 struct Front {
-    core: Fellows,
-    office: Office,
+    core: Membership,
+    office: LeaseManager,
     /// When it started, and how fast its clock goes.
     started: Duration,
     rate: f64,
@@ -158,10 +160,10 @@
     cut: (Vec<usize>, Duration),
     unheard: (usize, Duration),
     late: (usize, Duration),
-    duties: Duties,
+    duties: TaskSet,
     /// By place, whoever was there: the newest term that was carried out.
-    newest: BTreeMap<(usize, Duty), u64>,
-    ownerless: BTreeMap<Duty, Duration>,
+    newest: BTreeMap<(usize, TaskId), u64>,
+    ownerless: BTreeMap<TaskId, Duration>,
     calm_since: Duration,
     seen: Figures,
 }
@@ -211,14 +213,22 @@
 
 impl World {
     fn start(&mut self, place: usize) {
-        let keys = Keys::read(&["5a".repeat(32)]).expect("a good key");
+        let keys = Keys::parse(&["5a".repeat(32)]).expect("a good key");
         let seed = self.chance.below(usize::MAX >> 1) as u64;
-        let life = life_at(UNIX + self.now);
-        let core = Fellows::new(place, self.shape.fronts, life, seed, NEWEST, Times::of(EVERY), keys);
-        let off = self.shape.drift / f64::from(DRIFT);
+        let life = incarnation_at(UNIX + self.now);
+        let core = Membership::new(
+            place,
+            self.shape.fronts,
+            life,
+            seed,
+            NEWEST_VERSION,
+            Timing::with_period(EVERY),
+            keys,
+        );
+        let off = self.shape.drift / f64::from(CLOCK_DRIFT_DIVISOR);
         let rate = 1.0 + off * (2.0 * self.chance.share() - 1.0);
         let duties = self.duties.clone();
-        let office = Office::new(Duration::ZERO, place, self.shape.fronts, life, seed, LASTS, duties);
+        let office = LeaseManager::new(Duration::ZERO, place, self.shape.fronts, life, seed, LASTS, duties);
         let (started, next_act) = (self.now, self.now);
         self.fronts[place] =
             Some(Front { core, office, started, rate, stopped_until: Duration::ZERO, next_act });
@@ -303,7 +313,7 @@
                 Some(_) => {
                     let unfenced = self.shape.unfenced;
                     self.with(to, Duration::ZERO, |front, clock, out, tally| {
-                        let _ = front.core.heard(clock, from, &datagram, out);
+                        let _ = front.core.handle_datagram(clock, from, &datagram, out);
                         for (from, body) in std::mem::take(&mut out.bodies) {
                             tally.hear(front, clock, from, &body, out);
                         }
@@ -321,11 +331,11 @@
             }
             let others: Vec<usize> = (0..self.shape.fronts).collect();
             self.with(place, Duration::ZERO, |front, clock, out, tally| {
-                front.core.due(clock, out);
+                front.core.handle_timeout(clock, out);
                 let present = front.core.present();
-                let sound = front.core.standing().0 == Standing::Whole && !front.core.slow();
-                let sight = Sight { present: &present, sound };
-                front.office.raise(front.core.incarnation());
+                let eligible = front.core.connectivity().0 == Connectivity::Majority && !front.core.slow();
+                let sight = FleetView { present: &present, eligible };
+                front.office.raise_term_floor(front.core.incarnation());
                 tally.due(front, clock, sight, out);
             });
             let acts = self.fronts[place].as_ref().is_some_and(|front| front.next_act <= self.now);
@@ -340,7 +350,7 @@
                 let now = self.now;
                 self.with(place, held, |front, clock, out, tally| {
                     front.next_act = now + ACTS;
-                    for (duty, term) in front.office.mine(clock) {
+                    for (duty, term) in front.office.held_tasks(clock) {
                         tally.act(front, clock, duty, term, &others, out);
                     }
                 });
@@ -355,7 +365,7 @@
     /// What is true of owners now.
     fn judge(&mut self) {
         for duty in self.duties.clone() {
-            let holds = |front: &&Front| front.office.holds(front.clock(self.now), duty).is_some();
+            let holds = |front: &&Front| front.office.held_term(front.clock(self.now), duty).is_some();
             let owners = self.fronts.iter().flatten().filter(holds).count();
             self.seen.two_at_once += u64::from(owners > 1);
             let calm = self.now > self.calm_since + Duration::from_secs(1);
@@ -372,33 +382,40 @@
 /// What one call to a front did.
 #[derive(Default)]
 struct Tally {
-    done: Vec<(Duty, u64)>,
-    refused: Vec<(Duty, u64)>,
+    done: Vec<(TaskId, u64)>,
+    refused: Vec<(TaskId, u64)>,
     took: u64,
 }
 
 impl Tally {
-    fn ways<'a>(&'a mut self, core: &'a mut Fellows, out: &'a mut Out) -> Ways<'a> {
+    fn ways<'a>(&'a mut self, core: &'a mut Membership, out: &'a mut Out) -> Ways<'a> {
         Ways { core, out, done: &mut self.done, refused: &mut self.refused, took: &mut self.took }
     }
 
     fn hear(&mut self, front: &mut Front, clock: Duration, from: usize, body: &[u8], out: &mut Out) {
-        let _ = front.office.heard(clock, from, body, &mut self.ways(&mut front.core, out));
+        let _ = front.office.handle_message(clock, from, body, &mut self.ways(&mut front.core, out));
     }
 
-    fn due(&mut self, front: &mut Front, clock: Duration, sight: Sight, out: &mut Out) {
-        front.office.due(clock, sight, &mut self.ways(&mut front.core, out));
+    fn due(&mut self, front: &mut Front, clock: Duration, sight: FleetView, out: &mut Out) {
+        front.office.handle_timeout(clock, sight, &mut self.ways(&mut front.core, out));
     }
 
     fn act(
         &mut self,
         front: &mut Front,
         clock: Duration,
-        duty: Duty,
+        duty: TaskId,
         term: u64,
         to: &[usize],
         out: &mut Out,
     ) {
-        front.office.act(&mut || clock, duty, term, to, b"effect", &mut self.ways(&mut front.core, out));
+        front.office.send_effect(
+            &mut || clock,
+            duty,
+            term,
+            to,
+            b"effect",
+            &mut self.ways(&mut front.core, out),
+        );
     }
 }
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -4,7 +4,7 @@
 use garde::Validate;
 use juniperdock_emulator::{Crowd, Election, Ill, Kind, Log, Node, Shape, Trouble, What, Whom};
 use juniperdock_operator_config::{Fault, fault};
-use juniperdock_router::host::{ColdStart, Effect, Level, Scope, TxnType};
+use juniperdock_router::host::{ColdStart, Consistency, Effect, Scope, TxnType};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -533,10 +533,10 @@
                 Runs::Referenced => Effect::Referenced { window, scope: Scope::Group },
                 Runs::OnceOnly => Effect::OnceOnly,
             },
-            level: match kind.reads {
-                Reads::Write => Level::Write,
-                Reads::Bounded => Level::Bounded(Duration::from_millis(kind.bound_ms)),
-                Reads::Loose => Level::Loose,
+            consistency: match kind.reads {
+                Reads::Write => Consistency::Write,
+                Reads::Bounded => Consistency::Bounded(Duration::from_millis(kind.bound_ms)),
+                Reads::Loose => Consistency::Loose,
             },
         }
     }
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -7,7 +7,7 @@
 use crate::scenario::{OfKind, Reads, Runs, Scenario};
 use juniperdock_connection::monotonic;
 use juniperdock_emulator::{Entry, Out, Stream, Told, World};
-use juniperdock_router::host::{Ending, Listed, Report, Role};
+use juniperdock_router::host::{AttemptOutcome, ListedState, Report, Role};
 use juniperdock_test_support::wire::{error, field, message, parameter, read_message, ready, row};
 use juniperdock_test_support::{Agent, Client, Front, Reply, WATCH, address, unix_ms};
 use std::collections::{HashMap, VecDeque};
@@ -33,7 +33,7 @@
 pub type Keep<'a> = &'a dyn Fn(&[SocketAddr]);
 
 pub(crate) struct Ended {
-    pub ending: Ending,
+    pub ending: AttemptOutcome,
     pub role: Option<Role>,
     pub position: Option<Duration>,
 }
@@ -95,7 +95,7 @@
             Out::Probed { front, member, ending, report } => {
                 let waits = self.probes.get_mut(&(front, member)).and_then(VecDeque::pop_front);
                 if let Some(waits) = waits {
-                    let _ = waits.try_send(Some(report).filter(|_| ending == Ending::Committed));
+                    let _ = waits.try_send(Some(report).filter(|_| ending == AttemptOutcome::Committed));
                 }
                 None
             }
@@ -235,9 +235,9 @@
         .iter()
         .map(|e| {
             let state = match e.state {
-                Listed::Up => "up",
-                Listed::Draining => "draining",
-                Listed::Removed => "removed",
+                ListedState::Up => "up",
+                ListedState::Draining => "draining",
+                ListedState::Removed => "removed",
             };
             let started = e.started.map_or(0, |started| town.origin + started.as_millis());
             let role = if e.primary { "leader" } else { "follower" };
@@ -284,10 +284,10 @@
         };
         let ended = wait(town, &stream, &told, front, txn, submission)?;
         let body = match ended.ending {
-            Ending::Committed => row(id.as_bytes()),
-            Ending::Errored => error("XX000"),
-            Ending::Full => error("53300"),
-            Ending::Misplaced => error("25006"),
+            AttemptOutcome::Committed => row(id.as_bytes()),
+            AttemptOutcome::Errored => error("XX000"),
+            AttemptOutcome::Full => error("53300"),
+            AttemptOutcome::Misplaced => error("25006"),
             _ => return None,
         };
         let role = ended
--- a/crates/lab/src/upgrade.rs
+++ b/crates/lab/src/upgrade.rs
@@ -6,8 +6,8 @@
 use crate::scenario::Scenario;
 use crate::sockets::{Ask, Ledger, State, Town, client, list, settings};
 use juniperdock_emulator::{Entry, Note, Out, Told, World};
-use juniperdock_fd_passing::{Came, Line};
-use juniperdock_hot_restart::word::{self, Hears, LONGEST};
+use juniperdock_fd_passing::{PacketSocket, Received};
+use juniperdock_hot_restart::message::{self, MAX_MESSAGE_LEN, MessageHandler};
 use juniperdock_test_support::{Agent, Front, WATCH, address};
 use std::collections::HashMap;
 use std::fmt;
@@ -303,7 +303,7 @@
     commit: bool,
 }
 
-impl Hears for Heard {
+impl MessageHandler for Heard {
     fn agreed(&mut self, _version: u16) {
         self.agreed = true;
     }
@@ -325,23 +325,26 @@
 /// A successor that fails: by its version, by nonsense, after the offer, or once it has taken half of the
 /// clients.
 pub fn successor(how: &str) -> bool {
-    let Ok(line) = std::io::stdin().as_fd().try_clone_to_owned().map(Line::of) else { return false };
-    let (lowest, highest) = if how == "version" { (900, 901) } else { juniperdock_hot_restart::SPOKEN };
+    let Ok(line) = std::io::stdin().as_fd().try_clone_to_owned().map(PacketSocket::from_fd) else {
+        return false;
+    };
+    let (lowest, highest) =
+        if how == "version" { (900, 901) } else { juniperdock_hot_restart::SUPPORTED_VERSIONS };
     let (mut heard, mut ready) = (Heard::default(), false);
-    let mut said = line.send(&word::hello(lowest, highest), None).is_ok();
-    while said && let Ok(Came::Word(word, _)) = line.receive(LONGEST, Duration::from_secs(5)) {
-        word::to_taker(&word, &mut heard);
+    let mut said = line.send(&message::hello(lowest, highest), None).is_ok();
+    while said && let Ok(Received::Packet(word, _)) = line.receive(MAX_MESSAGE_LEN, Duration::from_secs(5)) {
+        message::deliver_to_new(&word, &mut heard);
         if how == "waits" {
             continue;
         }
         if how == "nonsense" {
             said = line.send(b"?", None).is_ok();
         } else if heard.agreed && !std::mem::replace(&mut ready, true) {
-            said = line.send(&word::ready(), None).is_ok();
+            said = line.send(&message::ready(), None).is_ok();
         } else if how == "offer" && heard.listener || heard.commit {
             return false;
         } else if let Some(client) = heard.clients.pop() {
-            said = line.send(&word::took(client), None).is_ok();
+            said = line.send(&message::client_received(client), None).is_ok();
             if how == "half" && client % 2 == 0 {
                 return false;
             }
--- a/crates/lease/src/fence.rs
+++ b/crates/lease/src/fence.rs
@@ -1,6 +1,6 @@
 //! The receiver's part: an effect of an older term does nothing after one of a newer.
 
-use crate::Duty;
+use crate::TaskId;
 use std::collections::BTreeMap;
 
 /// Duties that are remembered at most.
@@ -9,8 +9,8 @@
 /// The highest term of each duty that this front has carried out an effect of.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Fence {
-    newest: BTreeMap<Duty, u64>,
-    refused: BTreeMap<Duty, u64>,
+    newest: BTreeMap<TaskId, u64>,
+    refused: BTreeMap<TaskId, u64>,
 }
 
 impl Fence {
@@ -24,7 +24,7 @@
     /// assert_eq!(fence.passes(3, 20, 30), Err(30), "granted already, though nothing was done in it yet");
     /// assert_eq!(fence.refused(3), 2);
     /// ```
-    pub fn passes(&mut self, duty: Duty, term: u64, granted: u64) -> Result<(), u64> {
+    pub fn passes(&mut self, duty: TaskId, term: u64, granted: u64) -> Result<(), u64> {
         let newest = self.newest(duty).max(granted);
         if term < newest {
             if self.refused.len() < MOST || self.refused.contains_key(&duty) {
@@ -40,12 +40,12 @@
         Err(newest)
     }
 
-    pub fn newest(&self, duty: Duty) -> u64 {
+    pub fn newest(&self, duty: TaskId) -> u64 {
         self.newest.get(&duty).copied().unwrap_or(0)
     }
 
     /// Effects that were refused.
-    pub fn refused(&self, duty: Duty) -> u64 {
+    pub fn refused(&self, duty: TaskId) -> u64 {
         self.refused.get(&duty).copied().unwrap_or(0)
     }
 }
--- a/crates/lease/src/grants.rs
+++ b/crates/lease/src/grants.rs
@@ -1,6 +1,6 @@
 //! The acceptor's part: to whom this front has granted which duty, and until when. Nothing of it is on a disk.
 
-use crate::Duty;
+use crate::TaskId;
 use crate::claim::floor;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -42,24 +42,24 @@
     quiet_until: Duration,
     /// Nothing below this is granted.
     floor: u64,
-    of: BTreeMap<Duty, Grant>,
+    of: BTreeMap<TaskId, Grant>,
 }
 
 impl Grants {
     /// One that starts in a life: whatever the process before it granted has run out once it speaks, and terms that
     /// may have been forgotten with that process are below those that this one grants.
     pub fn new(now: Duration, lasts: Duration, life: u32) -> Grants {
-        let quiet_until = now + lasts + lasts * 2 / crate::DRIFT;
+        let quiet_until = now + lasts + lasts * 2 / crate::CLOCK_DRIFT_DIVISOR;
         Grants { lasts, quiet_until, floor: floor(life), of: BTreeMap::new() }
     }
 
     /// A later life of this place was heard of: its terms may be higher.
-    pub fn raise(&mut self, life: u32) {
+    pub fn raise_term_floor(&mut self, life: u32) {
         self.floor = self.floor.max(floor(life));
     }
 
     /// Somebody asks for a duty under a term, or for more time.
-    pub fn ask(&mut self, now: Duration, from: Holder, duty: Duty, term: u64) -> Answer {
+    pub fn ask(&mut self, now: Duration, from: Holder, duty: TaskId, term: u64) -> Answer {
         if now < self.quiet_until || !self.of.contains_key(&duty) && self.of.len() >= MOST {
             return Answer::Quiet;
         }
@@ -83,25 +83,25 @@
     }
 
     /// The holder needs it no more. Its term stays the newest.
-    pub fn give(&mut self, from: Holder, duty: Duty, term: u64) {
+    pub fn give(&mut self, from: Holder, duty: TaskId, term: u64) {
         if let Some(grant) = self.of.get_mut(&duty).filter(|g| g.to == Some(from) && g.term <= term) {
             grant.to = None;
         }
     }
 
     /// The newest term that was granted here, or what is above all that was forgotten.
-    pub fn newest(&self, duty: Duty) -> u64 {
+    pub fn newest(&self, duty: TaskId) -> u64 {
         self.of.get(&duty).map_or(0, |grant| grant.term).max(self.floor)
     }
 
     /// Who has it by what was granted here, and until when.
-    pub fn holder(&self, now: Duration, duty: Duty) -> Option<(Holder, u64, Duration)> {
+    pub fn holder(&self, now: Duration, duty: TaskId) -> Option<(Holder, u64, Duration)> {
         let grant = self.of.get(&duty)?;
         Some((grant.to.filter(|_| now < grant.until)?, grant.term, grant.until))
     }
 
     /// Duties that were ever granted here.
-    pub fn duties(&self) -> impl Iterator<Item = Duty> + '_ {
+    pub fn duties(&self) -> impl Iterator<Item = TaskId> + '_ {
         self.of.keys().copied()
     }
 
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -3,7 +3,7 @@
 //! A duty is leased by a majority of the configured tier, without a disk ([`Grants`], [`Claim`]). Who asks is
 //! decided by rendezvous hashing over the fronts that are there ([`first`]); who gets is decided by the majority.
 //! Every effect of an owner carries its duty and term, and leaves through one place that reads the clock last
-//! ([`Office::act`]); every receiver keeps the highest term and refuses lower ones ([`Fence`]).
+//! ([`LeaseManager::act`]); every receiver keeps the highest term and refuses lower ones ([`Fence`]).
 //!
 //! No I/O: datagrams, times and chance are handed in. `docs/ownership.md` has the ways weighed, the proof and what
 //! is taken for granted of clocks. After Gray and Cheriton, Leases, SOSP 1989, and Lamport, The Part-Time
@@ -19,27 +19,27 @@
 pub use claim::Claim;
 pub use fence::Fence;
 pub use grants::{Answer, Grants, Holder};
-pub use office::{Duties, Event, Host, Office, Sight, Stands};
+pub use office::{Event, FleetView, Host, LeaseManager, Stands, TaskSet};
 pub use place::{first, order, shard};
 pub use words::{LONGEST, Words};
 
 use std::time::Duration;
 
 /// A duty by its number.
-pub type Duty = u64;
+pub type TaskId = u64;
 
 /// Clocks of two fronts drift apart by no more than one part in so many: quartz is 1,000 times better, and a
 /// clock that is slewed moves by 1 in 2,000 at most.
-pub const DRIFT: u32 = 50;
+pub const CLOCK_DRIFT_DIVISOR: u32 = 50;
 
-/// How long an owner counts on what was granted for a time: each clock may be off by [`DRIFT`].
+/// How long an owner counts on what was granted for a time: each clock may be off by [`CLOCK_DRIFT_DIVISOR`].
 ///
 /// ```
 /// use std::time::Duration;
 /// assert_eq!(juniperdock_lease::counted(Duration::from_secs(5)), Duration::from_millis(4800));
 /// ```
 pub fn counted(lasts: Duration) -> Duration {
-    lasts - lasts * 2 / DRIFT
+    lasts - lasts * 2 / CLOCK_DRIFT_DIVISOR
 }
 
 /// A majority of a tier.
--- a/crates/lease/src/office.rs
+++ b/crates/lease/src/office.rs
@@ -5,7 +5,7 @@
 use crate::grants::{Answer, Grants, Holder};
 use crate::place::{first, order};
 use crate::words::{Words, word};
-use crate::{Duty, majority};
+use crate::{TaskId, majority};
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -19,23 +19,23 @@
 
 /// What a front sees of the fleet.
 #[derive(Clone, Copy, Debug)]
-pub struct Sight<'a> {
+pub struct FleetView<'a> {
     /// The fronts that are there, itself with them, in order.
     pub present: &'a [usize],
     /// It hears a majority, is not slow, and is not about to go: else it holds no duty.
-    pub sound: bool,
+    pub eligible: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     /// This front owns a duty under a term from now on.
-    Took(Duty, u64),
+    Acquired(TaskId, u64),
     /// It has given it back.
-    Gave(Duty, u64),
+    Gave(TaskId, u64),
     /// Its time ran out before it was renewed.
-    Lapsed(Duty, u64),
+    Lapsed(TaskId, u64),
     /// An effect of an older term was refused.
-    Refused(Duty, u64, usize),
+    StaleEffect(TaskId, u64, usize),
 }
 
 /// What the driver does for it.
@@ -43,17 +43,17 @@
     fn send(&mut self, to: usize, body: &[u8]);
     fn event(&mut self, event: Event);
     /// An effect of a duty's owner, which has passed the fence.
-    fn effect(&mut self, from: usize, duty: Duty, term: u64, payload: &[u8]);
+    fn effect(&mut self, from: usize, duty: TaskId, term: u64, payload: &[u8]);
     /// A word to this front as the owner of a duty.
-    fn report(&mut self, from: usize, duty: Duty, term: u64, payload: &[u8]);
+    fn report(&mut self, from: usize, duty: TaskId, term: u64, payload: &[u8]);
     /// Something told by a front that needs no owner, and is fenced by nothing.
-    fn told(&mut self, from: usize, duty: Duty, payload: &[u8]);
+    fn announcement(&mut self, from: usize, duty: TaskId, payload: &[u8]);
 }
 
 /// How one duty stands, as this front knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stands {
-    pub duty: Duty,
+    pub duty: TaskId,
     pub term: u64,
     pub owner: Option<usize>,
     /// Until when, by the own clock; none where only its effects were heard of.
@@ -65,7 +65,7 @@
 }
 
 /// Which duties there are: those that always have an owner, and those that are ordered.
-pub type Duties = BTreeSet<Duty>;
+pub type TaskSet = BTreeSet<TaskId>;
 
 #[derive(Debug)]
 struct Post {
@@ -80,26 +80,26 @@
 
 /// One front among those that share duties. All times are spans since the driver's start.
 #[derive(Debug)]
-pub struct Office {
+pub struct LeaseManager {
     me: Holder,
     tier: usize,
     lasts: Duration,
     rng: Rand64,
     grants: Grants,
     fence: Fence,
-    standing: Duties,
-    ordered: Duties,
-    posts: BTreeMap<Duty, Post>,
+    standing: TaskSet,
+    ordered: TaskSet,
+    posts: BTreeMap<TaskId, Post>,
     /// Counts the rounds of all claims, from 1.
     round: u32,
     /// By duty: who sent the newest effect that passed, and how many did.
-    seen: BTreeMap<Duty, (usize, u64)>,
-    sent: BTreeMap<Duty, u64>,
+    seen: BTreeMap<TaskId, (usize, u64)>,
+    sent: BTreeMap<TaskId, u64>,
     next: Duration,
     left: bool,
 }
 
-impl Office {
+impl LeaseManager {
     /// `me` of `tier` fronts in one life of its process; a grant lasts for `lasts`, the same at all fronts.
     pub fn new(
         now: Duration,
@@ -108,9 +108,9 @@
         life: u32,
         seed: u64,
         lasts: Duration,
-        standing: Duties,
-    ) -> Office {
-        Office {
+        standing: TaskSet,
+    ) -> LeaseManager {
+        LeaseManager {
             me: Holder { front: me as u16, life },
             tier,
             lasts,
@@ -118,7 +118,7 @@
             grants: Grants::new(now, lasts, life),
             fence: Fence::default(),
             standing,
-            ordered: Duties::new(),
+            ordered: TaskSet::new(),
             posts: BTreeMap::new(),
             round: 0,
             seen: BTreeMap::new(),
@@ -128,13 +128,13 @@
         }
     }
 
-    /// When [`Office::due`] is to be called next.
+    /// When [`LeaseManager::due`] is to be called next.
     pub fn next(&self) -> Duration {
         self.next
     }
 
     /// This front wants a duty for work of its own, whoever else is there; or no more.
-    pub fn order(&mut self, now: Duration, duty: Duty, wanted: bool) {
+    pub fn order(&mut self, now: Duration, duty: TaskId, wanted: bool) {
         if wanted {
             self.ordered.insert(duty)
         } else {
@@ -144,37 +144,37 @@
     }
 
     /// The term under which this front owns a duty now.
-    pub fn holds(&self, now: Duration, duty: Duty) -> Option<u64> {
+    pub fn held_term(&self, now: Duration, duty: TaskId) -> Option<u64> {
         self.posts.get(&duty)?.claim.held(now).map(|(term, _)| term)
     }
 
     /// Duties that are this front's own now, with their terms.
-    pub fn mine(&self, now: Duration) -> Vec<(Duty, u64)> {
-        let held = |(&duty, post): (&Duty, &Post)| Some((duty, post.claim.held(now)?.0));
+    pub fn held_tasks(&self, now: Duration) -> Vec<(TaskId, u64)> {
+        let held = |(&duty, post): (&TaskId, &Post)| Some((duty, post.claim.held(now)?.0));
         self.posts.iter().filter_map(held).collect()
     }
 
     /// Who has a duty by what this front has granted.
-    pub fn owner(&self, now: Duration, duty: Duty) -> Option<usize> {
-        if self.holds(now, duty).is_some() {
+    pub fn owner(&self, now: Duration, duty: TaskId) -> Option<usize> {
+        if self.held_term(now, duty).is_some() {
             return Some(self.me.front.into());
         }
         self.grants.holder(now, duty).map(|(holder, ..)| holder.front.into())
     }
 
     /// This place is known to others in a later life than this process began with.
-    pub fn raise(&mut self, life: u32) {
-        self.grants.raise(life);
+    pub fn raise_term_floor(&mut self, life: u32) {
+        self.grants.raise_term_floor(life);
     }
 
     /// Does what is due.
-    pub fn due(&mut self, now: Duration, sight: Sight, host: &mut impl Host) {
+    pub fn handle_timeout(&mut self, now: Duration, sight: FleetView, host: &mut impl Host) {
         if now < self.next || self.left {
             return;
         }
         self.next = now + self.lasts / LOOKS;
         let mut words = Outbox::new(self.me.life);
-        let duties: Duties =
+        let duties: TaskSet =
             self.standing.iter().chain(&self.ordered).chain(self.posts.keys()).copied().collect();
         for duty in duties {
             self.look(now, duty, sight, &mut words, host);
@@ -182,13 +182,20 @@
         words.send(host);
     }
 
-    fn look(&mut self, now: Duration, duty: Duty, sight: Sight, words: &mut Outbox, host: &mut impl Host) {
+    fn look(
+        &mut self,
+        now: Duration,
+        duty: TaskId,
+        sight: FleetView,
+        words: &mut Outbox,
+        host: &mut impl Host,
+    ) {
         let me = usize::from(self.me.front);
         let lapsed = self.posts.get_mut(&duty).and_then(|post| post.claim.lapse(now));
         if let Some(term) = lapsed {
             host.event(Event::Lapsed(duty, term));
         }
-        let held = self.holds(now, duty);
+        let held = self.held_term(now, duty);
         let ordered = self.ordered.contains(&duty);
         let its = self.standing.contains(&duty) && first(duty, sight.present) == Some(me);
         // Whoever is better placed gets it, but not for one that is seen and lost again.
@@ -199,7 +206,7 @@
         let stays =
             self.posts.get(&duty).and_then(|post| post.better).is_some_and(|at| now < at + self.lasts);
         let wants =
-            sight.sound && (ordered || its || held.is_some() && stays && self.standing.contains(&duty));
+            sight.eligible && (ordered || its || held.is_some() && stays && self.standing.contains(&duty));
         if !wants {
             if let Some(post) = self.posts.remove(&duty)
                 && (held.is_some() || post.claim.partly())
@@ -250,23 +257,23 @@
         &mut self,
         now: Duration,
         from: usize,
-        duty: Duty,
+        duty: TaskId,
         term: u64,
         round: u32,
         host: &mut impl Host,
     ) {
         let Some(post) = self.posts.get_mut(&duty) else { return };
         if post.claim.granted(now, from as u16, term, round, self.tier, self.lasts) {
-            host.event(Event::Took(duty, term));
+            host.event(Event::Acquired(duty, term));
         }
     }
 
     fn give_back(
         &mut self,
-        duty: Duty,
+        duty: TaskId,
         mut post: Post,
         held: Option<u64>,
-        sight: Sight,
+        sight: FleetView,
         words: &mut Outbox,
         host: &mut impl Host,
     ) {
@@ -281,7 +288,7 @@
     }
 
     /// Gives all back; nothing is asked for, granted or done after it.
-    pub fn leave(&mut self, now: Duration, sight: Sight, host: &mut impl Host) {
+    pub fn leave(&mut self, now: Duration, sight: FleetView, host: &mut impl Host) {
         let mut words = Outbox::new(self.me.life);
         for (duty, post) in std::mem::take(&mut self.posts) {
             let held = post.claim.held(now).map(|(term, _)| term);
@@ -293,10 +300,10 @@
 
     /// The one place through which every effect leaves: the clock is read last, right before each is handed on.
     /// False if this front does not own the duty under that term, or no longer.
-    pub fn act(
+    pub fn send_effect(
         &mut self,
         clock: &mut dyn FnMut() -> Duration,
-        duty: Duty,
+        duty: TaskId,
         term: u64,
         to: &[usize],
         payload: &[u8],
@@ -306,7 +313,7 @@
         words.tell(word::EFFECT, duty, term, payload);
         let bodies = words.bodies();
         for &to in to {
-            if self.left || self.holds(clock(), duty) != Some(term) {
+            if self.left || self.held_term(clock(), duty) != Some(term) {
                 return false;
             }
             *self.sent.entry(duty).or_default() += 1;
@@ -320,7 +327,7 @@
     }
 
     /// A word to whoever owns a duty under a term.
-    pub fn report(&mut self, to: usize, duty: Duty, term: u64, payload: &[u8], host: &mut impl Host) {
+    pub fn report(&mut self, to: usize, duty: TaskId, term: u64, payload: &[u8], host: &mut impl Host) {
         if to == usize::from(self.me.front) {
             return host.report(to, duty, term, payload);
         }
@@ -330,7 +337,7 @@
     }
 
     /// Tells others something that does no harm whoever tells it, however late.
-    pub fn tell(&mut self, duty: Duty, to: &[usize], payload: &[u8], host: &mut impl Host) {
+    pub fn tell(&mut self, duty: TaskId, to: &[usize], payload: &[u8], host: &mut impl Host) {
         let mut words = Words::of(self.me.life);
         words.tell(word::TELL, duty, 0, payload);
         let bodies = words.bodies();
@@ -339,7 +346,7 @@
         }
     }
 
-    fn passes(&mut self, from: usize, duty: Duty, term: u64) -> Result<(), u64> {
+    fn passes(&mut self, from: usize, duty: TaskId, term: u64) -> Result<(), u64> {
         self.fence.passes(duty, term, self.grants.newest(duty))?;
         let seen = self.seen.entry(duty).or_insert((from, 0));
         *seen = (from, seen.1 + 1);
@@ -347,7 +354,7 @@
     }
 
     /// A body has come from a front. The error: it can't be read; what stood before the fault counts.
-    pub fn heard(
+    pub fn handle_message(
         &mut self,
         now: Duration,
         from: usize,
@@ -363,20 +370,20 @@
         let mut words = Outbox::new(self.me.life);
         while !rest.is_empty() {
             let ((what, duty, term), after) =
-                postcard::take_from_bytes::<(u8, Duty, u64)>(rest).map_err(|_| FAULT)?;
+                postcard::take_from_bytes::<(u8, TaskId, u64)>(rest).map_err(|_| FAULT)?;
             if matches!(what, word::EFFECT | word::REPORT | word::TELL) {
                 let (payload, after) = postcard::take_from_bytes::<&[u8]>(after).map_err(|_| FAULT)?;
                 rest = after;
                 if what == word::TELL {
-                    host.told(from, duty, payload);
+                    host.announcement(from, duty, payload);
                 } else if what == word::REPORT {
                     // Also to an earlier term of this front: it may have risen on the word's way.
                     let mine = term as u16 == self.me.front;
-                    if self.holds(now, duty).is_some_and(|held| mine && term <= held) {
+                    if self.held_term(now, duty).is_some_and(|held| mine && term <= held) {
                         host.report(from, duty, term, payload);
                     }
                 } else if let Err(newest) = self.passes(from, duty, term) {
-                    host.event(Event::Refused(duty, term, from));
+                    host.event(Event::StaleEffect(duty, term, from));
                     words.to(from).say(word::NEWEST, duty, newest, 0);
                 } else {
                     host.effect(from, duty, term, payload);
@@ -396,7 +403,7 @@
                 },
                 word::GRANT => self.granted(now, from, duty, term, number, host),
                 word::REFUSE | word::NEWEST => {
-                    let held = self.holds(now, duty).is_some();
+                    let held = self.held_term(now, duty).is_some();
                     let Some(post) = self.posts.get_mut(&duty) else { continue };
                     post.claim.told(term);
                     if what == word::REFUSE && !held {
@@ -422,7 +429,7 @@
 
     /// How each duty stands that this front knows of.
     pub fn stands(&self, now: Duration) -> Vec<Stands> {
-        let all: Duties = self
+        let all: TaskSet = self
             .standing
             .iter()
             .chain(&self.ordered)
@@ -431,7 +438,7 @@
             .copied()
             .chain(self.grants.duties())
             .collect();
-        let one = |duty: Duty| {
+        let one = |duty: TaskId| {
             let (refused, sent) = (self.fence.refused(duty), self.sent.get(&duty).copied().unwrap_or(0));
             let (last, passed) = self.seen.get(&duty).map_or((None, 0), |&(from, n)| (Some(from), n));
             let known = self.fence.newest(duty);
--- a/crates/lease/src/place.rs
+++ b/crates/lease/src/place.rs
@@ -1,10 +1,10 @@
 //! Who asks for which duty: rendezvous hashing (Thaler and Ravishankar, 1998). All that see the same fronts come to
 //! the same order, and a front that goes moves only what was its own.
 
-use crate::Duty;
+use crate::TaskId;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-fn weight(duty: Duty, front: usize) -> u64 {
+fn weight(duty: TaskId, front: usize) -> u64 {
     xxh3_64_with_seed(&(front as u64).to_le_bytes(), duty.wrapping_add(1))
 }
 
@@ -17,12 +17,12 @@
 /// assert!(first(4, &others).is_some_and(|after| after != before));
 /// assert!((0..100).filter(|&duty| first(duty, &[0, 1, 2, 3]) == Some(2)).count() > 12);
 /// ```
-pub fn first(duty: Duty, present: &[usize]) -> Option<usize> {
+pub fn first(duty: TaskId, present: &[usize]) -> Option<usize> {
     present.iter().copied().max_by_key(|&front| (weight(duty, front), front))
 }
 
 /// The first of them and those after it, as many as are wanted.
-pub fn order(duty: Duty, present: &[usize], most: usize) -> Vec<usize> {
+pub fn order(duty: TaskId, present: &[usize], most: usize) -> Vec<usize> {
     let mut all = present.to_vec();
     all.sort_unstable_by_key(|&front| std::cmp::Reverse((weight(duty, front), front)));
     all.truncate(most);
--- a/crates/lease/tests/stories.rs
+++ b/crates/lease/tests/stories.rs
@@ -1,6 +1,6 @@
 //! Offices of one tier that speak with each other in memory, one story for each failure met.
 
-use juniperdock_lease::{Duties, Duty, Event, Host, Office, Sight, counted, first};
+use juniperdock_lease::{Event, FleetView, Host, LeaseManager, TaskId, TaskSet, counted, first};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 struct Hands {
     out: Vec<(usize, Vec<u8>)>,
     events: Vec<Event>,
-    effects: Vec<(usize, Duty, u64, Vec<u8>)>,
+    effects: Vec<(usize, TaskId, u64, Vec<u8>)>,
     reports: Vec<(usize, Vec<u8>)>,
 }
 
@@ -25,33 +25,33 @@
     fn event(&mut self, event: Event) {
         self.events.push(event);
     }
-    fn effect(&mut self, from: usize, duty: Duty, term: u64, payload: &[u8]) {
+    fn effect(&mut self, from: usize, duty: TaskId, term: u64, payload: &[u8]) {
         self.effects.push((from, duty, term, payload.to_vec()));
     }
-    fn report(&mut self, from: usize, _duty: Duty, _term: u64, payload: &[u8]) {
+    fn report(&mut self, from: usize, _duty: TaskId, _term: u64, payload: &[u8]) {
         self.reports.push((from, payload.to_vec()));
     }
-    fn told(&mut self, from: usize, _duty: Duty, payload: &[u8]) {
+    fn announcement(&mut self, from: usize, _duty: TaskId, payload: &[u8]) {
         self.reports.push((from, payload.to_vec()));
     }
 }
 
 struct Fleet {
     now: Duration,
-    offices: Vec<Option<Office>>,
+    offices: Vec<Option<LeaseManager>>,
     hands: Vec<Hands>,
     /// Ways that nothing passes.
     cut: Vec<(usize, usize)>,
     present: Vec<Vec<usize>>,
-    sound: Vec<bool>,
-    duties: Duties,
+    eligible: Vec<bool>,
+    duties: TaskSet,
     lives: u32,
     /// Fronts that do not run.
     stopped: Vec<usize>,
 }
 
 impl Fleet {
-    fn new(tier: usize, duties: &[Duty]) -> Fleet {
+    fn new(tier: usize, duties: &[TaskId]) -> Fleet {
         let all: Vec<usize> = (0..tier).collect();
         let mut fleet = Fleet {
             now: Duration::from_secs(5),
@@ -59,7 +59,7 @@
             hands: (0..tier).map(|_| Hands::default()).collect(),
             cut: Vec::new(),
             present: vec![all; tier],
-            sound: vec![true; tier],
+            eligible: vec![true; tier],
             duties: duties.iter().copied().collect(),
             lives: 100,
             stopped: Vec::new(),
@@ -73,7 +73,7 @@
         let tier = self.offices.len();
         let duties = self.duties.clone();
         self.offices[front] =
-            Some(Office::new(self.now, front, tier, self.lives, front as u64, LASTS, duties));
+            Some(LeaseManager::new(self.now, front, tier, self.lives, front as u64, LASTS, duties));
     }
 
     fn kill(&mut self, front: usize) {
@@ -86,10 +86,10 @@
         while self.now < ends {
             self.now += STEP;
             for front in 0..self.offices.len() {
-                let sight = Sight { present: &self.present[front], sound: self.sound[front] };
+                let sight = FleetView { present: &self.present[front], eligible: self.eligible[front] };
                 if let Some(office) = self.offices[front].as_mut().filter(|_| !self.stopped.contains(&front))
                 {
-                    office.due(self.now, sight, &mut self.hands[front]);
+                    office.handle_timeout(self.now, sight, &mut self.hands[front]);
                 }
             }
             self.pass();
@@ -110,7 +110,9 @@
                         continue;
                     }
                     if let Some(office) = &mut self.offices[to] {
-                        office.heard(self.now, from, &body, &mut self.hands[to]).expect("good words");
+                        office
+                            .handle_message(self.now, from, &body, &mut self.hands[to])
+                            .expect("good words");
                     }
                 }
             }
@@ -121,27 +123,28 @@
     }
 
     /// Who owns a duty, those that do not run with them: they hold what they held until they look at the clock.
-    fn owners(&self, duty: Duty) -> Vec<usize> {
-        let holds = |&f: &usize| self.offices[f].as_ref().is_some_and(|o| o.holds(self.now, duty).is_some());
+    fn owners(&self, duty: TaskId) -> Vec<usize> {
+        let holds =
+            |&f: &usize| self.offices[f].as_ref().is_some_and(|o| o.held_term(self.now, duty).is_some());
         (0..self.offices.len()).filter(holds).collect()
     }
 
-    fn act(&mut self, front: usize, duty: Duty, term: u64, to: &[usize], payload: &[u8]) -> bool {
+    fn act(&mut self, front: usize, duty: TaskId, term: u64, to: &[usize], payload: &[u8]) -> bool {
         let now = self.now;
         let office = self.offices[front].as_mut().expect("it runs");
-        let done = office.act(&mut || now, duty, term, to, payload, &mut self.hands[front]);
+        let done = office.send_effect(&mut || now, duty, term, to, payload, &mut self.hands[front]);
         self.pass();
         done
     }
 
-    fn term(&self, front: usize, duty: Duty) -> u64 {
-        self.offices[front].as_ref().and_then(|o| o.holds(self.now, duty)).expect("it owns it")
+    fn term(&self, front: usize, duty: TaskId) -> u64 {
+        self.offices[front].as_ref().and_then(|o| o.held_term(self.now, duty)).expect("it owns it")
     }
 }
 
 #[test]
 fn every_duty_has_one_owner_and_they_are_spread() {
-    let duties: Vec<Duty> = (0..40).collect();
+    let duties: Vec<TaskId> = (0..40).collect();
     let mut fleet = Fleet::new(5, &duties);
     fleet.run(Duration::from_millis(1000));
     assert!(duties.iter().all(|&duty| fleet.owners(duty).is_empty()), "all are quiet at first");
@@ -189,17 +192,20 @@
     let then = fleet.now - LASTS * 2;
     let office = fleet.offices[old].as_mut().expect("it runs");
     assert!(
-        office.act(&mut || then, 7, term, &others, b"late", &mut fleet.hands[old]),
+        office.send_effect(&mut || then, 7, term, &others, b"late", &mut fleet.hands[old]),
         "by a clock that stood"
     );
     let now = fleet.now;
-    assert!(!office.act(&mut || now, 7, term, &others, b"later", &mut fleet.hands[old]), "not by the clock");
+    assert!(
+        !office.send_effect(&mut || now, 7, term, &others, b"later", &mut fleet.hands[old]),
+        "not by the clock"
+    );
     fleet.stopped.clear();
     fleet.pass();
     for &other in &others {
         let hands = &fleet.hands[other];
         assert!(hands.effects.iter().all(|effect| effect.3 != b"late" && effect.3 != b"later"));
-        assert!(hands.events.contains(&Event::Refused(7, term, old)));
+        assert!(hands.events.contains(&Event::StaleEffect(7, term, old)));
     }
 }
 
@@ -254,13 +260,13 @@
     let mut fleet = Fleet::new(3, &[9]);
     fleet.run(QUIET + LASTS);
     let old = fleet.owners(9)[0];
-    fleet.sound[old] = false;
+    fleet.eligible[old] = false;
     fleet.present.iter_mut().for_each(|present| present.retain(|&front| front != old));
     fleet.run(LASTS / 4);
     let new = fleet.owners(9);
     assert!(new.len() == 1 && new[0] != old, "no need to wait for its time: {new:?}");
     assert!(fleet.hands[old].events.iter().any(|event| matches!(event, Event::Gave(9, _))));
-    let sight = Sight { present: &fleet.present[new[0]].clone(), sound: true };
+    let sight = FleetView { present: &fleet.present[new[0]].clone(), eligible: true };
     let leaving = fleet.offices[new[0]].as_mut().expect("it runs");
     leaving.leave(fleet.now, sight, &mut fleet.hands[new[0]]);
     assert_eq!(fleet.owners(9), []);
@@ -279,15 +285,15 @@
     assert!(after > before, "{after} {before}");
     // What the old owner had sent comes only now.
     let mut hands = Hands::default();
-    let mut old = Office::new(Duration::ZERO, 0, 1, 50, 1, LASTS, [5].into());
+    let mut old = LeaseManager::new(Duration::ZERO, 0, 1, 50, 1, LASTS, [5].into());
     let alone = [0];
-    let sight = Sight { present: &alone, sound: true };
-    old.due(LASTS * 2, sight, &mut hands);
-    let term = old.holds(LASTS * 2, 5).expect("alone in its tier");
-    assert!(term < after && old.act(&mut || LASTS * 2, 5, term, &[1], b"old", &mut hands));
+    let sight = FleetView { present: &alone, eligible: true };
+    old.handle_timeout(LASTS * 2, sight, &mut hands);
+    let term = old.held_term(LASTS * 2, 5).expect("alone in its tier");
+    assert!(term < after && old.send_effect(&mut || LASTS * 2, 5, term, &[1], b"old", &mut hands));
     let body = hands.out.pop().expect("it was sent").1;
     let office = fleet.offices[1].as_mut().expect("it runs");
-    office.heard(fleet.now, 0, &body, &mut fleet.hands[1]).expect("good words");
+    office.handle_message(fleet.now, 0, &body, &mut fleet.hands[1]).expect("good words");
     assert!(fleet.hands[1].effects.is_empty());
 }
 
@@ -328,19 +334,22 @@
     let now = fleet.now;
     let office = fleet.offices[2].as_mut().expect("it runs");
     let later = [5, 99, 1, 1, 1, 200];
-    assert!(office.heard(now, 0, &later, &mut Hands::default()).is_ok(), "unknown words end the body");
+    assert!(
+        office.handle_message(now, 0, &later, &mut Hands::default()).is_ok(),
+        "unknown words end the body"
+    );
     for body in [&[][..], &[255; 4], &[5, 1], &[5, 6, 1, 1, 200]] {
-        assert!(office.heard(now, 0, body, &mut Hands::default()).is_err(), "{body:?}");
+        assert!(office.handle_message(now, 0, body, &mut Hands::default()).is_err(), "{body:?}");
     }
 }
 
 proptest::proptest! {
     #[test]
     fn nothing_that_is_heard_makes_an_office_fall(body in proptest::collection::vec(0u8.., 0..200)) {
-        let mut office = Office::new(Duration::ZERO, 0, 3, 9, 1, LASTS, [1, 2].into());
+        let mut office = LeaseManager::new(Duration::ZERO, 0, 3, 9, 1, LASTS, [1, 2].into());
         let mut hands = Hands::default();
-        let _ = office.heard(LASTS * 3, 1, &body, &mut hands);
+        let _ = office.handle_message(LASTS * 3, 1, &body, &mut hands);
         proptest::prop_assert!(hands.out.iter().all(|(to, body)| *to == 1 && body.len() <= 200));
-        proptest::prop_assert!(office.mine(LASTS * 3).is_empty());
+        proptest::prop_assert!(office.held_tasks(LASTS * 3).is_empty());
     }
 }
--- a/crates/membership/benches/view.rs
+++ b/crates/membership/benches/view.rs
@@ -3,7 +3,7 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use hmac::{Hmac, KeyInit, Mac};
-use juniperdock_membership::{Event, Fellows, Host, Keys, Times};
+use juniperdock_membership::{Event, Host, Keys, Membership, Timing};
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
@@ -35,15 +35,15 @@
 fn view(c: &mut Criterion) {
     let mut group = c.benchmark_group("view");
     for tier in [10u16, 300, 10_000] {
-        let keys = Keys::read(&["ab".repeat(32)]).expect("a good key");
-        let times = Times { every: Duration::from_millis(500), suspicion: 3 };
-        let mut one = Fellows::new(0, tier.into(), 1000, 1, 2, times, keys);
+        let keys = Keys::parse(&["ab".repeat(32)]).expect("a good key");
+        let times = Timing { every: Duration::from_millis(500), suspicion: 3 };
+        let mut one = Membership::new(0, tier.into(), 1000, 1, 2, times, keys);
         // Time goes on, or one that tells so much would be taken for a flood.
         let (mut now, mut number, mut life) = (Duration::ZERO, 0, 1000);
         let all: Vec<(u16, u32)> = (1..tier).map(|place| (place, 1000)).collect();
         for some in all.chunks(20) {
             (now, number) = (now + Duration::from_millis(20), number + 1);
-            one.heard(now, 1, &called(number, tier, some), &mut Out).expect("it is believed");
+            one.handle_datagram(now, 1, &called(number, tier, some), &mut Out).expect("it is believed");
         }
         assert_eq!(one.present().len(), usize::from(tier));
         group.bench_with_input(BenchmarkId::new("one front in a later life", tier), &tier, |b, &tier| {
@@ -52,10 +52,10 @@
                 for _ in 0..times {
                     // Lives go by the time, and what is due is done in time.
                     (now, number, life) = (now + Duration::from_millis(200), number + 1, life + 1);
-                    one.due(now, &mut Out);
+                    one.handle_timeout(now, &mut Out);
                     let datagram = called(number, tier, &[(2 + (life % 7) as u16, life)]);
                     let begun = Instant::now();
-                    one.heard(now, 1, black_box(&datagram), &mut Out).expect("it is believed");
+                    one.handle_datagram(now, 1, black_box(&datagram), &mut Out).expect("it is believed");
                     took += begun.elapsed();
                 }
                 took
@@ -64,7 +64,7 @@
         let mut bent = called(1, tier, &[]);
         bent[5] ^= 1;
         group.bench_with_input(BenchmarkId::new("one that is forged", tier), &bent, |b, bent| {
-            b.iter(|| one.heard(now, 1, black_box(bent), &mut Out));
+            b.iter(|| one.handle_datagram(now, 1, black_box(bent), &mut Out));
         });
     }
     group.finish();
--- a/crates/membership/src/fellows.rs
+++ b/crates/membership/src/fellows.rs
@@ -8,7 +8,7 @@
 use foca::{
     Codec, Config, Foca, Header, Message, NoCustomBroadcast, Notification, PeriodicParams, State, Timer,
 };
-use juniperdock_timer_wheel::Wheel;
+use juniperdock_timer_wheel::TimerWheel;
 use oorandom::Rand64;
 use std::collections::VecDeque;
 use std::num::{NonZeroU8, NonZeroUsize};
@@ -48,26 +48,28 @@
 
 /// What a front knows of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Connectivity {
     /// It has heard nobody for a while, or nothing since it stood still.
-    Alone,
+    Isolated,
     /// It hears a minority of the configured tier, itself counted in; or not yet enough since it was alone.
-    Part,
+    Minority,
     /// It hears a majority of the configured tier.
-    Whole,
+    Majority,
 }
 
-impl Standing {
+impl Connectivity {
     pub fn name(self) -> &'static str {
         match self {
-            Standing::Alone => "alone",
-            Standing::Part => "part",
-            Standing::Whole => "whole",
+            Connectivity::Isolated => "alone",
+            Connectivity::Minority => "part",
+            Connectivity::Majority => "whole",
         }
     }
 
-    fn of(byte: u8) -> Option<Standing> {
-        [Standing::Alone, Standing::Part, Standing::Whole].get(usize::from(byte)).copied()
+    fn of(byte: u8) -> Option<Connectivity> {
+        [Connectivity::Isolated, Connectivity::Minority, Connectivity::Majority]
+            .get(usize::from(byte))
+            .copied()
     }
 }
 
@@ -100,7 +102,7 @@
     Back(usize),
     /// Others took this front for dead; it goes on under a later life.
     Rejoined,
-    Stands(Standing),
+    ConnectivityChanged(Connectivity),
     /// It did not run for so long.
     Stood(Duration),
 }
@@ -115,15 +117,15 @@
     /// When a datagram of its own was last taken.
     pub heard: Option<Duration>,
     /// What it last said of itself, where it speaks version 2.
-    pub says: Option<Standing>,
+    pub says: Option<Connectivity>,
 }
 
 /// What the driver does for it.
 pub trait Host {
     fn send(&mut self, to: usize, datagram: &[u8]);
     fn event(&mut self, event: Event);
-    /// A body of [`Fellows::post`] has come, sealed by its sender and new.
-    fn told(&mut self, _from: usize, _body: &[u8]) {}
+    /// A body of [`Membership::post`] has come, sealed by its sender and new.
+    fn deliver(&mut self, _from: usize, _body: &[u8]) {}
 }
 
 /// A suspect has so many periods to answer.
@@ -131,17 +133,17 @@
 
 /// How long things take.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Times {
+pub struct Timing {
     /// Each front asks one other in every period.
     pub every: Duration,
     /// A suspect has so many periods to answer, before it is slowed down by the tier's size or the own slowness.
     pub suspicion: u32,
 }
 
-impl Times {
+impl Timing {
     /// The same for all drivers, by the period.
-    pub fn of(every: Duration) -> Times {
-        Times { every, suspicion: SUSPICION }
+    pub fn with_period(every: Duration) -> Timing {
+        Timing { every, suspicion: SUSPICION }
     }
 }
 
@@ -242,7 +244,7 @@
     life: u32,
     window: Window,
     heard: Option<Duration>,
-    says: Option<Standing>,
+    says: Option<Connectivity>,
     /// The life and incarnation in which it is suspected, while a verdict on that is still to come.
     suspected: Option<(u32, u16)>,
     /// Datagrams that would still be taken now, and when that was reckoned.
@@ -251,7 +253,7 @@
 }
 
 /// One front among its fellows. All times are spans since the driver's start.
-pub struct Fellows {
+pub struct Membership {
     swim: Foca<Who, Tongue, Dice, NoCustomBroadcast>,
     me: usize,
     tier: usize,
@@ -259,11 +261,11 @@
     born: u32,
     keys: Keys,
     version: u8,
-    times: Times,
+    times: Timing,
     rng: Rand64,
     number: u64,
     marks: Vec<Mark>,
-    timers: Wheel<(Duration, Due)>,
+    timers: TimerWheel<(Duration, Due)>,
     /// Time in which this front did not run: it counts for no timer.
     lost: Duration,
     strain: u32,
@@ -286,7 +288,7 @@
     rolled: usize,
     last_heard: Duration,
     left: bool,
-    standing: Standing,
+    standing: Connectivity,
     since: Duration,
     view: u64,
     pub datagrams_in: u64,
@@ -296,22 +298,22 @@
     pub refused: [u64; Refused::ALL.len()],
 }
 
-impl Fellows {
-    /// `me` of `tier` fronts, from 0; `life` as [`crate::life_at`] gives it; `version` is spoken to all.
+impl Membership {
+    /// `me` of `tier` fronts, from 0; `life` as [`crate::incarnation_at`] gives it; `version` is spoken to all.
     pub fn new(
         me: usize,
         tier: usize,
         life: u32,
         seed: u64,
         version: u8,
-        times: Times,
+        times: Timing,
         keys: Keys,
-    ) -> Fellows {
+    ) -> Membership {
         let tier = tier.clamp(1, usize::from(u16::MAX));
         let who = Who { index: me as u16, life };
         let tongue = Tongue { tier: tier as u16 };
         let swim = Foca::new(who, config(tier, times, 0), Dice(Rand64::new(u128::from(seed) << 1)), tongue);
-        let mut fellows = Fellows {
+        let mut fellows = Membership {
             swim,
             me,
             tier,
@@ -323,7 +325,7 @@
             rng: Rand64::new(u128::from(life) << 64 | u128::from(seed) << 1 | 1),
             number: 0,
             marks: vec![Mark { room: BURST, ..Mark::default() }; tier],
-            timers: Wheel::new(TICK),
+            timers: TimerWheel::new(TICK),
             lost: Duration::ZERO,
             strain: 0,
             timely: 0,
@@ -339,7 +341,7 @@
             rolled: 0,
             last_heard: Duration::ZERO,
             left: false,
-            standing: if tier == 1 { Standing::Whole } else { Standing::Alone },
+            standing: if tier == 1 { Connectivity::Majority } else { Connectivity::Isolated },
             since: Duration::ZERO,
             view: 0,
             datagrams_in: 0,
@@ -350,22 +352,22 @@
         };
         // Not all at once, where many start together.
         let first = times.every.mul_f64(fellows.rng.rand_float() / 4.0);
-        fellows.timers.set(first, (first, Due::Hello));
+        fellows.timers.schedule(first, (first, Due::Hello));
         fellows
     }
 
-    /// When [`Fellows::due`] is to be called next.
-    pub fn next(&self) -> Duration {
-        self.timers.next().map_or(Duration::MAX, |at| at.saturating_add(self.lost))
+    /// When [`Membership::due`] is to be called next.
+    pub fn next_timeout(&self) -> Duration {
+        self.timers.next_due().map_or(Duration::MAX, |at| at.saturating_add(self.lost))
     }
 
     /// Does what is due.
-    pub fn due(&mut self, now: Duration, host: &mut impl Host) {
+    pub fn handle_timeout(&mut self, now: Duration, host: &mut impl Host) {
         self.notice(now, host);
         if self.left {
             return;
         }
-        while let Some((_, due)) = self.timers.due(now - self.lost) {
+        while let Some((_, due)) = self.timers.pop_due(now - self.lost) {
             match due {
                 // Who does not hear a majority has no ground to call others dead: it may be itself that is cut
                 // off. They stay suspects until it has asked, since it began to suspect them, and a majority of
@@ -373,7 +375,7 @@
                 Due::Verdict(timer, since) if self.doubtful(&timer, since) => {
                     self.surveys_until = now + self.times.every * 2 * QUIET;
                     let at = now - self.lost + self.times.every;
-                    self.timers.set(at, (at, Due::Verdict(timer, since)));
+                    self.timers.schedule(at, (at, Due::Verdict(timer, since)));
                 }
                 Due::Swim(timer) | Due::Verdict(timer, _) => {
                     if let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = &timer {
@@ -387,7 +389,7 @@
                     self.survey(now, host);
                     self.roll(host);
                     let at = now - self.lost + self.times.every;
-                    self.timers.set(at, (at, Due::Hello));
+                    self.timers.schedule(at, (at, Due::Hello));
                 }
             }
         }
@@ -409,7 +411,7 @@
     }
 
     /// A datagram has come from the address of a place of the tier.
-    pub fn heard(
+    pub fn handle_datagram(
         &mut self,
         now: Duration,
         source: usize,
@@ -442,7 +444,7 @@
 
     /// Sends a body of up to [`BODY`] bytes for another part of the program to a front; false if its life is not
     /// known, or it is too long. What is meant for an earlier life is refused there.
-    pub fn post(&mut self, to: usize, body: &[u8], host: &mut impl Host) -> bool {
+    pub fn send_payload(&mut self, to: usize, body: &[u8], host: &mut impl Host) -> bool {
         let heard = self.marks.get(to).map(|mark| Who { index: to as u16, life: mark.life });
         let heard = heard.filter(|who| who.life > 0);
         let known =
@@ -475,7 +477,7 @@
     }
 
     /// How it stands, and since when.
-    pub fn standing(&self) -> (Standing, Duration) {
+    pub fn connectivity(&self) -> (Connectivity, Duration) {
         (self.standing, self.since)
     }
 
@@ -485,7 +487,7 @@
     }
 
     /// All places of the tier, itself with them.
-    pub fn fellows(&self) -> Vec<Fellow> {
+    pub fn peers(&self) -> Vec<Fellow> {
         let mut all: Vec<Fellow> = self
             .marks
             .iter()
@@ -532,7 +534,7 @@
     /// standstill it knows nothing for sure until somebody has answered a question asked since.
     fn notice(&mut self, now: Duration, host: &mut impl Host) {
         let elapsed = now - self.lost;
-        let late = self.timers.next().map_or(Duration::ZERO, |at| elapsed.saturating_sub(at));
+        let late = self.timers.next_due().map_or(Duration::ZERO, |at| elapsed.saturating_sub(at));
         if late * LATE > self.times.every {
             self.lost += late;
             (self.strain, self.timely) = ((self.strain + 1).min(STRAINS), 0);
@@ -563,9 +565,9 @@
         self.hellos.clear();
         self.survey = Default::default();
         (self.minor, self.confirmed, self.sampled) = (false, None, None);
-        if self.tier > 1 && self.standing != Standing::Alone {
-            (self.standing, self.since) = (Standing::Alone, now);
-            host.event(Event::Stands(Standing::Alone));
+        if self.tier > 1 && self.standing != Connectivity::Isolated {
+            (self.standing, self.since) = (Connectivity::Isolated, now);
+            host.event(Event::ConnectivityChanged(Connectivity::Isolated));
         }
     }
 
@@ -580,22 +582,22 @@
             member.state() == State::Alive || heard.is_some_and(|at| at + self.times.every * 2 > now)
         };
         let alive = self.swim.iter_members().filter(|member| heard(member)).count() + 1;
-        if self.standing != Standing::Alone
+        if self.standing != Connectivity::Isolated
             && now > self.last_heard + self.times.every * (QUIET + self.strain)
         {
             return self.doubt(now, host);
         }
         let sure = self.proven.len() >= ASKED.min(self.tier / 2);
         let standing = match alive {
-            _ if self.proven.is_empty() => Standing::Alone,
-            1 => Standing::Alone,
-            n if sure && !self.minor && 2 * n > self.tier => Standing::Whole,
-            _ => Standing::Part,
+            _ if self.proven.is_empty() => Connectivity::Isolated,
+            1 => Connectivity::Isolated,
+            n if sure && !self.minor && 2 * n > self.tier => Connectivity::Majority,
+            _ => Connectivity::Minority,
         };
         if standing != self.standing {
             (self.standing, self.since) = (standing, now);
-            host.event(Event::Stands(standing));
-            if standing == Standing::Alone {
+            host.event(Event::ConnectivityChanged(standing));
+            if standing == Connectivity::Isolated {
                 self.doubt(now, host);
             }
         }
@@ -606,7 +608,7 @@
     /// Asks some that may not know this front, or that it may not know.
     fn greet(&mut self, host: &mut impl Host) {
         self.turn = self.turn.wrapping_add(1);
-        let unsure = self.standing == Standing::Alone || self.proven.len() < ASKED.min(self.tier / 2);
+        let unsure = self.standing == Connectivity::Isolated || self.proven.len() < ASKED.min(self.tier / 2);
         let most = match unsure {
             true => ASKED,
             false if self.turn.is_multiple_of(SELDOM) => 1,
@@ -668,7 +670,8 @@
     fn roll(&mut self, host: &mut impl Host) {
         let alive = self.swim.iter_members().filter(|member| member.state() == State::Alive);
         let alive: Vec<usize> = alive.map(|member| member.id().index.into()).chain([self.me]).collect();
-        if self.standing == Standing::Alone || alive.len() == self.tier || self.swim.num_members() == 0 {
+        if self.standing == Connectivity::Isolated || alive.len() == self.tier || self.swim.num_members() == 0
+        {
             return;
         }
         let others: Vec<Who> = self.swim.iter_members().map(|member| *member.id()).collect();
@@ -759,7 +762,7 @@
                 }
                 _ => Due::Swim(timer),
             };
-            self.timers.set(at, (at, due));
+            self.timers.schedule(at, (at, due));
         }
         // The library may ask an earlier life of this very place.
         for (to, body) in acts.sends {
@@ -820,7 +823,7 @@
             }
             return Err(Refused::Outlived);
         }
-        mark.says = says.and_then(Standing::of).or(mark.says.filter(|_| says.is_some()));
+        mark.says = says.and_then(Connectivity::of).or(mark.says.filter(|_| says.is_some()));
         if !whoever {
             (mark.heard, self.last_heard) = (Some(now), now);
         }
@@ -850,7 +853,7 @@
             }
             kind::CALLED => self.called(now, body, host),
             kind::OFFICE => {
-                host.told(from, body);
+                host.deliver(from, body);
                 Ok(())
             }
             _ => Err(Refused::Unknown),
@@ -909,7 +912,7 @@
 }
 
 /// The library's times for a tier of a size, and for a front that is slow.
-fn config(tier: usize, times: Times, strain: u32) -> Config {
+fn config(tier: usize, times: Timing, strain: u32) -> Config {
     let grows = (tier as f64).log10().max(1.0);
     let some = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
     let often = |periods: u32, members: usize| {
--- a/crates/membership/src/seal.rs
+++ b/crates/membership/src/seal.rs
@@ -12,7 +12,7 @@
 /// No datagram is longer.
 pub const LONGEST: usize = 256;
 /// The newest version; each understands its two neighbours.
-pub const NEWEST: u8 = 2;
+pub const NEWEST_VERSION: u8 = 2;
 const CODE: usize = 16;
 /// The most bytes of a head, two for its version and length counted in.
 const HEAD: usize = 40;
@@ -122,7 +122,7 @@
 
 impl Keys {
     /// One or two keys, each 32 bytes as 64 hex digits; white space round them is passed over.
-    pub fn read(texts: &[String]) -> Result<Keys, String> {
+    pub fn parse(texts: &[String]) -> Result<Keys, String> {
         if texts.is_empty() || texts.len() > 2 {
             return Err(format!("expected one key or two, found {}", texts.len()));
         }
--- a/crates/membership/src/who.rs
+++ b/crates/membership/src/who.rs
@@ -24,13 +24,13 @@
 /// other fronts remember; one that they know in a later life goes above that.
 ///
 /// ```
-/// use juniperdock_membership::life_at;
+/// use juniperdock_membership::incarnation_at;
 /// use std::time::Duration;
-/// let early = life_at(Duration::from_secs(1_767_225_700));
-/// assert!(early > 0 && life_at(Duration::from_secs(1_767_225_701)) > early);
-/// assert_eq!(life_at(Duration::ZERO), 1);
+/// let early = incarnation_at(Duration::from_secs(1_767_225_700));
+/// assert!(early > 0 && incarnation_at(Duration::from_secs(1_767_225_701)) > early);
+/// assert_eq!(incarnation_at(Duration::ZERO), 1);
 /// ```
-pub fn life_at(unix: Duration) -> u32 {
+pub fn incarnation_at(unix: Duration) -> u32 {
     let units = unix.as_millis().saturating_sub(FROM_MS) / UNIT_MS;
     u32::try_from(units).unwrap_or(LATEST_BY_CLOCK).clamp(1, LATEST_BY_CLOCK)
 }
--- a/crates/membership/tests/fuzz.rs
+++ b/crates/membership/tests/fuzz.rs
@@ -3,7 +3,7 @@
 //! any_bytes_are_borne` goes on from there.
 
 use hmac::{Hmac, KeyInit, Mac};
-use juniperdock_membership::{Event, Fellows, Host, Keys, LONGEST, Refused, Times};
+use juniperdock_membership::{Event, Host, Keys, LONGEST, Membership, Refused, Timing};
 use std::time::Duration;
 
 #[derive(Default)]
@@ -32,9 +32,9 @@
 
 #[test]
 fn whoever_cries_wolf_makes_no_memory_grow() {
-    let keys = Keys::read(&["aa".repeat(32)]).expect("a good key");
-    let times = Times { every: Duration::from_millis(100), suspicion: 3 };
-    let mut one = Fellows::new(1, TIER, 1000, 3, 2, times, keys);
+    let keys = Keys::parse(&["aa".repeat(32)]).expect("a good key");
+    let times = Timing { every: Duration::from_millis(100), suspicion: 3 };
+    let mut one = Membership::new(1, TIER, 1000, 3, 2, times, keys);
     let (mut out, mut number, mut most) = (Out::default(), 0, [0; 3]);
     for round in 0..3000u16 {
         let now = Duration::from_millis(20) * u32::from(round);
@@ -44,8 +44,8 @@
         let member = postcard::to_allocvec(&member).expect("written");
         number += 1;
         let told = from_0(3, number, &[&said[..], &[0, 1], &member].concat());
-        assert_eq!(one.heard(now, 0, &told, &mut out), Ok(()), "round {round}");
-        one.due(now, &mut out);
+        assert_eq!(one.handle_datagram(now, 0, &told, &mut out), Ok(()), "round {round}");
+        one.handle_timeout(now, &mut out);
         let third = &mut most[usize::from(round / 1000)];
         *third = one.timers().max(*third);
     }
@@ -56,9 +56,9 @@
 /// The input holds some datagrams, each behind its length: the first as it came, the others under a good head of
 /// a kind, from front 0 to front 1, and sealed with the right key.
 fn play(input: &[u8]) {
-    let keys = Keys::read(&["aa".repeat(32)]).expect("a good key");
-    let times = Times { every: Duration::from_millis(100), suspicion: 3 };
-    let mut one = Fellows::new(1, TIER, 1000, 3, 2, times, keys);
+    let keys = Keys::parse(&["aa".repeat(32)]).expect("a good key");
+    let times = Timing { every: Duration::from_millis(100), suspicion: 3 };
+    let mut one = Membership::new(1, TIER, 1000, 3, 2, times, keys);
     let (mut out, mut rest, mut now) = (Out::default(), input, Duration::ZERO);
     for number in 1..=32u64 {
         let Some((&length, left)) = rest.split_first() else { break };
@@ -66,19 +66,19 @@
         rest = left;
         now += Duration::from_millis(7);
         if number == 1 {
-            let taken = one.heard(now, 0, bytes, &mut out);
+            let taken = one.handle_datagram(now, 0, bytes, &mut out);
             assert!(taken.is_err(), "without a code nothing is taken: {taken:?}");
         }
         let (kind, body) = bytes.split_first().map_or((0, &[][..]), |(kind, body)| (kind % 8, body));
         let told = from_0(kind, number, &body[..body.len().min(200)]);
-        let taken = one.heard(now, 0, &told, &mut out);
+        let taken = one.handle_datagram(now, 0, &told, &mut out);
         assert!(!matches!(taken, Err(Refused::Forged | Refused::Version | Refused::Elsewhere)), "{taken:?}");
-        one.due(now, &mut out);
+        one.handle_timeout(now, &mut out);
         assert!(one.present().iter().all(|&place| place < TIER));
-        assert!(one.fellows().len() == TIER);
+        assert!(one.peers().len() == TIER);
     }
     now += Duration::from_secs(3);
-    one.due(now, &mut out);
+    one.handle_timeout(now, &mut out);
     assert!(out.0.iter().all(|&(to, length)| to < TIER && to != 1 && length <= LONGEST));
 }
 
--- a/crates/membership/tests/stories.rs
+++ b/crates/membership/tests/stories.rs
@@ -1,7 +1,7 @@
 //! Short stories of two or a few fronts, each with a guard that it fails without.
 
 use juniperdock_membership::{
-    Event, Fellows, Host, Keys, LONGEST, Liveness, Refused, Standing, Times, life_at,
+    Connectivity, Event, Host, Keys, LONGEST, Liveness, Membership, Refused, Timing, incarnation_at,
 };
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 }
 
 fn keys(digits: &str) -> Keys {
-    Keys::read(&digits.chars().map(key).collect::<Vec<_>>()).expect("good keys")
+    Keys::parse(&digits.chars().map(key).collect::<Vec<_>>()).expect("good keys")
 }
 
 #[derive(Default)]
@@ -32,14 +32,14 @@
     }
 }
 
-fn front(me: usize, tier: usize, life: u32, version: u8) -> Fellows {
-    Fellows::new(me, tier, life, 7 + me as u64, version, Times { every: EVERY, suspicion: 3 }, keys("a"))
+fn front(me: usize, tier: usize, life: u32, version: u8) -> Membership {
+    Membership::new(me, tier, life, 7 + me as u64, version, Timing { every: EVERY, suspicion: 3 }, keys("a"))
 }
 
 /// A few fronts in one place: whatever one sends comes at once, unless the story cuts it off.
 struct Town {
     now: Duration,
-    fronts: Vec<Fellows>,
+    fronts: Vec<Membership>,
     events: Vec<Vec<Event>>,
     /// Ways on which nothing comes.
     cut: Vec<(usize, usize)>,
@@ -72,9 +72,9 @@
             self.now += ms(5);
             let mut posted = VecDeque::new();
             for i in 0..self.fronts.len() {
-                if !self.still.contains(&i) && self.fronts[i].next() <= self.now {
+                if !self.still.contains(&i) && self.fronts[i].next_timeout() <= self.now {
                     let mut out = Out::default();
-                    self.fronts[i].due(self.now, &mut out);
+                    self.fronts[i].handle_timeout(self.now, &mut out);
                     self.events[i].extend(out.1);
                     posted.extend(out.0.into_iter().map(|(to, bytes)| (i, to, bytes)));
                 }
@@ -86,7 +86,7 @@
                     continue;
                 }
                 let mut out = Out::default();
-                let _ = self.fronts[to].heard(self.now, from, &bytes, &mut out);
+                let _ = self.fronts[to].handle_datagram(self.now, from, &bytes, &mut out);
                 self.events[to].extend(out.1);
                 posted.extend(out.0.into_iter().map(|(next, bytes)| (to, next, bytes)));
             }
@@ -103,12 +103,12 @@
         }
     }
 
-    fn stands(&self, i: usize) -> Standing {
-        self.fronts[i].standing().0
+    fn stands(&self, i: usize) -> Connectivity {
+        self.fronts[i].connectivity().0
     }
 
     fn sees(&self, i: usize, other: usize) -> Liveness {
-        self.fronts[i].fellows()[other].liveness
+        self.fronts[i].peers()[other].liveness
     }
 }
 
@@ -116,11 +116,14 @@
 fn all_find_each_other_and_one_that_ends_is_found_missing() {
     let mut town = Town::of(5);
     town.pass(ms(3000));
-    assert!((0..5).all(|i| town.stands(i) == Standing::Whole && town.fronts[i].present() == [0, 1, 2, 3, 4]));
+    assert!(
+        (0..5)
+            .all(|i| town.stands(i) == Connectivity::Majority && town.fronts[i].present() == [0, 1, 2, 3, 4])
+    );
     town.still.push(3);
     town.pass(ms(8000));
     for i in [0, 1, 2, 4] {
-        assert_eq!((town.sees(i, 3), town.stands(i)), (Liveness::Dead, Standing::Whole), "front {i}");
+        assert_eq!((town.sees(i, 3), town.stands(i)), (Liveness::Dead, Connectivity::Majority), "front {i}");
         assert!(town.events[i].contains(&Event::Down(3)));
     }
 }
@@ -131,13 +134,13 @@
     town.pass(ms(3000));
     town.cut_off(&[0, 1]);
     town.pass(ms(8000));
-    assert_eq!((town.stands(0), town.stands(1)), (Standing::Part, Standing::Part));
-    assert!((2..5).all(|i| town.stands(i) == Standing::Whole && town.sees(i, 0) == Liveness::Dead));
+    assert_eq!((town.stands(0), town.stands(1)), (Connectivity::Minority, Connectivity::Minority));
+    assert!((2..5).all(|i| town.stands(i) == Connectivity::Majority && town.sees(i, 0) == Liveness::Dead));
     // Whoever is itself cut off has no ground to call others dead, nor a wrong word to spread later.
     assert!((2..5).all(|i| town.sees(0, i) == Liveness::Suspect));
     town.cut.clear();
     town.pass(ms(5000));
-    assert!((0..5).all(|i| town.stands(i) == Standing::Whole && town.fronts[i].present().len() == 5));
+    assert!((0..5).all(|i| town.stands(i) == Connectivity::Majority && town.fronts[i].present().len() == 5));
     let wrong = (2..5).flat_map(|i| &town.events[i]).any(|e| matches!(e, Event::Down(2..)));
     assert!(!wrong, "nobody of the majority was taken for dead");
 }
@@ -148,12 +151,12 @@
     town.pass(ms(3000));
     town.cut_off(&[0]);
     town.pass(ms(6000));
-    assert_eq!(town.stands(0), Standing::Alone);
+    assert_eq!(town.stands(0), Connectivity::Isolated);
     town.cut.clear();
     town.pass(ms(5000));
     town.cut_off(&[0, 1]);
     town.pass(ms(8000));
-    assert!((0..4).all(|i| town.stands(i) == Standing::Part), "two of four");
+    assert!((0..4).all(|i| town.stands(i) == Connectivity::Minority), "two of four");
 }
 
 #[test]
@@ -161,7 +164,7 @@
     let mut town = Town::of(5);
     town.cut = vec![(0, 1)];
     town.pass(ms(20_000));
-    assert!((0..5).all(|i| town.fronts[i].present().len() == 5 && town.stands(i) == Standing::Whole));
+    assert!((0..5).all(|i| town.fronts[i].present().len() == 5 && town.stands(i) == Connectivity::Majority));
     let down = town.events.iter().flatten().any(|e| matches!(e, Event::Down(_)));
     assert!(!down, "others ask for them");
 }
@@ -175,13 +178,13 @@
     town.still.clear();
     // It runs again; not a single answer has come yet.
     let mut out = Out::default();
-    town.fronts[0].due(town.now, &mut out);
-    assert_eq!(town.stands(0), Standing::Alone, "the old view is no view");
+    town.fronts[0].handle_timeout(town.now, &mut out);
+    assert_eq!(town.stands(0), Connectivity::Isolated, "the old view is no view");
     assert!(out.1.iter().any(|e| matches!(e, Event::Stood(span) if *span > ms(9000))));
     assert!(!out.1.iter().any(|e| matches!(e, Event::Down(_))), "its own silence is held against nobody");
     assert!(!out.0.is_empty(), "it asks at once");
     town.pass(ms(5000));
-    assert!((0..5).all(|i| town.stands(i) == Standing::Whole && town.fronts[i].present().len() == 5));
+    assert!((0..5).all(|i| town.stands(i) == Connectivity::Majority && town.fronts[i].present().len() == 5));
     assert!(!(1..5).any(|i| town.events[0].contains(&Event::Down(i))));
 }
 
@@ -192,13 +195,13 @@
     let old: Vec<_> = town.sent.iter().filter(|(from, ..)| *from == 0).cloned().collect();
     town.fronts[0] = front(0, 3, 2000, 2);
     town.pass(ms(4000));
-    assert_eq!(town.fronts[1].fellows()[0].incarnation, 2000);
+    assert_eq!(town.fronts[1].peers()[0].incarnation, 2000);
     // Datagrams of the earlier life that were under way.
     for (_, to, bytes) in old {
-        let taken = town.fronts[to].heard(town.now, 0, &bytes, &mut Out::default());
+        let taken = town.fronts[to].handle_datagram(town.now, 0, &bytes, &mut Out::default());
         assert!(matches!(taken, Err(Refused::Outlived | Refused::Elsewhere)), "{taken:?}");
     }
-    assert_eq!(town.fronts[1].fellows()[0].incarnation, 2000);
+    assert_eq!(town.fronts[1].peers()[0].incarnation, 2000);
 }
 
 #[test]
@@ -208,8 +211,8 @@
     let now = town.now;
     town.fronts[0] = front(0, 3, 500, 2);
     town.pass(ms(6000));
-    assert!((0..3).all(|i| town.stands(i) == Standing::Whole), "at {now:?}");
-    assert!(town.fronts[1].fellows()[0].incarnation > 1000, "a life above the one that they remember");
+    assert!((0..3).all(|i| town.stands(i) == Connectivity::Majority), "at {now:?}");
+    assert!(town.fronts[1].peers()[0].incarnation > 1000, "a life above the one that they remember");
 }
 
 /// Hours ahead or behind, at 1970, or in the last years that lives can count: it is there all the same, for all.
@@ -217,21 +220,21 @@
 fn a_clock_that_is_far_off_keeps_nobody_out() {
     const NOW: u32 = 500_000_000;
     const HOUR: u32 = 3600 * 1000 / 64;
-    for off in [NOW - HOUR, NOW + HOUR, NOW - 24 * HOUR, NOW + 24 * HOUR, 1, life_at(Duration::MAX)] {
+    for off in [NOW - HOUR, NOW + HOUR, NOW - 24 * HOUR, NOW + 24 * HOUR, 1, incarnation_at(Duration::MAX)] {
         let mut town = Town::of(3);
         town.fronts = (0..3).map(|i| front(i, 3, NOW, 2)).collect();
         town.pass(ms(3000));
         town.fronts[0] = front(0, 3, off, 2);
         town.pass(ms(6000));
-        assert!((0..3).all(|i| town.stands(i) == Standing::Whole), "life {off}");
+        assert!((0..3).all(|i| town.stands(i) == Connectivity::Majority), "life {off}");
         assert!((0..3).all(|i| town.fronts[i].present() == [0, 1, 2]), "life {off}");
-        assert!(town.fronts[1].fellows()[0].incarnation > NOW, "life {off}");
+        assert!(town.fronts[1].peers()[0].incarnation > NOW, "life {off}");
         // Set right again, it starts anew: whatever it was in before is remembered.
         let before = town.fronts[0].incarnation();
         town.fronts[0] = front(0, 3, NOW + 100, 2);
         town.pass(ms(6000));
-        assert!((0..3).all(|i| town.stands(i) == Standing::Whole), "after life {off}");
-        assert!(town.fronts[1].fellows()[0].incarnation > before, "after life {off}");
+        assert!((0..3).all(|i| town.stands(i) == Connectivity::Majority), "after life {off}");
+        assert!(town.fronts[1].peers()[0].incarnation > before, "after life {off}");
     }
 }
 
@@ -245,13 +248,13 @@
     town.cut_off(&[2]);
     town.fronts[0] = front(0, 3, 500, 2);
     town.pass(ms(60_000));
-    assert!(town.fronts[1].fellows()[0].incarnation > 1000);
+    assert!(town.fronts[1].peers()[0].incarnation > 1000);
     // The second hears front 2 alone.
     town.cut.clear();
     town.cut_off(&[1]);
     town.fronts[0] = front(0, 3, 400, 2);
     town.pass(ms(4000));
-    assert!(town.fronts[2].fellows()[0].incarnation > 1000);
+    assert!(town.fronts[2].peers()[0].incarnation > 1000);
     town.cut.clear();
     town.pass(ms(6000));
     let replayed = town.fronts[1].refused[Refused::Replayed as usize];
@@ -265,7 +268,10 @@
     let lives = [1, 500_000_000, 499_943_750, 500_056_250, 2_000_000_000];
     town.fronts = lives.iter().enumerate().map(|(i, &life)| front(i, 5, life, 2)).collect();
     town.pass(ms(6000));
-    assert!((0..5).all(|i| town.stands(i) == Standing::Whole && town.fronts[i].present() == [0, 1, 2, 3, 4]));
+    assert!(
+        (0..5)
+            .all(|i| town.stands(i) == Connectivity::Majority && town.fronts[i].present() == [0, 1, 2, 3, 4])
+    );
 }
 
 /// A datagram that front 1 of 3 has just taken from front 0, and the two.
@@ -281,7 +287,7 @@
     let (mut town, bytes) = taken();
     let now = town.now;
     let hear = |town: &mut Town, at: usize, from: usize, bytes: &[u8]| {
-        town.fronts[at].heard(now, from, bytes, &mut Out::default())
+        town.fronts[at].handle_datagram(now, from, bytes, &mut Out::default())
     };
     assert_eq!(hear(&mut town, 1, 0, &bytes), Err(Refused::Replayed));
     assert_eq!(hear(&mut town, 2, 0, &bytes), Err(Refused::Elsewhere));
@@ -298,15 +304,15 @@
     let long = [&bytes[..], &[0; 300]].concat();
     assert_eq!(hear(&mut town, 1, 0, &long), Err(Refused::Malformed));
     // Another tier's fronts, a life of the far future, and one without the key.
-    let from = |mut stranger: Fellows| {
+    let from = |mut stranger: Membership| {
         let mut out = Out::default();
-        stranger.due(ms(400), &mut out);
+        stranger.handle_timeout(ms(400), &mut out);
         out.0.into_iter().find(|(to, _)| *to == 1).map(|(_, bytes)| bytes)
     };
     let of = |tier, life, digits| {
         (0..50).find_map(|seed| {
-            let times = Times { every: EVERY, suspicion: 3 };
-            from(Fellows::new(0, tier, life, seed, 2, times, keys(digits)))
+            let times = Timing { every: EVERY, suspicion: 3 };
+            from(Membership::new(0, tier, life, seed, 2, times, keys(digits)))
         })
     };
     let hello = |tier, life, digits| of(tier, life, digits).expect("a hello to front 1");
@@ -325,20 +331,24 @@
     {
         town.fronts[i].rekey(keys(digits));
         town.pass(ms(1500));
-        assert!((0..3).all(|i| town.stands(i) == Standing::Whole), "{digits} at front {i}");
+        assert!((0..3).all(|i| town.stands(i) == Connectivity::Majority), "{digits} at front {i}");
     }
     let forged = |town: &Town| town.fronts.iter().map(|f| f.refused[Refused::Forged as usize]).sum::<u64>();
     assert_eq!(forged(&town), 0);
     // One that was left behind with the old key alone is alone.
     town.fronts[2].rekey(keys("a"));
     town.pass(ms(8000));
-    assert!(forged(&town) > 0 && town.stands(2) == Standing::Alone && town.stands(0) == Standing::Whole);
+    assert!(
+        forged(&town) > 0
+            && town.stands(2) == Connectivity::Isolated
+            && town.stands(0) == Connectivity::Majority
+    );
     for (wrong, says) in [("", "one key or two"), ("abc", "one key or two")] {
         let texts: Vec<String> = wrong.chars().map(key).collect();
-        assert!(Keys::read(&texts).is_err_and(|why| why.contains(says)));
+        assert!(Keys::parse(&texts).is_err_and(|why| why.contains(says)));
     }
     for (wrong, says) in [("abc".to_owned(), "found 3 characters"), (key('x'), "others at place 0")] {
-        assert!(Keys::read(&[wrong]).is_err_and(|why| why.contains(says)));
+        assert!(Keys::parse(&[wrong]).is_err_and(|why| why.contains(says)));
     }
 }
 
@@ -346,15 +356,15 @@
 fn neighbouring_versions_understand_each_other_and_others_are_refused() {
     let mut town = Town::speaking(&[1, 2, 1]);
     town.pass(ms(4000));
-    assert!((0..3).all(|i| town.stands(i) == Standing::Whole));
-    assert_eq!(town.fronts[1].fellows()[0].says, None, "version 1 says nothing of itself");
+    assert!((0..3).all(|i| town.stands(i) == Connectivity::Majority));
+    assert_eq!(town.fronts[1].peers()[0].says, None, "version 1 says nothing of itself");
     let mut town = Town::speaking(&[2, 3, 2]);
     town.pass(ms(4000));
-    assert!((0..3).all(|i| town.stands(i) == Standing::Whole));
-    assert_eq!(town.fronts[0].fellows()[2].says, Some(Standing::Whole));
+    assert!((0..3).all(|i| town.stands(i) == Connectivity::Majority));
+    assert_eq!(town.fronts[0].peers()[2].says, Some(Connectivity::Majority));
     let mut town = Town::speaking(&[1, 1, 3]);
     town.pass(ms(6000));
-    assert_eq!((town.stands(0), town.stands(2)), (Standing::Whole, Standing::Alone));
+    assert_eq!((town.stands(0), town.stands(2)), (Connectivity::Majority, Connectivity::Isolated));
     assert!(town.fronts[0].refused[Refused::Version as usize] > 0);
 }
 
@@ -365,7 +375,7 @@
     let mut out = Out::default();
     town.fronts[0].leave(town.now, &mut out);
     for (to, bytes) in out.0 {
-        let _ = town.fronts[to].heard(town.now, 0, &bytes, &mut Out::default());
+        let _ = town.fronts[to].handle_datagram(town.now, 0, &bytes, &mut Out::default());
     }
     town.pass(ms(600));
     assert_eq!((town.sees(1, 0), town.sees(2, 0)), (Liveness::Dead, Liveness::Dead));
@@ -377,14 +387,14 @@
 #[test]
 fn a_flood_with_the_right_key_is_bounded() {
     let (mut town, _) = taken();
-    let mut liar = Fellows::new(0, 3, 4000, 5, 2, Times { every: EVERY, suspicion: 3 }, keys("a"));
+    let mut liar = Membership::new(0, 3, 4000, 5, 2, Timing { every: EVERY, suspicion: 3 }, keys("a"));
     let (mut taken, mut refused) = (0, 0);
     for step in 0..20_000u64 {
         // It lets time fly, to have much to say.
         let mut out = Out::default();
-        liar.due(EVERY * step as u32, &mut out);
+        liar.handle_timeout(EVERY * step as u32, &mut out);
         for (_, bytes) in out.0.into_iter().filter(|(to, _)| *to == 1) {
-            match town.fronts[1].heard(town.now, 0, &bytes, &mut Out::default()) {
+            match town.fronts[1].handle_datagram(town.now, 0, &bytes, &mut Out::default()) {
                 Ok(()) => taken += 1,
                 Err(Refused::TooMany) => refused += 1,
                 Err(_) => {}
--- a/crates/pipeline/src/arrivals.rs
+++ b/crates/pipeline/src/arrivals.rs
@@ -37,13 +37,13 @@
     }
 
     /// When the last of so many bytes at the head of the buffer arrived, if that is known.
-    pub fn of_next(&self, bytes: usize) -> Option<Duration> {
+    pub fn arrival_of_next(&self, bytes: usize) -> Option<Duration> {
         let end = self.taken + bytes as u64;
         self.arrivals.iter().find(|arrival| arrival.up_to >= end).map(|arrival| arrival.at)
     }
 
     /// So many bytes at the head have left the buffer.
-    pub fn take(&mut self, bytes: usize) {
+    pub fn consume(&mut self, bytes: usize) {
         self.taken += bytes as u64;
         while self.arrivals.front().is_some_and(|arrival| arrival.up_to <= self.taken) {
             self.arrivals.pop_front();
--- a/crates/pipeline/src/lib.rs
+++ b/crates/pipeline/src/lib.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Requests that have begun; others wait for their end.
-    pub begun: usize,
+    pub started: usize,
     /// Bytes of requests that are not answered, each counted with what is kept of it beside its statement. What comes
     /// beyond that is refused.
     pub request_bytes: usize,
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Overdue {
     /// It has begun: it may have run.
-    Begun(u64),
+    Started(u64),
     /// It never began.
     Waiting(u64),
 }
@@ -126,7 +126,7 @@
     }
 
     /// Ids of all unanswered requests that have begun.
-    pub fn begun(&self) -> impl Iterator<Item = u64> {
+    pub fn started(&self) -> impl Iterator<Item = u64> {
         self.entries.iter().filter_map(|entry| match entry {
             Entry::Begun(request) => Some(request.id),
             _ => None,
@@ -179,7 +179,7 @@
 
     fn may_start(&self, at: usize) -> bool {
         let Entry::Waiting { request, .. } = &self.entries[at] else { return false };
-        let room = self.begun < self.limits.begun && self.answer_bytes < self.limits.answer_bytes;
+        let room = self.begun < self.limits.started && self.answer_bytes < self.limits.answer_bytes;
         if at > 0 && !room {
             return false;
         }
@@ -231,7 +231,7 @@
     /// own answer may come.
     pub fn overdue(&self, now: Duration, grace: Duration) -> Option<Overdue> {
         self.entries.iter().find_map(|entry| match entry {
-            Entry::Begun(request) if request.deadline + grace <= now => Some(Overdue::Begun(request.id)),
+            Entry::Begun(request) if request.deadline + grace <= now => Some(Overdue::Started(request.id)),
             Entry::Waiting { request, .. } if request.deadline <= now => Some(Overdue::Waiting(request.id)),
             _ => None,
         })
--- a/crates/pipeline/tests/pipeline.rs
+++ b/crates/pipeline/tests/pipeline.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use std::time::Duration;
 
-const LIMITS: Limits = Limits { begun: 4, request_bytes: 100, answer_bytes: 50 };
+const LIMITS: Limits = Limits { started: 4, request_bytes: 100, answer_bytes: 50 };
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -112,8 +112,8 @@
     assert_eq!(pipeline.overdue(ms(50), ms(10)), Some(Overdue::Waiting(2)));
     assert!(pipeline.answer(ms(50), 2, vec![]));
     assert_eq!((pipeline.next_due(ms(10)), pipeline.overdue(ms(109), ms(10))), (Some(ms(110)), None));
-    assert_eq!(pipeline.overdue(ms(110), ms(10)), Some(Overdue::Begun(1)));
-    assert_eq!(pipeline.begun().collect::<Vec<_>>(), [1, 3]);
+    assert_eq!(pipeline.overdue(ms(110), ms(10)), Some(Overdue::Started(1)));
+    assert_eq!(pipeline.started().collect::<Vec<_>>(), [1, 3]);
 }
 
 #[test]
@@ -122,16 +122,16 @@
     times.received(10, ms(1));
     times.received(0, ms(2));
     times.received(10, ms(3));
-    assert_eq!(times.of_next(5), Some(ms(1)));
-    times.take(5);
-    assert_eq!(times.of_next(10), Some(ms(3)), "it was whole then");
-    times.take(10);
-    assert_eq!(times.of_next(5), Some(ms(3)));
-    times.take(5);
-    assert_eq!(times.of_next(1), None, "it has not arrived");
+    assert_eq!(times.arrival_of_next(5), Some(ms(1)));
+    times.consume(5);
+    assert_eq!(times.arrival_of_next(10), Some(ms(3)), "it was whole then");
+    times.consume(10);
+    assert_eq!(times.arrival_of_next(5), Some(ms(3)));
+    times.consume(5);
+    assert_eq!(times.arrival_of_next(1), None, "it has not arrived");
     let mut times = ArrivalTimes::default();
     (0..1000).for_each(|at| times.received(1, ms(at)));
-    assert_eq!(times.of_next(1000), Some(ms(63)), "too early rather than too late");
+    assert_eq!(times.arrival_of_next(1000), Some(ms(63)), "too early rather than too late");
 }
 
 #[derive(Clone, Debug)]
@@ -184,7 +184,7 @@
                     prop_assert!(!begun.contains(&start.payload));
                     begun.push(start.payload);
                     let out = unanswered.iter().filter(|request| begun.contains(&request.id)).count();
-                    prop_assert!(out <= LIMITS.begun.max(1));
+                    prop_assert!(out <= LIMITS.started.max(1));
                     let own = unanswered.iter().find(|request| request.id == start.payload).expect("in hand");
                     let blocked = |before: &Request| before.id < own.id && before.writes && before.session == own.session;
                     prop_assert!(!unanswered.iter().any(blocked));
--- a/crates/primary-tracker/benches/events.rs
+++ b/crates/primary-tracker/benches/events.rs
@@ -1,22 +1,22 @@
 //! What an event costs beside the number of groups that there are, and what the records take.
 
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
-use juniperdock_primary_tracker::{Claim, Role, Tenure};
+use juniperdock_primary_tracker::{Claim, PrimaryTracker, Role};
 use std::hint::black_box;
 use std::time::Duration;
 
 const MEMBERS: usize = 3;
 
-fn tenure(groups: usize) -> Tenure {
-    let mut tenure = Tenure::default();
+fn tenure(groups: usize) -> PrimaryTracker {
+    let mut tenure = PrimaryTracker::default();
     for group in 0..groups {
         for member in 0..MEMBERS {
             let now = Duration::from_micros((group * MEMBERS + member) as u64);
-            tenure.seat(group * MEMBERS + member, group);
+            tenure.add_member(group * MEMBERS + member, group);
             let role = if member == 0 { Role::Primary } else { Role::Replica };
-            tenure.heard(now, group * MEMBERS + member, Some(Claim::at(role, now)), false);
+            tenure.observe(now, group * MEMBERS + member, Some(Claim::at(role, now)), false);
         }
-        tenure.settle(Duration::from_secs(1), group, 0);
+        tenure.apply_rules(Duration::from_secs(1), group, 0);
     }
     tenure.take_changes();
     tenure
@@ -33,8 +33,8 @@
                 step += 1;
                 let group = (step as usize).wrapping_mul(7919) % groups;
                 let now = Duration::from_secs(2) + Duration::from_micros(step);
-                tenure.heard(now, group * MEMBERS, Some(Claim::at(Role::Primary, now)), false);
-                tenure.settle(now, group, 0);
+                tenure.observe(now, group * MEMBERS, Some(Claim::at(Role::Primary, now)), false);
+                tenure.apply_rules(now, group, 0);
                 black_box(tenure.writer(group))
             });
         });
@@ -50,14 +50,24 @@
                 |(group, now)| {
                     let us = Duration::from_micros;
                     let first = group * MEMBERS;
-                    tenure.doubt(now, first);
-                    tenure.settle(now, group, 0);
-                    tenure.heard(now + us(2), first + 1, Some(Claim::at(Role::Primary, now + us(2))), false);
-                    tenure.settle(now + us(2), group, 0);
-                    tenure.heard(now + us(3), first + 1, Some(Claim::at(Role::Replica, now + us(3))), false);
-                    tenure.heard(now + us(4), first, Some(Claim::at(Role::Replica, now + us(4))), false);
-                    tenure.heard(now + us(5), first, Some(Claim::at(Role::Primary, now + us(5))), false);
-                    tenure.settle(now + us(5), group, 0);
+                    tenure.invalidate_claims(now, first);
+                    tenure.apply_rules(now, group, 0);
+                    tenure.observe(
+                        now + us(2),
+                        first + 1,
+                        Some(Claim::at(Role::Primary, now + us(2))),
+                        false,
+                    );
+                    tenure.apply_rules(now + us(2), group, 0);
+                    tenure.observe(
+                        now + us(3),
+                        first + 1,
+                        Some(Claim::at(Role::Replica, now + us(3))),
+                        false,
+                    );
+                    tenure.observe(now + us(4), first, Some(Claim::at(Role::Replica, now + us(4))), false);
+                    tenure.observe(now + us(5), first, Some(Claim::at(Role::Primary, now + us(5))), false);
+                    tenure.apply_rules(now + us(5), group, 0);
                     black_box(tenure.take_changes().len())
                 },
                 BatchSize::SmallInput,
--- a/crates/primary-tracker/src/vacancy.rs
+++ b/crates/primary-tracker/src/leaderless.rs
@@ -14,17 +14,17 @@
 /// Counts of vacancies by their length, the newer ones weighing more. 24 bytes; a length is known within 42%.
 ///
 /// ```
-/// use juniperdock_primary_tracker::Vacancies;
+/// use juniperdock_primary_tracker::LeaderlessDurations;
 /// use std::time::Duration;
 ///
-/// let mut of_late = Vacancies::default();
+/// let mut of_late = LeaderlessDurations::default();
 /// assert_eq!(of_late.left(Duration::ZERO), None);
 /// (0..5).for_each(|_| of_late.add(Duration::from_millis(900)));
 /// let left = of_late.left(Duration::from_millis(500)).unwrap();
 /// assert!(left >= Duration::from_millis(300) && left <= Duration::from_millis(600), "{left:?}");
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Vacancies {
+pub struct LeaderlessDurations {
     cells: [u8; CELLS],
 }
 
@@ -39,7 +39,7 @@
     SHORTEST.mul_f64(2f64.powf((cell + 1) as f64 / 2.0))
 }
 
-impl Vacancies {
+impl LeaderlessDurations {
     pub fn add(&mut self, span: Duration) {
         let at = cell(span);
         if self.cells[at] > u8::MAX - WEIGHT {
@@ -49,12 +49,14 @@
     }
 
     /// The sketch as bytes, and back; too few or too many are none.
-    pub fn bytes(&self) -> &[u8] {
+    pub fn as_bytes(&self) -> &[u8] {
         &self.cells
     }
 
-    pub fn of(bytes: &[u8]) -> Vacancies {
-        bytes.try_into().map_or_else(|_| Vacancies::default(), |cells| Vacancies { cells })
+    pub fn from_bytes(bytes: &[u8]) -> LeaderlessDurations {
+        bytes
+            .try_into()
+            .map_or_else(|_| LeaderlessDurations::default(), |cells| LeaderlessDurations { cells })
     }
 
     /// Vacancies counted, the faded ones in part.
--- a/crates/primary-tracker/src/record.rs
+++ b/crates/primary-tracker/src/record.rs
@@ -1,9 +1,9 @@
 //! The record of each group, and the ordered rules that keep it.
 
+use crate::leaderless::LeaderlessDurations;
 use crate::plan::{Plan, Reason, Sight, Step};
 use crate::stamp::Stamp;
-use crate::vacancy::Vacancies;
-use crate::{FENCE, GAP};
+use crate::{FENCE, MAX_SAFE_SILENCE};
 use smallvec::SmallVec;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,16 +21,16 @@
 pub struct Claim {
     pub role: Role,
     /// When it was made, as far as can be told. Among claims that stand the newest counts.
-    pub date: Duration,
+    pub made_at: Duration,
     /// The earliest time at which it can have been made: a position that was reached, or when it was asked
     /// for.
-    pub proof: Duration,
+    pub not_before: Duration,
 }
 
 impl Claim {
     /// A claim whose time is known.
     pub fn at(role: Role, time: Duration) -> Claim {
-        Claim { role, date: time, proof: time }
+        Claim { role, made_at: time, not_before: time }
     }
 }
 
@@ -67,7 +67,7 @@
 
 /// What made the holder change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Why {
+pub enum ChangeReason {
     /// It said itself that it is a replica.
     SaidReplica,
     /// Submissions to it failed.
@@ -89,9 +89,9 @@
     pub term: u32,
     pub from: Option<usize>,
     pub to: Option<usize>,
-    pub why: Why,
+    pub why: ChangeReason,
     /// How long the slot was empty before.
-    pub vacant_for: Option<Duration>,
+    pub leaderless_for: Option<Duration>,
     /// The planned change that began or ended then.
     pub plan: Option<Plan>,
 }
@@ -113,7 +113,7 @@
     pub doubted: Stamp,
     /// Something spoke against it then; claims up to here prove nothing to readers.
     pub shaken: Stamp,
-    /// When it was heard from last, and when its last silence of `GAP` or more ended.
+    /// When it was heard from last, and when its last silence of `MAX_SAFE_SILENCE` or more ended.
     pub heard: Stamp,
     pub gap: Stamp,
     /// Date of its newest claim while it held the slot.
@@ -156,7 +156,7 @@
     pub emptied: Stamp,
     /// That it is empty was taken up from another process.
     pub restored: bool,
-    pub vacancies: Vacancies,
+    pub vacancies: LeaderlessDurations,
 }
 
 impl Default for Record {
@@ -173,7 +173,7 @@
             began: Stamp::NEVER,
             emptied: Stamp::NEVER,
             restored: false,
-            vacancies: Vacancies::default(),
+            vacancies: LeaderlessDurations::default(),
         }
     }
 }
@@ -181,21 +181,21 @@
 /// Who holds each group's slot. Members and groups are small indices; no call costs more where there are more
 /// groups.
 #[derive(Clone, Debug, Default, Hash, PartialEq, Eq)]
-pub struct Tenure {
+pub struct PrimaryTracker {
     pub(crate) seats: Vec<Seat>,
     pub(crate) records: Vec<Record>,
     plans: BTreeMap<usize, Plan>,
     /// Vacancies of all groups.
-    vacancies: Vacancies,
+    vacancies: LeaderlessDurations,
     /// Changes that nobody has asked for yet.
     changes: Vec<Change>,
     /// Groups in each phase.
     phases: [usize; Phase::ALL.len()],
 }
 
-impl Tenure {
+impl PrimaryTracker {
     /// Gives a member its seat in a group; one that has a seat keeps it.
-    pub fn seat(&mut self, member: usize, group: usize) {
+    pub fn add_member(&mut self, member: usize, group: usize) {
         if self.seats.len() <= member {
             self.seats.resize_with(member + 1, Seat::default);
         }
@@ -210,12 +210,12 @@
     }
 
     /// Takes the member's seat away; who gets its index later is another.
-    pub fn unseat(&mut self, now: Duration, member: usize) {
+    pub fn remove_member(&mut self, now: Duration, member: usize) {
         let Some(group) = self.group(member) else { return };
         let record = &mut self.records[group];
         record.members.retain(|m| *m as usize != member);
         if record.holder as usize == member {
-            self.vacate(now, group, Why::Listed);
+            self.vacate(now, group, ChangeReason::Listed);
         }
         let record = &mut self.records[group];
         if record.last as usize == member {
@@ -231,7 +231,7 @@
     }
 
     /// Whether new work may go to a member at all, and whether it drains.
-    pub fn bar(&mut self, now: Duration, member: usize, barred: bool, drains: bool) {
+    pub fn set_availability(&mut self, now: Duration, member: usize, barred: bool, drains: bool) {
         let Some(group) = self.group(member) else { return };
         let seat = &mut self.seats[member];
         let begins = drains && !std::mem::replace(&mut seat.drains, drains);
@@ -248,36 +248,37 @@
 
     /// Notes that a plan has begun or ended.
     fn tell(&mut self, plan: Plan) {
-        let (group, holder) = (plan.group, self.holder(plan.group));
-        let (term, why, plan) = (self.records[group].term, Why::Planned, Some(plan));
-        self.changes.push(Change { group, term, from: holder, to: holder, why, vacant_for: None, plan });
+        let (group, holder) = (plan.group, self.primary(plan.group));
+        let (term, why, plan) = (self.records[group].term, ChangeReason::Planned, Some(plan));
+        self.changes.push(Change { group, term, from: holder, to: holder, why, leaderless_for: None, plan });
     }
 
     /// Something was heard from a member; `answered`: it was an answer to a submission.
-    pub fn heard(&mut self, now: Duration, member: usize, claim: Option<Claim>, answered: bool) {
+    pub fn observe(&mut self, now: Duration, member: usize, claim: Option<Claim>, answered: bool) {
         let Some(group) = self.group(member) else { return };
         let seat = &mut self.seats[member];
-        if Stamp::at(now) >= seat.heard.plus(GAP) {
+        if Stamp::at(now) >= seat.heard.plus(MAX_SAFE_SILENCE) {
             seat.gap = Stamp::at(now);
         }
         seat.heard = seat.heard.max(Stamp::at(now));
         // No claim can be made in the future: clocks are a little apart.
-        let Some(Claim { role, date, proof }) = claim else { return };
-        let (date, proof) = (Stamp::at(date.min(now)), Stamp::at(proof.min(date).min(now)));
+        let Some(Claim { role, made_at, not_before }) = claim else { return };
+        let (made_at, not_before) =
+            (Stamp::at(made_at.min(now)), Stamp::at(not_before.min(made_at).min(now)));
         match role {
             Role::Replica => {
-                seat.replica = seat.replica.max(date);
-                seat.stepped = seat.stepped.max(proof);
+                seat.replica = seat.replica.max(made_at);
+                seat.stepped = seat.stepped.max(not_before);
             }
             Role::Primary => {
-                seat.claim = seat.claim.max(date);
-                seat.proof = seat.proof.max(proof);
+                seat.claim = seat.claim.max(made_at);
+                seat.proof = seat.proof.max(not_before);
                 let stands = seat.stands();
                 let record = &mut self.records[group];
                 if record.holder as usize == member && stands {
-                    record.newest = record.newest.max(date);
-                    seat.served = seat.served.max(date);
-                    if answered && proof >= record.began {
+                    record.newest = record.newest.max(made_at);
+                    seat.served = seat.served.max(made_at);
+                    if answered && not_before >= record.began {
                         (record.confirmed, seat.disproved) = (true, false);
                     }
                 }
@@ -294,18 +295,23 @@
     }
 
     /// A submission to the holder failed, or it fell silent: only a claim dated later fills the slot again.
-    pub fn doubt(&mut self, now: Duration, member: usize) {
+    pub fn invalidate_claims(&mut self, now: Duration, member: usize) {
         self.seats[member].doubted = self.seats[member].doubted.max(Stamp::at(now));
     }
 
     /// One thing speaks against a member that may mean nothing: it keeps the slot, but no reader counts on
     /// its role until it has claimed again.
-    pub fn shake(&mut self, now: Duration, member: usize) {
+    pub fn mark_doubted(&mut self, now: Duration, member: usize) {
         self.seats[member].shaken = self.seats[member].shaken.max(Stamp::at(now));
     }
 
     /// Orders a change of a group's primary; the error says why there is nothing to change.
-    pub fn order(&mut self, now: Duration, group: usize, successor: Option<usize>) -> Result<Plan, String> {
+    pub fn order_change(
+        &mut self,
+        now: Duration,
+        group: usize,
+        successor: Option<usize>,
+    ) -> Result<Plan, String> {
         let record = self.records.get(group).ok_or("expected a group with members")?;
         if let Some(plan) = self.plans.get(&group).filter(|plan| !plan.ended()) {
             return Err(format!("a change is under way since {:?}", plan.begun));
@@ -349,7 +355,7 @@
 
     /// Goes through the rules of one group until none fires. `out`: writes out at the holder of its newest
     /// term.
-    pub fn settle(&mut self, now: Duration, group: usize, out: usize) {
+    pub fn apply_rules(&mut self, now: Duration, group: usize, out: usize) {
         if group >= self.records.len() {
             return;
         }
@@ -366,18 +372,18 @@
         let Some(seat) = self.seats.get(record.holder as usize) else { return false };
         let why = match seat {
             seat if seat.stands() => return false,
-            seat if seat.barred => Why::Listed,
-            seat if seat.replica >= seat.claim => Why::SaidReplica,
-            _ => Why::Failed,
+            seat if seat.barred => ChangeReason::Listed,
+            seat if seat.replica >= seat.claim => ChangeReason::SaidReplica,
+            _ => ChangeReason::Failed,
         };
         self.vacate(now, group, why);
         true
     }
 
-    fn vacate(&mut self, now: Duration, group: usize, why: Why) {
+    fn vacate(&mut self, now: Duration, group: usize, why: ChangeReason) {
         let record = &mut self.records[group];
         let from = std::mem::replace(&mut record.holder, NOBODY) as usize;
-        record.denied = why == Why::SaidReplica;
+        record.denied = why == ChangeReason::SaidReplica;
         record.emptied = Stamp::at(now);
         if let Some(seat) = self.seats.get_mut(from) {
             seat.disproved |= record.denied && !record.confirmed;
@@ -389,7 +395,7 @@
             from: Some(from),
             to: None,
             why,
-            vacant_for: None,
+            leaderless_for: None,
             plan: None,
         });
     }
@@ -412,15 +418,15 @@
         record.denied = false;
         (record.newest, seat.served) = (record.newest.max(seat.claim), seat.claim);
         let emptied = std::mem::take(&mut record.emptied);
-        let vacant_for = emptied.time().map(|emptied| now.saturating_sub(emptied));
+        let leaderless_for = emptied.time().map(|emptied| now.saturating_sub(emptied));
         let learns = !std::mem::take(&mut record.restored);
-        if let Some(span) = vacant_for.filter(|_| learns) {
+        if let Some(span) = leaderless_for.filter(|_| learns) {
             record.vacancies.add(span);
             self.vacancies.add(span);
         }
-        let why = if resumed { Why::Resumed } else { Why::Claimed };
+        let why = if resumed { ChangeReason::Resumed } else { ChangeReason::Claimed };
         let (term, from, to) = (record.term, (from != NOBODY).then_some(from as usize), Some(next as usize));
-        self.changes.push(Change { group, term, from, to, why, vacant_for, plan: None });
+        self.changes.push(Change { group, term, from, to, why, leaderless_for, plan: None });
         true
     }
 
@@ -449,7 +455,8 @@
     fn fenced(&self, now: Duration, record: &Record, member: u32) -> bool {
         let seat = &self.seats[member as usize];
         let former = seat.term > 0 && (record.last != member || seat.stepped_down());
-        let unbroken = record.denied && seat.gap <= record.began && seat.heard.plus(GAP) > Stamp::at(now);
+        let unbroken =
+            record.denied && seat.gap <= record.began && seat.heard.plus(MAX_SAFE_SILENCE) > Stamp::at(now);
         let waited = record.holder == NOBODY && seat.proof > record.emptied.max(seat.gap).plus(FENCE);
         former && !seat.stepped_down() && !unbroken && !waited
     }
@@ -507,7 +514,7 @@
     }
 
     /// Who holds the slot.
-    pub fn holder(&self, group: usize) -> Option<usize> {
+    pub fn primary(&self, group: usize) -> Option<usize> {
         let holder = self.records.get(group)?.holder;
         (holder != NOBODY).then_some(holder as usize)
     }
@@ -515,7 +522,7 @@
     /// Who takes new writes: the holder, unless a planned change holds them.
     pub fn writer(&self, group: usize) -> Option<usize> {
         let held = self.plans.get(&group).is_some_and(Plan::holds_writes);
-        self.holder(group).filter(|_| !held)
+        self.primary(group).filter(|_| !held)
     }
 
     /// Whether a member holds the slot by a claim made since anything spoke against it: readers may count on
@@ -528,7 +535,7 @@
 
     /// From where on a position of a member proves anything: a former primary's counts only once it has the
     /// beginning of the newest term, for what it had before may be of a branch that was dropped.
-    pub fn proof_from(&self, member: usize) -> Duration {
+    pub fn valid_positions_from(&self, member: usize) -> Duration {
         let Some(group) = self.group(member) else { return Duration::ZERO };
         let (seat, record) = (&self.seats[member], &self.records[group]);
         let former = seat.term > 0 && seat.term < record.term;
@@ -536,7 +543,7 @@
     }
 
     /// When a member said last that it is a replica.
-    pub fn denied(&self, member: usize) -> Option<Duration> {
+    pub fn replica_reported_at(&self, member: usize) -> Option<Duration> {
         self.seats.get(member)?.replica.time()
     }
 
@@ -566,14 +573,14 @@
 
     /// How long the slot still stays empty, as far as changes of late tell: those of the group, or of all
     /// where it had too few. `None` where it is held or where too little is known.
-    pub fn left(&self, now: Duration, group: usize) -> Option<Duration> {
+    pub fn expected_wait(&self, now: Duration, group: usize) -> Option<Duration> {
         let record = self.records.get(group)?;
         let lasted = now.saturating_sub(record.emptied.time()?);
         record.vacancies.left(lasted).or_else(|| self.vacancies.left(lasted))
     }
 
     /// When the group has to be looked at again though nothing comes in: a planned change runs out of time.
-    pub fn looks(&self, group: usize) -> Option<Duration> {
+    pub fn plan_deadline(&self, group: usize) -> Option<Duration> {
         self.plans.get(&group)?.step_ends()
     }
 
--- a/crates/primary-tracker/tests/histories.rs
+++ b/crates/primary-tracker/tests/histories.rs
@@ -1,6 +1,6 @@
 //! Long random histories: what always holds, whatever is heard in whatever order.
 
-use juniperdock_primary_tracker::{Claim, Phase, Role, Tenure};
+use juniperdock_primary_tracker::{Claim, Phase, PrimaryTracker, Role};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -46,49 +46,49 @@
 
     #[test]
     fn slots_terms_and_plans_stay_whole(events in proptest::collection::vec(event(), 1..400)) {
-        let mut tenure = Tenure::default();
+        let mut tenure = PrimaryTracker::default();
         let mut now = Duration::from_secs(5);
         let mut barred = [false; MEMBERS];
         let mut terms = [0; GROUPS];
         // The newest claim that was heard of each member since it came, by its date.
         let mut claims: [Option<Duration>; MEMBERS] = [None; MEMBERS];
-        (0..MEMBERS).for_each(|member| tenure.seat(member, member % GROUPS));
+        (0..MEMBERS).for_each(|member| tenure.add_member(member, member % GROUPS));
         for event in events {
             match event {
                 Event::Report { member, primary, old } => {
                     let at = now.saturating_sub(Duration::from_millis(old));
                     let role = if primary { Role::Primary } else { Role::Replica };
-                    tenure.heard(now, member, Some(Claim::at(role, at)), false);
+                    tenure.observe(now, member, Some(Claim::at(role, at)), false);
                     if primary { claims[member] = claims[member].max(Some(at)); }
                 }
                 Event::Answer { member, primary, took } => {
-                    let proof = now.saturating_sub(Duration::from_millis(took));
+                    let not_before = now.saturating_sub(Duration::from_millis(took));
                     let role = if primary { Role::Primary } else { Role::Replica };
-                    tenure.heard(now, member, Some(Claim { role, date: now, proof }), true);
+                    tenure.observe(now, member, Some(Claim { role, made_at: now, not_before }), true);
                     if primary { claims[member] = claims[member].max(Some(now)); }
                 }
-                Event::Doubt(member) => tenure.doubt(now, member),
-                Event::Shake(member) => tenure.shake(now, member),
+                Event::Doubt(member) => tenure.invalidate_claims(now, member),
+                Event::Shake(member) => tenure.mark_doubted(now, member),
                 Event::Bar { member, barred: off, drains } => {
                     barred[member] = off;
-                    tenure.bar(now, member, off, drains && off);
+                    tenure.set_availability(now, member, off, drains && off);
                 }
-                Event::Order { group, successor } => drop(tenure.order(now, group, successor)),
+                Event::Order { group, successor } => drop(tenure.order_change(now, group, successor)),
                 Event::CallOff(group) => drop(tenure.call_off(now, group)),
                 Event::Committed(member) => tenure.committed(member),
                 Event::Replace(member) => {
-                    tenure.unseat(now, member);
-                    tenure.seat(member, member % GROUPS);
+                    tenure.remove_member(now, member);
+                    tenure.add_member(member, member % GROUPS);
                     (barred[member], claims[member]) = (false, None);
                 }
                 Event::Wait(ms) => now += Duration::from_millis(ms),
             }
             for (group, newest) in terms.iter_mut().enumerate() {
-                tenure.settle(now, group, 0);
+                tenure.apply_rules(now, group, 0);
                 let term = tenure.term(group);
                 prop_assert!(term >= *newest, "terms only grow");
                 *newest = term;
-                if let Some(holder) = tenure.holder(group) {
+                if let Some(holder) = tenure.primary(group) {
                     prop_assert_eq!(holder % GROUPS, group);
                     prop_assert!(!barred[holder], "no slot for one that may not be used");
                     prop_assert!(claims[holder].is_some(), "no slot without a claim");
@@ -96,12 +96,12 @@
                 }
                 for member in (group..MEMBERS).step_by(GROUPS) {
                     prop_assert!(tenure.held_term(member) <= term);
-                    prop_assert!(!tenure.trusted(member) || tenure.holder(group) == Some(member));
+                    prop_assert!(!tenure.trusted(member) || tenure.primary(group) == Some(member));
                 }
                 let held = tenure.plan(group).is_some_and(|plan| plan.holds_writes());
                 prop_assert_eq!(held, tenure.phase(group) == Phase::HandingOver);
                 prop_assert!(!held || tenure.writer(group).is_none());
-                prop_assert!(!held || tenure.looks(group).is_some_and(|at| at > now), "no plan outlasts its time");
+                prop_assert!(!held || tenure.plan_deadline(group).is_some_and(|at| at > now), "no plan outlasts its time");
             }
             let counted: usize = Phase::ALL.iter().map(|&phase| tenure.in_phase(phase)).sum();
             prop_assert_eq!(counted, GROUPS);
