--- a/crates/primary-tracker/tests/stories.rs
+++ b/crates/primary-tracker/tests/stories.rs
@@ -1,6 +1,8 @@
 //! One story for each way in which a group's primary changes, or seems to.
 
-use juniperdock_primary_tracker::{Claim, FENCE, GAP, Phase, Plan, Reason, Role, Step, Tenure, Undo, Why};
+use juniperdock_primary_tracker::{
+    ChangeReason, Claim, FENCE, MAX_SAFE_SILENCE, Phase, Plan, PrimaryTracker, Reason, Role, Step, Undo,
+};
 use std::time::Duration;
 
 const PRIMARY: Role = Role::Primary;
@@ -12,14 +14,14 @@
 
 /// One group of members 0, 1 and 2. Time is in milliseconds.
 struct Group {
-    tenure: Tenure,
+    tenure: PrimaryTracker,
     out: usize,
 }
 
 impl Group {
     fn new() -> Group {
-        let mut tenure = Tenure::default();
-        (0..3).for_each(|member| tenure.seat(member, 0));
+        let mut tenure = PrimaryTracker::default();
+        (0..3).for_each(|member| tenure.add_member(member, 0));
         Group { tenure, out: 0 }
     }
 
@@ -34,14 +36,14 @@
     }
 
     fn report(&mut self, now: u64, member: usize, role: Role, position: u64) {
-        self.tenure.heard(ms(now), member, Some(Claim::at(role, ms(position))), false);
-        self.tenure.settle(ms(now), 0, self.out);
+        self.tenure.observe(ms(now), member, Some(Claim::at(role, ms(position))), false);
+        self.tenure.apply_rules(ms(now), 0, self.out);
     }
 
     fn answer(&mut self, now: u64, member: usize, role: Role, sent: u64) {
-        let claim = Claim { role, date: ms(now), proof: ms(sent) };
-        self.tenure.heard(ms(now), member, Some(claim), true);
-        self.tenure.settle(ms(now), 0, self.out);
+        let claim = Claim { role, made_at: ms(now), not_before: ms(sent) };
+        self.tenure.observe(ms(now), member, Some(claim), true);
+        self.tenure.apply_rules(ms(now), 0, self.out);
     }
 
     /// All members that are named report every 100 ms.
@@ -52,21 +54,21 @@
     }
 
     fn doubt(&mut self, now: u64, member: usize) {
-        self.tenure.doubt(ms(now), member);
-        self.tenure.settle(ms(now), 0, self.out);
+        self.tenure.invalidate_claims(ms(now), member);
+        self.tenure.apply_rules(ms(now), 0, self.out);
     }
 
     fn drain(&mut self, now: u64, member: usize) {
-        self.tenure.bar(ms(now), member, true, true);
-        self.tenure.settle(ms(now), 0, self.out);
+        self.tenure.set_availability(ms(now), member, true, true);
+        self.tenure.apply_rules(ms(now), 0, self.out);
     }
 
     fn look(&mut self, now: u64) {
-        self.tenure.settle(ms(now), 0, self.out);
+        self.tenure.apply_rules(ms(now), 0, self.out);
     }
 
     fn holder(&self) -> Option<usize> {
-        self.tenure.holder(0)
+        self.tenure.primary(0)
     }
 
     fn plan(&self) -> Plan {
@@ -84,7 +86,7 @@
     assert_eq!((g.holder(), g.tenure.term(0)), (Some(0), 1));
     let changes = g.tenure.take_changes();
     let last = changes.last().expect("changes");
-    assert_eq!((last.why, last.vacant_for), (Why::Resumed, Some(ms(100))));
+    assert_eq!((last.why, last.leaderless_for), (ChangeReason::Resumed, Some(ms(100))));
 }
 
 #[test]
@@ -117,7 +119,7 @@
     g.pass(1600, 4000, &[(1, REPLICA)]);
     // Member 2 has taken over; that is not known yet. The old one is the first to be heard.
     g.report(4100, 0, PRIMARY, 4099);
-    assert_eq!(g.holder(), None, "it was silent for {GAP:?} and more");
+    assert_eq!(g.holder(), None, "it was silent for {MAX_SAFE_SILENCE:?} and more");
     g.report(4110, 1, REPLICA, 4050);
     g.report(4120, 2, PRIMARY, 4100);
     assert_eq!((g.holder(), g.tenure.term(0)), (Some(2), 2));
@@ -200,10 +202,14 @@
 #[test]
 fn a_former_primary_proves_nothing_by_what_it_had_before() {
     let mut g = Group::steady();
-    assert_eq!(g.tenure.proof_from(0), ms(0));
+    assert_eq!(g.tenure.valid_positions_from(0), ms(0));
     g.report(2000, 1, PRIMARY, 1990);
     assert_eq!(
-        (g.tenure.proof_from(0), g.tenure.proof_from(1), g.tenure.proof_from(2)),
+        (
+            g.tenure.valid_positions_from(0),
+            g.tenure.valid_positions_from(1),
+            g.tenure.valid_positions_from(2)
+        ),
         (ms(1990), ms(0), ms(0))
     );
 }
@@ -221,7 +227,7 @@
     g.report(1900, 2, PRIMARY, 1890);
     assert_eq!((g.plan().step, g.tenure.writer(0)), (Step::Done, Some(2)));
     // Its drain is called off by a later start; it is a former primary like any other.
-    g.tenure.bar(ms(2000), 0, false, false);
+    g.tenure.set_availability(ms(2000), 0, false, false);
     g.report(2100, 0, PRIMARY, 2090);
     assert_eq!(g.holder(), Some(2));
 }
@@ -230,14 +236,14 @@
 fn a_drain_without_a_successor_ends_its_plan_and_binds_all_the_same() {
     let mut g = Group::steady();
     g.drain(1100, 0);
-    let ends = g.tenure.looks(0).expect("a time limit");
+    let ends = g.tenure.plan_deadline(0).expect("a time limit");
     g.look(ends.as_millis() as u64);
     let ends = g.plan().step_ends();
     assert!(g.plan().ended() && ends.is_none(), "{:?}", g.plan());
     assert_eq!(g.plan().step, Step::Undone(Undo::NoSuccessor));
     g.report(9000, 0, PRIMARY, 8990);
     assert_eq!((g.holder(), g.tenure.phase(0)), (None, Phase::Vacant), "rule 3 wins");
-    g.tenure.bar(ms(9100), 0, false, false);
+    g.tenure.set_availability(ms(9100), 0, false, false);
     g.report(9200, 1, REPLICA, 9150);
     g.report(9200, 2, REPLICA, 9150);
     g.report(9300, 0, PRIMARY, 9290);
@@ -248,20 +254,20 @@
 fn an_order_holds_writes_before_any_is_turned_away_and_is_undone_in_time() {
     let mut g = Group::steady();
     g.out = 1;
-    g.tenure.order(ms(1100), 0, Some(1)).expect("a plan");
+    g.tenure.order_change(ms(1100), 0, Some(1)).expect("a plan");
     g.look(1100);
     assert_eq!((g.holder(), g.tenure.writer(0)), (Some(0), None));
-    assert!(g.tenure.order(ms(1200), 0, None).is_err(), "one at a time");
+    assert!(g.tenure.order_change(ms(1200), 0, None).is_err(), "one at a time");
     g.out = 0;
     g.look(1200);
     // No successor comes: the old one is used again.
-    let ends = g.tenure.looks(0).expect("a time limit").as_millis() as u64;
+    let ends = g.tenure.plan_deadline(0).expect("a time limit").as_millis() as u64;
     g.report(ends - 100, 0, PRIMARY, ends - 110);
     assert_eq!(g.tenure.writer(0), None);
     g.look(ends);
     assert_eq!((g.plan().step, g.tenure.writer(0)), (Step::Undone(Undo::NoSuccessor), Some(0)));
     // Called off.
-    g.tenure.order(ms(ends + 100), 0, None).expect("a plan");
+    g.tenure.order_change(ms(ends + 100), 0, None).expect("a plan");
     assert!(g.tenure.call_off(ms(ends + 200), 0) && !g.tenure.call_off(ms(ends + 200), 0));
     g.look(ends + 200);
     assert_eq!((g.plan().step, g.tenure.writer(0)), (Step::Undone(Undo::CalledOff), Some(0)));
@@ -270,7 +276,7 @@
 #[test]
 fn an_old_primary_that_hands_over_as_it_was_told_to_has_not_failed() {
     let mut g = Group::steady();
-    g.tenure.order(ms(1100), 0, None).expect("a plan");
+    g.tenure.order_change(ms(1100), 0, None).expect("a plan");
     g.look(1100);
     assert_eq!(g.plan().step, Step::Awaiting);
     // It says so itself before its successor has claimed.
@@ -283,16 +289,16 @@
 #[test]
 fn an_order_ends_when_its_successor_leaves_or_the_old_primary_fails_first() {
     let mut g = Group::steady();
-    g.tenure.order(ms(1100), 0, Some(1)).expect("a plan");
+    g.tenure.order_change(ms(1100), 0, Some(1)).expect("a plan");
     g.drain(1200, 1);
     assert_eq!((g.plan().step, g.tenure.writer(0)), (Step::Undone(Undo::SuccessorLeft), Some(0)));
-    g.tenure.order(ms(1300), 0, Some(2)).expect("a plan");
+    g.tenure.order_change(ms(1300), 0, Some(2)).expect("a plan");
     g.doubt(1400, 0);
     assert_eq!((g.plan().step, g.tenure.phase(0)), (Step::Undone(Undo::Overtaken), Phase::Vacant));
     g.report(2600, 2, PRIMARY, 2590);
     assert_eq!(g.holder(), Some(2));
     // The successor dies right after: a change during a change.
-    g.tenure.order(ms(2700), 0, None).expect("a plan");
+    g.tenure.order_change(ms(2700), 0, None).expect("a plan");
     g.look(2700);
     g.report(2800, 0, REPLICA, 2750);
     g.report(2900, 0, PRIMARY, 2890);
@@ -309,38 +315,38 @@
 fn what_cannot_be_ordered_is_said() {
     let mut g = Group::new();
     for (group, successor, names) in [(7, None, "group"), (0, None, "no primary")] {
-        assert!(g.tenure.order(ms(1), group, successor).is_err_and(|why| why.contains(names)));
+        assert!(g.tenure.order_change(ms(1), group, successor).is_err_and(|why| why.contains(names)));
     }
     let mut g = Group::steady();
-    g.tenure.seat(9, 1);
+    g.tenure.add_member(9, 1);
     g.drain(1100, 2);
     for (successor, names) in [(0, "already"), (9, "no member"), (2, "no member"), (99, "no member")] {
-        assert!(g.tenure.order(ms(1200), 0, Some(successor)).is_err_and(|why| why.contains(names)));
+        assert!(g.tenure.order_change(ms(1200), 0, Some(successor)).is_err_and(|why| why.contains(names)));
     }
 }
 
 #[test]
 fn a_group_of_one_comes_back_with_its_only_member() {
-    let mut tenure = Tenure::default();
-    tenure.seat(0, 0);
+    let mut tenure = PrimaryTracker::default();
+    tenure.add_member(0, 0);
     for now in [1000, 9000] {
-        tenure.heard(ms(now), 0, Some(Claim::at(PRIMARY, ms(now))), false);
-        tenure.settle(ms(now), 0, 0);
-        assert_eq!((tenure.holder(0), tenure.term(0)), (Some(0), 1));
-        tenure.doubt(ms(now + 10), 0);
-        tenure.settle(ms(now + 10), 0, 0);
-        assert_eq!(tenure.holder(0), None);
+        tenure.observe(ms(now), 0, Some(Claim::at(PRIMARY, ms(now))), false);
+        tenure.apply_rules(ms(now), 0, 0);
+        assert_eq!((tenure.primary(0), tenure.term(0)), (Some(0), 1));
+        tenure.invalidate_claims(ms(now + 10), 0);
+        tenure.apply_rules(ms(now + 10), 0, 0);
+        assert_eq!(tenure.primary(0), None);
     }
 }
 
 #[test]
 fn a_member_that_left_leaves_nothing_to_who_comes_in_its_place() {
     let mut g = Group::steady();
-    g.tenure.unseat(ms(1100), 0);
+    g.tenure.remove_member(ms(1100), 0);
     assert_eq!(g.holder(), None);
-    g.tenure.seat(0, 0);
+    g.tenure.add_member(0, 0);
     g.look(1200);
-    assert!(g.holder().is_none() && !g.tenure.has_claimed(0) && g.tenure.proof_from(0).is_zero());
+    assert!(g.holder().is_none() && !g.tenure.has_claimed(0) && g.tenure.valid_positions_from(0).is_zero());
     g.report(1300, 0, REPLICA, 1290);
     g.report(2400, 0, PRIMARY, 2390);
     assert_eq!((g.holder(), g.tenure.term(0)), (Some(0), 2));
@@ -349,7 +355,7 @@
 #[test]
 fn one_shock_keeps_the_slot_but_no_reader_counts_on_it() {
     let mut g = Group::steady();
-    g.tenure.shake(ms(1100), 0);
+    g.tenure.mark_doubted(ms(1100), 0);
     g.look(1100);
     assert_eq!((g.holder(), g.tenure.trusted(0), g.tenure.phase(0)), (Some(0), false, Phase::Doubted));
     g.report(1200, 0, PRIMARY, 1150);
@@ -361,14 +367,14 @@
     let mut g = Group::steady();
     g.doubt(1500, 0);
     g.report(2600, 1, PRIMARY, 2590);
-    let (group, seats) = (g.tenure.keep_group(0), [0, 1, 2].map(|m| g.tenure.keep_seat(m)));
+    let (group, seats) = (g.tenure.snapshot_group(0), [0, 1, 2].map(|m| g.tenure.snapshot_claims(m)));
     let restored = |claims_first: bool| {
         let mut next = Group::new();
         if claims_first {
             next.report(2700, 2, PRIMARY, 2690);
         }
         next.tenure.restore_group(ms(2710), 0, &group);
-        (0..3).for_each(|m| next.tenure.restore_seat(m, &seats[m]));
+        (0..3).for_each(|m| next.tenure.restore_claims(m, &seats[m]));
         next.look(2710);
         next
     };
@@ -378,7 +384,7 @@
     assert_eq!(next.holder(), None, "a former primary's claim may be of its old term");
     next.report(2730, 1, PRIMARY, 2729);
     assert_eq!((next.holder(), next.tenure.term(0)), (Some(1), 2), "the same term goes on");
-    assert_eq!(next.tenure.proof_from(0), ms(2590));
+    assert_eq!(next.tenure.valid_positions_from(0), ms(2590));
     // A term that had begun here already counts on from those that were.
     let mut next = restored(true);
     assert_eq!((next.holder(), next.tenure.term(0), next.tenure.held_term(2)), (Some(2), 3, 3));
@@ -393,16 +399,16 @@
     for i in 0..4 {
         let (old, next) = ([0, 1][i % 2], [1, 0][i % 2]);
         g.doubt(now, old);
-        assert_eq!(g.tenure.left(ms(now), 0).is_some(), i == 3, "three are enough");
+        assert_eq!(g.tenure.expected_wait(ms(now), 0).is_some(), i == 3, "three are enough");
         g.report(now + 400, next, REPLICA, now + 390);
         g.report(now + 800, next, PRIMARY, now + 790);
         assert_eq!(g.holder(), Some(next));
-        assert!(g.tenure.left(ms(now + 800), 0).is_none());
+        assert!(g.tenure.expected_wait(ms(now + 800), 0).is_none());
         g.report(now + 900, old, REPLICA, now + 890);
         now += 2000;
     }
     g.doubt(now, 0);
-    let left = |g: &Group, lasted| g.tenure.left(ms(now + lasted), 0).expect("enough is known");
+    let left = |g: &Group, lasted| g.tenure.expected_wait(ms(now + lasted), 0).expect("enough is known");
     assert!(left(&g, 0) >= ms(800) && left(&g, 0) <= ms(1200));
     assert!(left(&g, 600) < left(&g, 0));
     assert!(left(&g, 60_000) > ms(30_000), "longer than any before it");
--- a/crates/request-guard/src/connection.rs
+++ b/crates/request-guard/src/connection.rs
@@ -15,7 +15,7 @@
 
 /// What is owed on a connection at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Debt {
+pub struct Outstanding {
     /// Requests that were taken and have no answer.
     pub unanswered: usize,
     /// Bytes of answers that are not handed to the machine.
@@ -24,13 +24,13 @@
     pub half_read: usize,
 }
 
-impl Debt {
+impl Outstanding {
     pub fn is_none(&self) -> bool {
-        *self == Debt::default()
+        *self == Outstanding::default()
     }
 
     /// Every end of a connection passes here; what the end breaks is counted.
-    pub fn settle(&self, by: EndedBy, invariants: &Invariants) {
+    pub fn record_violations(&self, by: EndedBy, invariants: &Invariants) {
         if by == EndedBy::Client {
             return;
         }
--- a/crates/request-guard/src/lib.rs
+++ b/crates/request-guard/src/lib.rs
@@ -8,6 +8,6 @@
 mod invariants;
 mod request;
 
-pub use connection::{Debt, EndedBy};
+pub use connection::{EndedBy, Outstanding};
 pub use invariants::{Invariants, Violation};
 pub use request::{AttemptPermit, ClientPresence, RequestGuard, Withheld};
--- a/crates/request-guard/src/request.rs
+++ b/crates/request-guard/src/request.rs
@@ -102,12 +102,12 @@
 
 impl AttemptPermit {
     /// The reasons for this attempt hold until then from now on. No use once it is settled.
-    pub fn hold_until(&self, at: Duration) {
+    pub fn set_valid_until(&self, at: Duration) {
         self.valid_until.store(micros(at), Ordering::Relaxed);
     }
 
     /// It is written, or never to be written.
-    pub fn is_settled(&self) -> bool {
+    pub fn is_consumed(&self) -> bool {
         self.valid_until.load(Ordering::Relaxed) == SETTLED
     }
 
@@ -118,7 +118,7 @@
     }
 
     /// Asked right before the first byte is written, and never again: it is settled then, one way or the other.
-    pub fn settle(&self, now: Duration) -> Result<(), Withheld> {
+    pub fn consume(&self, now: Duration) -> Result<(), Withheld> {
         let valid_until = self.valid_until.swap(SETTLED, Ordering::Relaxed);
         self.holds(now, valid_until)?;
         self.client_is_there()
@@ -126,13 +126,13 @@
 
     /// Asked before each further piece of an attempt that the machine did not take at once: it begins at the server
     /// with its last byte only.
-    pub fn may_go_on(&self, now: Duration) -> Result<(), Withheld> {
+    pub fn may_continue(&self, now: Duration) -> Result<(), Withheld> {
         self.request.may_start(now)?;
         self.client_is_there()
     }
 
     /// The run-time check: called once the last byte is handed over, with a fresh look at the clock.
-    pub fn written(&self, now: Duration) {
+    pub fn record_written(&self, now: Duration) {
         let invariants = &self.request.0.invariants;
         if !self.request.is_open() {
             invariants.count(Violation::SentAfterEnd);
--- a/crates/request-guard/tests/guard.rs
+++ b/crates/request-guard/tests/guard.rs
@@ -1,7 +1,7 @@
 //! What the guard lets through, and what it counts.
 
 use juniperdock_request_guard::{
-    ClientPresence, Debt, EndedBy, Invariants, RequestGuard, Violation, Withheld,
+    ClientPresence, EndedBy, Invariants, Outstanding, RequestGuard, Violation, Withheld,
 };
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -31,10 +31,10 @@
     let permit = request.permit(ms(300));
     assert_eq!(permit.check(ms(299)), Ok(()));
     assert_eq!(permit.check(ms(300)), Err(Withheld::OutOfTime));
-    permit.hold_until(ms(200));
-    assert_eq!(permit.settle(ms(200)), Err(Withheld::OutOfTime));
-    assert!(permit.is_settled());
-    assert_eq!(request.permit(ms(300)).settle(ms(299)), Ok(()));
+    permit.set_valid_until(ms(200));
+    assert_eq!(permit.consume(ms(200)), Err(Withheld::OutOfTime));
+    assert!(permit.is_consumed());
+    assert_eq!(request.permit(ms(300)).consume(ms(299)), Ok(()));
 }
 
 #[test]
@@ -43,8 +43,8 @@
     let permit = request.permit(ms(500));
     client.0.store(true, Ordering::Relaxed);
     assert_eq!(permit.check(ms(1)), Ok(()), "as far as is known");
-    assert_eq!(permit.settle(ms(1)), Err(Withheld::ClientLeft));
-    assert_eq!(permit.may_go_on(ms(1)), Err(Withheld::ClientLeft));
+    assert_eq!(permit.consume(ms(1)), Err(Withheld::ClientLeft));
+    assert_eq!(permit.may_continue(ms(1)), Err(Withheld::ClientLeft));
 }
 
 #[test]
@@ -54,8 +54,8 @@
         let (permit, begun) = (request.permit(ms(500)), request.permit(ms(500)));
         assert!(end(&request));
         assert_eq!(request.may_start(ms(1)), Err(Withheld::Ended));
-        assert_eq!(permit.settle(ms(1)), Err(Withheld::Ended));
-        assert_eq!(begun.may_go_on(ms(1)), Err(Withheld::Ended));
+        assert_eq!(permit.consume(ms(1)), Err(Withheld::Ended));
+        assert_eq!(begun.may_continue(ms(1)), Err(Withheld::Ended));
         assert!(!request.answer() && !request.abandon());
     }
     let (late, _client, _) = request(ms(500));
@@ -66,17 +66,17 @@
 fn what_was_done_all_the_same_is_counted() {
     let (request, _client, invariants) = request(ms(500));
     let permit = request.permit(ms(500));
-    permit.written(ms(499));
+    permit.record_written(ms(499));
     assert_eq!(invariants.to_string(), "violations=0");
-    permit.written(ms(700));
+    permit.record_written(ms(700));
     request.abandon();
-    permit.written(ms(10));
-    let owed = Debt { unanswered: 1, unsent: 2, half_read: 3 };
-    owed.settle(EndedBy::Client, &invariants);
+    permit.record_written(ms(10));
+    let owed = Outstanding { unanswered: 1, unsent: 2, half_read: 3 };
+    owed.record_violations(EndedBy::Client, &invariants);
     assert_eq!(invariants.total(), 2);
-    owed.settle(EndedBy::ProcessWithError, &invariants);
-    owed.settle(EndedBy::Process, &invariants);
-    Debt::default().settle(EndedBy::Process, &invariants);
+    owed.record_violations(EndedBy::ProcessWithError, &invariants);
+    owed.record_violations(EndedBy::Process, &invariants);
+    Outstanding::default().record_violations(EndedBy::Process, &invariants);
     assert_eq!(
         invariants.to_string(),
         "violations=7 sent_after_end=1 sent_after_deadline=1 ended_unanswered=2 ended_unsent=2 ended_half_read=1"
--- a/crates/router/src/host.rs
+++ b/crates/router/src/host.rs
@@ -3,7 +3,7 @@
 //! A host maps its own ids to small indices: members, groups, zones and txn types count from 0, and a txn
 //! keeps its index until the router releases it. All times are spans since the instance started.
 
-pub use juniperdock_attempt_outcome::{Effect, Ending, Scope};
+pub use juniperdock_attempt_outcome::{AttemptOutcome, Effect, Scope};
 pub use juniperdock_primary_tracker::{Change, Phase, Plan, Role};
 use std::time::Duration;
 
@@ -17,23 +17,23 @@
     /// Final answer: not done, and trying again is harmless.
     fn decline(&mut self, txn: usize, come_back: Option<Duration>);
     /// Final answer: given up, and whether it took effect is not known.
-    fn unknown(&mut self, txn: usize);
+    fn answer_unknown(&mut self, txn: usize);
     /// The router keeps nothing on this txn any more; its index may be used again.
-    fn release(&mut self, txn: usize);
+    fn release_txn(&mut self, txn: usize);
     /// The router keeps nothing on this member any more; its index may be used again.
-    fn forget(&mut self, member: usize);
+    fn release_member(&mut self, member: usize);
     fn probe(&mut self, member: usize);
     /// Asks for a call of `reminder_due` at that time.
-    fn remind(&mut self, at: Duration, handle: u64);
+    fn set_timer(&mut self, at: Duration, handle: u64);
     /// Subscribes to changes of the member list.
-    fn listen(&mut self);
+    fn subscribe_to_member_list(&mut self);
     /// Another member holds a group's slot, or a planned change has begun or ended. Nothing is to be done.
     fn primary_changed(&mut self, _change: &Change) {}
 }
 
 /// What a txn type needs of the data it meets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Level {
+pub enum Consistency {
     /// Taken by the primary alone.
     Write,
     /// Sees all that was committed before it arrived.
@@ -52,7 +52,7 @@
     /// What is left of the value after the SLA time, as a share of it.
     pub late_value: f64,
     pub effect: Effect,
-    pub level: Level,
+    pub consistency: Consistency,
 }
 
 /// The rule on members that have just started.
@@ -66,14 +66,14 @@
 
 /// Where this instance stands.
 #[derive(Clone, Copy, Debug)]
-pub struct Standing {
-    pub me: usize,
+pub struct FrontInfo {
+    pub index: usize,
     pub fronts: usize,
     pub zone: usize,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub enum ListedState {
     Up,
     Draining,
     Removed,
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -3,8 +3,8 @@
 //! [`routing`] decides, [`host`] is what it needs of its surroundings, [`ring`] counts over time.
 
 pub mod host;
-pub mod kept;
-pub mod ring;
 pub mod routing;
 mod sessions;
+pub mod sliding_sum;
+pub mod snapshot;
 mod state;
--- a/crates/router/src/routing.rs
+++ b/crates/router/src/routing.rs
@@ -1,16 +1,17 @@
 //! All decisions of the router. The host ([`crate::host`]) calls one method per input; each notes the facts, then
 //! the rules in `settle` run until none fires. Sends leave through `submit` alone, and only if `gate` lets them pass.
 
-use crate::host::Ending::*;
+use crate::host::AttemptOutcome::*;
 use crate::host::{
-    ColdStart, Effect, Ending, Host, Level, Listed, Phase, Plan, Report, Role, Standing, TxnType,
+    AttemptOutcome, ColdStart, Consistency, Effect, FrontInfo, Host, ListedState, Phase, Plan, Report, Role,
+    TxnType,
 };
-use crate::ring::Ring;
+use crate::sliding_sum::SlidingSum;
 pub use crate::state::Router;
 use crate::state::{Member, Tally, Txn, both};
-use juniperdock_attempt_outcome::{Fate, Verdict};
+use juniperdock_attempt_outcome::{FinalAnswer, SubmissionHistory};
 use juniperdock_primary_tracker::Claim;
-use juniperdock_wait_queue::{NoRoom, Rank, Wait};
+use juniperdock_wait_queue::{QueueFull, QueueKey, WaitingTxn};
 use oorandom::Rand64;
 use std::{cmp::Reverse, mem::take, time::Duration};
 
@@ -75,9 +76,9 @@
 type Told = Option<Duration>;
 
 impl Router {
-    pub fn new(seed: u64, standing: Standing, types: Vec<TxnType>, cold: ColdStart) -> Self {
-        let tightest = types.iter().filter_map(|t| match t.level {
-            Level::Bounded(bound) => Some(bound / PROBES_PER_BOUND),
+    pub fn new(seed: u64, standing: FrontInfo, types: Vec<TxnType>, cold: ColdStart) -> Self {
+        let tightest = types.iter().filter_map(|t| match t.consistency {
+            Consistency::Bounded(bound) => Some(bound / PROBES_PER_BOUND),
             _ => None,
         });
         let every = tightest.min().unwrap_or(SHUN_FIRST);
@@ -86,24 +87,24 @@
         // Guesses until answers tell: the fastest come first, a start from those would be far too low.
         router.typical = router.types.iter().map(|t| t.sla.as_secs_f64() / 4.0).collect();
         router.usual = router.types.iter().map(|t| t.sla.as_secs_f64() / 2.0).collect();
-        (router.first, router.again) = (Ring::new(RESEND_SPAN, 10), Ring::new(RESEND_SPAN, 10));
+        (router.first, router.again) = (SlidingSum::new(RESEND_SPAN, 10), SlidingSum::new(RESEND_SPAN, 10));
         router.tallies = vec![Tally::new(RESEND_SPAN / 2); router.types.len()];
         router.blank = Tally::new(RESEND_SPAN);
         router
     }
 
     /// The list has to be asked for, at the start or again; not at once, lest all ask together.
-    pub fn list_lost(&mut self, now: Duration, host: &mut impl Host) {
-        host.remind(now + SHUN_FIRST.mul_f64(self.rng.rand_float()), ASK_FOR_LIST);
+    pub fn discovery_lost(&mut self, now: Duration, host: &mut impl Host) {
+        host.set_timer(now + SHUN_FIRST.mul_f64(self.rng.rand_float()), ASK_FOR_LIST);
     }
 
-    pub fn listed(
+    pub fn member_listed(
         &mut self,
         now: Duration,
         member: usize,
         group: usize,
         zone: usize,
-        state: Listed,
+        state: ListedState,
         primary: bool,
         up_for: Option<Duration>,
     ) {
@@ -117,19 +118,19 @@
             // Not asked by all fronts at once, where many start together.
             m.probe_due = now + SHUN_FIRST.mul_f64(self.rng.rand_float());
             self.groups[group].members.push(member);
-            self.tenure.seat(member, group);
+            self.tenure.add_member(member, group);
             self.known += 1;
         }
         let m = &mut self.members[member];
         let warm_at = up_for.map_or(m.warm_at, |up| (now + self.cold.warm_up).saturating_sub(up));
         // Only a later start ends a drain: a list may be wrong, or an old one may come again.
-        m.drains = state == Listed::Draining || m.drains && warm_at <= m.warm_at;
-        m.gone_at = m.gone_at.or(Some(now)).filter(|_| state == Listed::Removed);
-        m.stopped = m.drains || state == Listed::Removed && !self.gone_is_advice;
+        m.drains = state == ListedState::Draining || m.drains && warm_at <= m.warm_at;
+        m.gone_at = m.gone_at.or(Some(now)).filter(|_| state == ListedState::Removed);
+        m.stopped = m.drains || state == ListedState::Removed && !self.gone_is_advice;
         m.warm_at = warm_at;
         m.hinted = primary && !m.stopped;
         self.gone.extend(m.gone_at.map(|_| member));
-        self.tenure.bar(now, member, m.stopped, m.drains);
+        self.tenure.set_availability(now, member, m.stopped, m.drains);
         // A hint only: whoever is named is asked at once, and believed only if its report tells no role.
         m.probe_due = if m.hinted { now } else { m.probe_due };
         self.touch(group);
@@ -137,12 +138,12 @@
 
     /// All entries are in; of a full list, members that it does not name are gone. A gone one is forgotten
     /// once no old list will name it again, nothing is out to it, and it is of no use.
-    pub fn list_ended(&mut self, now: Duration, named: Option<&[usize]>, host: &mut impl Host) {
+    pub fn list_completed(&mut self, now: Duration, named: Option<&[usize]>, host: &mut impl Host) {
         for i in self.unnamed(named) {
             let m = &mut self.members[i];
             m.stopped |= !self.gone_is_advice || m.drains;
             m.gone_at = m.gone_at.or(Some(now));
-            self.tenure.bar(now, i, m.stopped, m.drains);
+            self.tenure.set_availability(now, i, m.stopped, m.drains);
             self.touch(self.members[i].group);
         }
         for i in self.gone_for(now, FORGOTTEN) {
@@ -170,9 +171,9 @@
         host: &mut impl Host,
     ) {
         self.make_place(group, txn);
-        let must_see = match self.types[kind].level {
-            Level::Fresh => Some(now),
-            Level::Session => match (wrote_ago.filter(|_| self.marks_carried), session) {
+        let must_see = match self.types[kind].consistency {
+            Consistency::Fresh => Some(now),
+            Consistency::Session => match (wrote_ago.filter(|_| self.marks_carried), session) {
                 (Some(ago), _) => Some(now.saturating_sub(ago)).filter(|_| !ago.is_zero()),
                 (None, Some(key)) if self.writes_out(group, key) => Some(now),
                 (None, Some(key)) => self.sessions.must_see(key),
@@ -180,19 +181,19 @@
             },
             _ => None,
         };
-        let (fate, expiry) = (Fate::new(self.types[kind].effect), now + left);
+        let (fate, expiry) = (SubmissionHistory::new(self.types[kind].effect), now + left);
         let beyond = tenant.is_some_and(|tenant| self.beyond_share(now, tenant, retried));
         let t = Txn::new(kind, group, now, retried || beyond, expiry, must_see, session, fate, bytes);
         self.txns[txn] = Some(Txn { beyond, ..t });
         self.first.add(now, 1.0);
         self.hold(txn, host);
         // At arrival all may be placed: answer times of a bad time are unlearnt only by sending.
-        self.held.retime(txn, Duration::MAX, Duration::MAX);
+        self.held.set_deadlines(txn, Duration::MAX, Duration::MAX);
         self.unweighed.push(txn);
         self.settle(now, &[group], host);
         if self.held.get(txn).is_some() {
-            let (soft, hard) = self.ends(self.txn(txn));
-            self.held.retime(txn, soft, hard);
+            let (soft_deadline, hard_deadline) = self.ends(self.txn(txn));
+            self.held.set_deadlines(txn, soft_deadline, hard_deadline);
             while self.give_up(now, host) {}
             self.remind_held(txn, now + SHUN_FIRST, host);
         }
@@ -213,7 +214,7 @@
         txn: usize,
         over: bool,
         member: usize,
-        ending: Ending,
+        ending: AttemptOutcome,
         role: Option<Role>,
         position: Option<Duration>,
         took: Duration,
@@ -222,8 +223,8 @@
         self.wake(now);
         let Some(Some(t)) = self.txns.get_mut(txn) else { return };
         let out = t.fate.ended(ending);
-        let slept = out.as_ref().is_some_and(|out| out.at < self.awake);
-        let answered_since = out.as_ref().is_some_and(|out| out.at < self.members[member].last_answer);
+        let slept = out.as_ref().is_some_and(|out| out.sent_at < self.awake);
+        let answered_since = out.as_ref().is_some_and(|out| out.sent_at < self.members[member].last_answer);
         let left = t.over;
         t.over |= over;
         let (kind, group, session, called_off) = (t.kind, t.group, t.session, take(&mut t.called_off));
@@ -233,9 +234,9 @@
         }
         let heard = matches!(ending, Committed | Errored | Invalid | Full | Misplaced);
         if heard || role.is_some() {
-            self.heard(now, member, role, position, Some(out.map_or(now, |out| out.at)));
+            self.heard(now, member, role, position, Some(out.map_or(now, |out| out.sent_at)));
         }
-        let writes = self.types[kind].level == Level::Write;
+        let writes = self.types[kind].consistency == Consistency::Write;
         if ending == Misplaced && position.is_none() && !writes {
             // It lags by more than was known, where it doesn't say by how much.
             let m = &mut self.members[member];
@@ -279,7 +280,14 @@
         self.settle(now, &[group], host);
     }
 
-    pub fn probed(&mut self, now: Duration, member: usize, end: Ending, told: Report, host: &mut impl Host) {
+    pub fn probe_ended(
+        &mut self,
+        now: Duration,
+        member: usize,
+        end: AttemptOutcome,
+        told: Report,
+        host: &mut impl Host,
+    ) {
         let m = &mut self.members[member];
         m.probe_out = false;
         if end == Committed {
@@ -297,10 +305,10 @@
         self.settle(now, &[self.members[member].group], host);
     }
 
-    pub fn reminder_due(&mut self, now: Duration, handle: u64, host: &mut impl Host) {
+    pub fn timer_fired(&mut self, now: Duration, handle: u64, host: &mut impl Host) {
         let at = (handle / 2) as usize;
         if handle == ASK_FOR_LIST {
-            host.listen();
+            host.subscribe_to_member_list();
         } else if handle.is_multiple_of(2) {
             self.settle(now, &[self.members[at - 1].group], host);
         } else if let Some(Some(t)) = self.txns.get(at) {
@@ -325,12 +333,12 @@
     fn heard(&mut self, now: Duration, m: usize, role: Option<Role>, at: Told, sent: Told) {
         let group = self.members[m].group;
         let read = if now < self.awake + REPORT_DUE { self.stood.max(sent.unwrap_or_default()) } else { now };
-        let date = at.filter(|_| sent.is_none()).unwrap_or(read);
-        let claim = role.map(|role| Claim { role, date, proof: sent.unwrap_or(date) });
-        self.tenure.heard(now, m, claim, sent.is_some());
+        let made_at = at.filter(|_| sent.is_none()).unwrap_or(read);
+        let claim = role.map(|role| Claim { role, made_at, not_before: sent.unwrap_or(made_at) });
+        self.tenure.observe(now, m, claim, sent.is_some());
         // What one told as the primary proves nothing any more once it says that it is none: it may not have
         // known that another had followed. Meets primaries that are cut off with their clients.
-        let (leads, holds) = (role == Some(Role::Primary), self.tenure.holder(group) == Some(m));
+        let (leads, holds) = (role == Some(Role::Primary), self.tenure.primary(group) == Some(m));
         let told = &mut self.members[m];
         told.rises(now, self.cold.warm_up);
         // A report is some time old by itself: it can only show that a lag is shorter.
@@ -343,13 +351,13 @@
             told.position = told.position.max(at);
         }
         // An answer proves too little to take a held slot: its member is asked.
-        if role == Some(Role::Primary) && sent.is_some() && self.tenure.holder(group) != Some(m) {
+        if role == Some(Role::Primary) && sent.is_some() && self.tenure.primary(group) != Some(m) {
             let rest = self.members[m].asked.unwrap_or_default() + self.probe_every.unwrap_or_default() / 2;
             self.members[m].probe_due = self.members[m].probe_due.min(now.max(rest));
         }
     }
 
-    fn judge(&mut self, now: Duration, member: usize, kind: usize, ending: Ending, took: Duration) {
+    fn judge(&mut self, now: Duration, member: usize, kind: usize, ending: AttemptOutcome, took: Duration) {
         let (sla, work, secs) = (self.types[kind].sla.as_secs_f64(), self.typical[kind], took.as_secs_f64());
         let usual = &mut self.usual[kind];
         if ending == Committed || !ending.never_ran() && secs > *usual {
@@ -389,7 +397,7 @@
             // Connections end now and then: its member is asked, and shunned if it was not the only one.
             Dropped if m.failures == 0 => {
                 (m.failures, m.probe_failures, m.probe_due) = (1, 1, now);
-                self.tenure.shake(now, member);
+                self.tenure.mark_doubted(now, member);
                 return;
             }
             Unreachable | Dropped => {
@@ -401,7 +409,7 @@
             _ => {}
         }
         // A failed submission to the writer empties the slot; only a claim made after this fills it again.
-        let astray = ending == Misplaced && self.types[kind].level == Level::Write;
+        let astray = ending == Misplaced && self.types[kind].consistency == Consistency::Write;
         if astray || matches!(ending, Unreachable | Dropped) {
             self.doubt(now, member);
         }
@@ -414,16 +422,16 @@
     /// Empties the writer slot if this member holds it, and starts a probe round.
     fn doubt(&mut self, now: Duration, member: usize) {
         let group = self.members[member].group;
-        if self.tenure.holder(group) == Some(member) {
-            self.tenure.doubt(now, member);
+        if self.tenure.primary(group) == Some(member) {
+            self.tenure.invalidate_claims(now, member);
             for &m in &self.groups[group].members {
                 self.members[m].probe_due = self.members[m].probe_due.min(now);
             }
         }
     }
 
-    fn go_on(&mut self, now: Duration, txn: usize, ending: Ending, host: &mut impl Host) {
-        let barred = self.txn(txn).fate.bars_everywhere(now, self.max_submissions).is_some();
+    fn go_on(&mut self, now: Duration, txn: usize, ending: AttemptOutcome, host: &mut impl Host) {
+        let barred = self.txn(txn).fate.blocked_everywhere(now, self.max_submissions).is_some();
         let spent = self.again.sum(now) >= 1.0 + RESEND_SHARE * self.first.sum(now);
         if barred || spent && !ending.never_ran() || now >= self.hope(self.txn(txn)) {
             self.answer(now, txn, host);
@@ -440,27 +448,29 @@
     /// members are: what no member has had early, what may have run once its stores forget its mark.
     fn ends(&self, t: &Txn) -> (Duration, Duration) {
         let kind = self.types[t.kind];
-        let soft = if kind.late_value > 0.0 { t.expiry } else { t.expiry.min(t.arrived + kind.sla) };
-        let share = if t.fate.untaken() { self.untaken } else { 1.0 };
-        let hard = t.arrived + (t.expiry - t.arrived).mul_f64(share);
-        (soft, hard.min(t.fate.window_ends().unwrap_or(hard)))
+        let soft_deadline = if kind.late_value > 0.0 { t.expiry } else { t.expiry.min(t.arrived + kind.sla) };
+        let share = if t.fate.none_may_have_run() { self.untaken } else { 1.0 };
+        let hard_deadline = t.arrived + (t.expiry - t.arrived).mul_f64(share);
+        (soft_deadline, hard_deadline.min(t.fate.window_end().unwrap_or(hard_deadline)))
     }
 
     pub(crate) fn hope(&self, t: &Txn) -> Duration {
-        let ((soft, hard), work) = (self.ends(t), Duration::from_secs_f64(self.usual[t.kind]));
-        soft.saturating_sub(work).min(hard).max(t.arrived)
+        let ((soft_deadline, hard_deadline), work) =
+            (self.ends(t), Duration::from_secs_f64(self.usual[t.kind]));
+        soft_deadline.saturating_sub(work).min(hard_deadline).max(t.arrived)
     }
 
     /// A txn waits; without room what is worth least gives way, of its group or of the fullest one.
     fn hold(&mut self, txn: usize, host: &mut impl Host) {
         let t = self.txn(txn);
-        let ((soft, hard), tried) = (self.ends(t), t.fate.submissions() > 0);
+        let ((soft_deadline, hard_deadline), submitted) = (self.ends(t), t.fate.submissions() > 0);
         let Txn { kind, group, retried, arrived, bytes, .. } = *t;
-        let wait = Wait { txn, group, kind, retried, tried, arrived, soft, hard, bytes };
-        while let Err(full) = self.held.put(wait) {
-            let fullest = self.held.fullest().filter(|_| full == NoRoom::OfAll).unwrap_or(group);
+        let wait =
+            WaitingTxn { txn, group, kind, retried, submitted, arrived, soft_deadline, hard_deadline, bytes };
+        while let Err(full) = self.held.insert(wait) {
+            let fullest = self.held.fullest().filter(|_| full == QueueFull::Total).unwrap_or(group);
             let ranks = self.ranks(fullest);
-            let oldest = |rank: Rank| self.held.oldest(rank, fullest);
+            let oldest = |rank: QueueKey| self.held.oldest(rank, fullest);
             let least = ranks.last().and_then(|&(k, retried)| both(k, retried).into_iter().find_map(oldest));
             let least =
                 least.filter(|&l| fullest != group || self.dense(self.txn(l).kind) <= self.dense(kind));
@@ -483,7 +493,7 @@
             return Vec::new();
         }
         let all = (0..self.types.len()).flat_map(|kind| [(kind, false), (kind, true)]);
-        let waits = |rank: Rank| self.held.newest(rank, group).is_some();
+        let waits = |rank: QueueKey| self.held.newest(rank, group).is_some();
         let mut ranks: Vec<_> = all.filter(|&(k, retried)| both(k, retried).into_iter().any(waits)).collect();
         ranks.sort_by(|a, b| self.dense(b.0).total_cmp(&self.dense(a.0)).then(a.1.cmp(&b.1)));
         ranks
@@ -493,15 +503,15 @@
     /// known. Who wants a primary is to come back when changes of late were over.
     fn answer(&mut self, now: Duration, txn: usize, host: &mut impl Host) {
         let Txn { kind, group, fate, .. } = *self.txn(txn);
-        match fate.verdict() {
-            Verdict::Decline => {
-                let waits = matches!(self.types[kind].level, Level::Write | Level::Fresh);
-                let left = self.tenure.left(now, group).filter(|_| waits);
+        match fate.final_answer() {
+            FinalAnswer::Decline => {
+                let waits = matches!(self.types[kind].consistency, Consistency::Write | Consistency::Fresh);
+                let left = self.tenure.expected_wait(now, group).filter(|_| waits);
                 let left = left.map(|left| left.mul_f64(1.0 + HALF * self.rng.rand_float()));
                 let wait = left.unwrap_or(self.types[kind].sla / 2);
                 host.decline(txn, self.come_back_most.map(|most| most.min(wait)));
             }
-            Verdict::Unknown | Verdict::Committed => host.unknown(txn),
+            FinalAnswer::Unknown | FinalAnswer::Committed => host.answer_unknown(txn),
         }
         self.txn_mut(txn).over = true;
         self.forget(txn, host);
@@ -513,7 +523,7 @@
         self.apart = Duration::from_secs_f64(self.known() / rate.max(1.0));
         let poll = self.apart.div_f64(POLLS_PER_TXN);
         let group = self.members[member].group;
-        let told = self.members_check || self.tenure.holder(group) == Some(member);
+        let told = self.members_check || self.tenure.primary(group) == Some(member);
         let pause = match self.members[member].probe_failures {
             0 if self.tenure.writer(group).is_none() && !self.held.is_empty(group) => every / 2,
             0 if told => poll.max(every) * WRITER_SELDOM,
@@ -522,7 +532,7 @@
         };
         self.members[member].probe_due = now + pause;
         self.due = self.due.min(now + pause);
-        host.remind(now + pause, member as u64 * 2 + 2);
+        host.set_timer(now + pause, member as u64 * 2 + 2);
     }
 
     pub(crate) fn settle(&mut self, now: Duration, of: &[usize], host: &mut impl Host) {
@@ -551,7 +561,8 @@
         for i in 0..self.groups[group].members.len() {
             let member = self.groups[group].members[i];
             let m = &self.members[member];
-            let sent = m.in_hand.iter().filter_map(|&t| self.txn(t).fate.out()).map(|o| o.at).min();
+            let sent =
+                m.in_hand.iter().filter_map(|&t| self.txn(t).fate.in_flight()).map(|o| o.sent_at).min();
             let Some(sent) = sent else { continue };
             let usual = |&t: &usize| self.usual[self.txn(t).kind];
             let slowest = m.in_hand.iter().map(usual).fold(0.0, f64::max) / m.in_hand.len().min(2) as f64;
@@ -567,14 +578,14 @@
             }
             off.extend(self.members[member].in_hand.iter().copied().filter(|&txn| {
                 let t = self.txn(txn);
-                let out = t.fate.out().map_or(now, |out| out.at.max(self.awake));
-                let overtaken = !vacant && t.fate.out().is_some_and(|out| out.place.term < term);
+                let out = t.fate.in_flight().map_or(now, |out| out.sent_at.max(self.awake));
+                let overtaken = !vacant && t.fate.in_flight().is_some_and(|out| out.target.term < term);
                 let passed = spare && out < self.members[member].passed_by && now < self.hope(t);
                 let out_for = (now - out).as_secs_f64() / self.usual[t.kind];
                 let again = match self.types[t.kind].effect {
                     Effect::Repeatable => silent || passed && out_for > SILENCE,
                     Effect::Referenced { .. } => {
-                        let known = t.fate.would_last().is_some_and(|last| now < last.min(t.expiry));
+                        let known = t.fate.resendable_until().is_some_and(|last| now < last.min(t.expiry));
                         (passed && out_for > LOST || overtaken) && known
                     }
                     Effect::OnceOnly => false,
@@ -591,17 +602,17 @@
 
     /// Keeps the record of who is primary; who takes the slot starts with little room. The host hears of it.
     fn fill_slot(&mut self, now: Duration, group: usize, host: &mut impl Host) -> bool {
-        let (before, looked) = (self.tenure.holder(group), self.tenure.looks(group));
-        let write = |&&t: &&usize| self.types[self.txn(t).kind].level == Level::Write;
+        let (before, looked) = (self.tenure.primary(group), self.tenure.plan_deadline(group));
+        let write = |&&t: &&usize| self.types[self.txn(t).kind].consistency == Consistency::Write;
         let out = |plan: &Plan| self.members[plan.leaving].in_hand.iter().filter(write).count();
         let out = self.tenure.plan(group).map_or(0, out);
-        self.tenure.settle(now, group, out);
-        let (changes, looks) = (self.tenure.take_changes(), self.tenure.looks(group));
+        self.tenure.apply_rules(now, group, out);
+        let (changes, looks) = (self.tenure.take_changes(), self.tenure.plan_deadline(group));
         changes.iter().for_each(|change| host.primary_changed(change));
         if let Some(at) = looks.filter(|_| looks != looked || !changes.is_empty()) {
-            host.remind(at, self.groups[group].members[0] as u64 * 2 + 2);
+            host.set_timer(at, self.groups[group].members[0] as u64 * 2 + 2);
         }
-        let writer = self.tenure.holder(group);
+        let writer = self.tenure.primary(group);
         if let Some(w) = writer.filter(|_| writer != before) {
             let (first, m) = (self.part(ROOM_FIRST), &mut self.members[w]);
             (m.room, m.shunned) = (m.room.min(first), Duration::ZERO);
@@ -615,7 +626,8 @@
         let (Some(every), g) = (self.probe_every, &self.groups[group]) else { return false };
         let empty = self.tenure.writer(group).is_none();
         let unproven = |&(kind, _): &(usize, bool)| {
-            let bounded = matches!(self.types[kind].level, Level::Bounded(_)) && !self.members_check;
+            let bounded =
+                matches!(self.types[kind].consistency, Consistency::Bounded(_)) && !self.members_check;
             bounded && !g.members.iter().any(|&m| self.reads(now, m) && self.proven(now, kind, None, m))
         };
         let held = self.ranks(group);
@@ -634,7 +646,7 @@
         for &(m, at) in &asked {
             self.members[m].probe_due = at;
             if at > now {
-                host.remind(at, m as u64 * 2 + 2);
+                host.set_timer(at, m as u64 * 2 + 2);
             }
         }
         asked.iter().any(|&(_, at)| at == now)
@@ -642,7 +654,7 @@
 
     fn reads(&self, now: Duration, member: usize) -> bool {
         let m = &self.members[member];
-        self.tenure.holder(m.group) != Some(member) && m.shunned <= now && !m.stopped
+        self.tenure.primary(m.group) != Some(member) && m.shunned <= now && !m.stopped
     }
 
     fn awaits(&self, now: Duration, group: usize) -> bool {
@@ -660,7 +672,7 @@
             (self.members[i].probe_out, self.members[i].asked) = (true, Some(now));
             host.probe(i);
             self.due = self.due.min(now + REPORT_DUE);
-            host.remind(now + REPORT_DUE, i as u64 * 2 + 2);
+            host.set_timer(now + REPORT_DUE, i as u64 * 2 + 2);
         }
         due.is_some()
     }
@@ -669,7 +681,7 @@
     /// its group. Meets overload, storms of later tries; harms where members are gone for good.
     fn throttle(&mut self, now: Duration, host: &mut impl Host) -> bool {
         let Some(txn) = self.unweighed.pop() else { return false };
-        let Some(Wait { kind, group, .. }) = self.held.get(txn).copied() else { return true };
+        let Some(WaitingTxn { kind, group, .. }) = self.held.get(txn).copied() else { return true };
         let dearest = (0..self.types.len()).map(|kind| self.dense(kind)).fold(f64::MIN, f64::max);
         let heard = self.tallies.iter_mut().map(|t| t.in_time.sum(now)).sum::<f64>() / self.known();
         let leeway = (LEEWAY + HALF * self.dense(kind) / dearest).max(1.0) * (1.0 + (heard / HEARD).powi(2));
@@ -697,7 +709,7 @@
     /// Whatever waits past hope is answered, of whichever group.
     fn give_up(&mut self, now: Duration, host: &mut impl Host) -> bool {
         let takes = |kind: usize| Duration::from_secs_f64(self.usual[kind]);
-        let Some(txn) = self.held.due(now, takes) else { return false };
+        let Some(txn) = self.held.next_expired(now, takes) else { return false };
         self.held.remove(txn);
         self.answer(now, txn, host);
         true
@@ -712,7 +724,7 @@
         }
         let mut placed = false;
         for (kind, retried) in self.ranks(group) {
-            let alike = self.types[kind].level != Level::Session;
+            let alike = self.types[kind].consistency != Consistency::Session;
             let mut next = both(kind, retried).map(|rank| self.held.newest(rank, group));
             while let Some(txn) = next.iter().flatten().copied().max_by_key(|&t| (self.txn(t).arrived, t)) {
                 let of = usize::from(next[0] != Some(txn));
@@ -731,10 +743,14 @@
     fn choose(&mut self, now: Duration, txn: usize) -> Option<usize> {
         let Txn { group, kind, .. } = *self.txn(txn);
         let fit = |w: &usize| self.has_room(now, *w, 1.0) && self.members[*w].shunned <= now;
-        let writer = self.tenure.holder(group).filter(fit);
-        match self.types[kind].level {
-            Level::Write | Level::Fresh if self.calls(group, kind) => return self.callee(now, txn),
-            Level::Write | Level::Fresh => return writer.filter(|_| self.tenure.writer(group) == writer),
+        let writer = self.tenure.primary(group).filter(fit);
+        match self.types[kind].consistency {
+            Consistency::Write | Consistency::Fresh if self.calls(group, kind) => {
+                return self.callee(now, txn);
+            }
+            Consistency::Write | Consistency::Fresh => {
+                return writer.filter(|_| self.tenure.writer(group) == writer);
+            }
             _ => {}
         }
         // A later try that is worth nothing late leaves half of the room to first tries still to come.
@@ -752,11 +768,11 @@
             }
         }
         // Exception: reads spill into half of the writer's room; one just promoted has its writes first.
-        let writes = |&(kind, _): &(usize, bool)| self.types[kind].level == Level::Write;
+        let writes = |&(kind, _): &(usize, bool)| self.types[kind].consistency == Consistency::Write;
         let busy = self.tenure.phase(group) == Phase::Settling && self.ranks(group).iter().any(writes);
         let spare = |&w: &usize| !busy && (!known || self.idles(now, group)) && self.has_room(now, w, HALF);
         let spare = writer.filter(spare);
-        let bounded = matches!(self.types[kind].level, Level::Bounded(_));
+        let bounded = matches!(self.types[kind].consistency, Consistency::Bounded(_));
         let reader = match inside.len() {
             0 if known => None,
             0 if bounded && !self.members_check && self.awaits(now, group) => return None,
@@ -779,15 +795,15 @@
     /// Exception: where no probe is allowed a write without a primary is its own, and a fresh read where members
     /// check: who is none turns it away untouched. Meets fronts that know nobody; harms by what is turned away.
     fn calls(&self, group: usize, kind: usize) -> bool {
-        let own = self.types[kind].level == Level::Write || self.members_check;
-        own && self.probe_every.is_none() && self.tenure.holder(group).is_none()
+        let own = self.types[kind].consistency == Consistency::Write || self.members_check;
+        own && self.probe_every.is_none() && self.tenure.primary(group).is_none()
     }
 
     /// One that has not failed: whom the list names, then who said longest ago, or never, that it is a replica.
     fn callee(&mut self, now: Duration, txn: usize) -> Option<usize> {
         let mut best = None;
         for m in self.groups[self.txn(txn).group].members.clone() {
-            let denied = self.tenure.denied(m);
+            let denied = self.tenure.replica_reported_at(m);
             let rested = denied.is_none_or(|at| at + SHUN_FIRST <= now) && self.members[m].shunned <= now;
             if rested && self.has_room(now, m, 1.0) && self.gate(now, txn, m) {
                 let (sound, named) = (self.members[m].failures == 0, self.members[m].hinted);
@@ -801,7 +817,7 @@
     fn idles(&mut self, now: Duration, group: usize) -> bool {
         let (mut in_time, mut ended) = (PRIOR, PRIOR);
         for (kind, tally) in self.groups[group].tallies.iter_mut().enumerate() {
-            if matches!(self.types[kind].level, Level::Write | Level::Fresh) {
+            if matches!(self.types[kind].consistency, Consistency::Write | Consistency::Fresh) {
                 (in_time, ended) = (in_time + tally.in_time.sum(now), ended + tally.ended.sum(now));
             }
         }
@@ -810,8 +826,9 @@
 
     /// Submissions at work there; lost ones take no room. Meets links that swallow a share of all.
     fn at_work(&self, now: Duration, member: usize) -> usize {
-        let at_work =
-            |&&t: &&usize| self.txn(t).fate.out().is_none_or(|o| !self.lost(now - o.at, self.txn(t).kind));
+        let at_work = |&&t: &&usize| {
+            self.txn(t).fate.in_flight().is_none_or(|o| !self.lost(now - o.sent_at, self.txn(t).kind))
+        };
         self.members[member].in_hand.iter().filter(at_work).count()
     }
 
@@ -836,17 +853,19 @@
 
     /// A former primary's proofs count from the beginning of the newest term.
     fn proof(&self, member: usize) -> Option<Duration> {
-        self.members[member].position.filter(|&position| position >= self.tenure.proof_from(member))
+        self.members[member].position.filter(|&position| position >= self.tenure.valid_positions_from(member))
     }
 
     /// Whether a member's data is proven to be as new as a txn type, or a txn, needs it.
     fn proven(&self, now: Duration, kind: usize, must_see: Option<Duration>, member: usize) -> bool {
         let position = self.proof(member);
-        match self.types[kind].level {
-            Level::Write => false,
-            Level::Loose => true,
-            Level::Bounded(bound) => position.is_some_and(|p| p + bound >= now + Duration::from_millis(1)),
-            Level::Fresh | Level::Session => must_see.is_none_or(|need| position >= Some(need)),
+        match self.types[kind].consistency {
+            Consistency::Write => false,
+            Consistency::Loose => true,
+            Consistency::Bounded(bound) => {
+                position.is_some_and(|p| p + bound >= now + Duration::from_millis(1))
+            }
+            Consistency::Fresh | Consistency::Session => must_see.is_none_or(|need| position >= Some(need)),
         }
     }
 
@@ -856,9 +875,9 @@
         let (m, still) = (&self.members[member], self.tenure.writer(self.members[member].group).is_none());
         let lag = if now > m.told_at + 2 * m.lag { Duration::ZERO } else { m.lag };
         let at = if still { m.position.unwrap_or(now) } else { now.saturating_sub(lag) };
-        match self.types[kind].level {
-            Level::Bounded(bound) => at + bound > now,
-            Level::Session => must_see.is_none_or(|need| at >= need),
+        match self.types[kind].consistency {
+            Consistency::Bounded(bound) => at + bound > now,
+            Consistency::Session => must_see.is_none_or(|need| at >= need),
             _ => self.proven(now, kind, must_see, member),
         }
     }
@@ -868,11 +887,11 @@
         let t = self.txn(txn);
         let kind = self.types[t.kind];
         // Rule 2: one submission at a time, no more than allowed, and no second effect.
-        let once = t.fate.bars(now, self.max_submissions, self.place_at(member)).is_none();
+        let once = t.fate.blocked_at(now, self.max_submissions, self.place_at(member)).is_none();
         // Rule 3: nothing new once the list says draining or gone; the grace is not used.
         let stays = self.members[member].group == t.group && !self.members[member].stopped;
         // Rule 5: proof, or the writer; an answer or a report as a replica empties that slot.
-        let current = kind.level == Level::Write
+        let current = kind.consistency == Consistency::Write
             || self.tenure.trusted(member)
             || self.members_check
             || self.proven(now, t.kind, t.must_see, member);
@@ -914,24 +933,26 @@
         let m = &mut self.members[member];
         m.in_hand.push(txn);
         m.sent.add(now, work);
-        host.send(txn, member, self.holds_until(txn));
+        host.send(txn, member, self.valid_until(txn));
         true
     }
 
     /// Rules 1, 2, 3 and 5 again: until when a submission that waits for a connection may be written. A write
     /// whose primary has lost the slot meanwhile, or hands over, waits for the next one.
-    pub fn holds_until(&self, txn: usize) -> Duration {
+    pub fn valid_until(&self, txn: usize) -> Duration {
         let Some(Some(t)) = self.txns.get(txn) else { return Duration::ZERO };
-        let Some(out) = t.fate.out().filter(|_| !t.over) else { return Duration::ZERO };
-        let (member, m) = (out.place.member, &self.members[out.place.member]);
-        let last = t.fate.window_ends().map_or(t.expiry, |ends| ends.min(t.expiry));
+        let Some(out) = t.fate.in_flight().filter(|_| !t.over) else { return Duration::ZERO };
+        let (member, m) = (out.target.member, &self.members[out.target.member]);
+        let last = t.fate.window_end().map_or(t.expiry, |ends| ends.min(t.expiry));
         let excused = self.members_check || self.tenure.trusted(member);
         let led = self.tenure.held_term(member) > 0 && !self.calls(m.group, t.kind);
-        match self.types[t.kind].level {
+        match self.types[t.kind].consistency {
             _ if m.stopped => Duration::ZERO,
             _ if !excused && t.must_see.is_some_and(|need| self.proof(member) < Some(need)) => Duration::ZERO,
-            Level::Write if led && self.tenure.writer(m.group) != Some(member) => Duration::ZERO,
-            Level::Bounded(b) if !excused => self.proof(member).map_or(Duration::ZERO, |p| last.min(p + b)),
+            Consistency::Write if led && self.tenure.writer(m.group) != Some(member) => Duration::ZERO,
+            Consistency::Bounded(b) if !excused => {
+                self.proof(member).map_or(Duration::ZERO, |p| last.min(p + b))
+            }
             _ => last,
         }
     }
--- a/crates/router/src/ring.rs
+++ b/crates/router/src/sliding_sum.rs
@@ -5,10 +5,10 @@
 /// A sum over the last `span`, in buckets of equal width.
 ///
 /// ```
-/// use juniperdock_router::ring::Ring;
+/// use juniperdock_router::sliding_sum::SlidingSum;
 /// use std::time::Duration;
 ///
-/// let mut sent = Ring::new(Duration::from_secs(1), 4);
+/// let mut sent = SlidingSum::new(Duration::from_secs(1), 4);
 /// sent.add(Duration::from_millis(100), 2.0);
 /// sent.add(Duration::from_millis(900), 1.0);
 /// assert_eq!(sent.sum(Duration::from_millis(950)), 3.0);
@@ -16,18 +16,18 @@
 /// assert_eq!(sent.sum(Duration::from_secs(9)), 0.0);
 /// ```
 #[derive(Clone, Debug)]
-pub struct Ring {
+pub struct SlidingSum {
     width: Duration,
     newest: u64,
     cells: Vec<f64>,
 }
 
-impl Ring {
+impl SlidingSum {
     /// One cell more than asked for, so that a sum covers at least `span`, never less.
     pub fn new(span: Duration, buckets: usize) -> Self {
         let buckets = buckets.max(1);
         let width = (span / buckets as u32).max(Duration::from_micros(1));
-        Ring { width, newest: 0, cells: vec![0.0; buckets + 1] }
+        SlidingSum { width, newest: 0, cells: vec![0.0; buckets + 1] }
     }
 
     fn turn_to(&mut self, now: Duration) {
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -1,18 +1,22 @@
 //! What the router remembers and is told at its start; nothing is decided here.
 
-use crate::host::{ColdStart, Host, Level, Plan, Standing, TxnType};
-use crate::ring::Ring;
+use crate::host::{ColdStart, Consistency, FrontInfo, Host, Plan, TxnType};
 use crate::sessions::Sessions;
-use juniperdock_attempt_outcome::{Fate, Place};
-use juniperdock_primary_tracker::Tenure;
-use juniperdock_wait_queue::{Held, Most, Rank};
+use crate::sliding_sum::SlidingSum;
+use juniperdock_attempt_outcome::{SubmissionHistory, Target};
+use juniperdock_primary_tracker::PrimaryTracker;
+use juniperdock_wait_queue::{QueueKey, WaitLimits, WaitQueue};
 use oorandom::Rand64;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 /// No limit but memory.
-const ALL: Most =
-    Most { of_group: usize::MAX, of_all: usize::MAX, bytes_of_group: usize::MAX, bytes_of_all: usize::MAX };
+const ALL: WaitLimits = WaitLimits {
+    per_group: usize::MAX,
+    total: usize::MAX,
+    bytes_per_group: usize::MAX,
+    total_bytes: usize::MAX,
+};
 
 #[derive(Debug)]
 pub(crate) struct Member {
@@ -62,8 +66,8 @@
     /// Times in a row that it was full.
     pub fulls: u32,
     pub shunned: Duration,
-    pub sent: Ring,
-    pub done: Ring,
+    pub sent: SlidingSum,
+    pub done: SlidingSum,
 }
 
 impl Member {
@@ -101,8 +105,8 @@
             failures: 0,
             fulls: 0,
             shunned: Duration::ZERO,
-            sent: Ring::new(window, 10),
-            done: Ring::new(window, 10),
+            sent: SlidingSum::new(window, 10),
+            done: SlidingSum::new(window, 10),
         }
     }
 }
@@ -125,14 +129,14 @@
 /// Submissions ended of late, those answered in time, and txns declined instead.
 #[derive(Clone, Debug)]
 pub(crate) struct Tally {
-    pub ended: Ring,
-    pub in_time: Ring,
-    pub declined: Ring,
+    pub ended: SlidingSum,
+    pub in_time: SlidingSum,
+    pub declined: SlidingSum,
 }
 
 impl Tally {
     pub fn new(span: Duration) -> Self {
-        let ring = Ring::new(span, 10);
+        let ring = SlidingSum::new(span, 10);
         Tally { ended: ring.clone(), in_time: ring.clone(), declined: ring }
     }
 }
@@ -159,7 +163,7 @@
     pub must_see: Option<Duration>,
     pub session: Option<u64>,
     /// What became of its submissions.
-    pub fate: Fate,
+    pub fate: SubmissionHistory,
     /// What it takes to keep it.
     pub bytes: usize,
     pub over: bool,
@@ -177,7 +181,7 @@
         expiry: Duration,
         must_see: Option<Duration>,
         session: Option<u64>,
-        fate: Fate,
+        fate: SubmissionHistory,
         bytes: usize,
     ) -> Self {
         Txn {
@@ -200,7 +204,7 @@
 #[derive(Debug)]
 pub struct Router {
     pub(crate) rng: Rand64,
-    pub(crate) standing: Standing,
+    pub(crate) standing: FrontInfo,
     pub(crate) types: Vec<TxnType>,
     pub(crate) cold: ColdStart,
     pub(crate) max_submissions: u32,
@@ -213,7 +217,7 @@
     pub(crate) gone_is_advice: bool,
     pub(crate) come_back_most: Option<Duration>,
     /// Txns a second that all fronts together take of each tenant within its share, and first tries seen here.
-    pub(crate) tenants: Vec<(f64, Ring)>,
+    pub(crate) tenants: Vec<(f64, SlidingSum)>,
     /// Worth of a txn beyond its tenant's share, as a share of its value: from 0 to 1.
     pub(crate) beyond_value: f64,
     pub(crate) probe_every: Option<Duration>,
@@ -226,9 +230,9 @@
     pub(crate) txns: Vec<Option<Txn>>,
     pub(crate) touched: Vec<usize>,
     /// Who is primary of each group.
-    pub(crate) tenure: Tenure,
+    pub(crate) tenure: PrimaryTracker,
     /// Txns that wait for a member.
-    pub(crate) held: Held,
+    pub(crate) held: WaitQueue,
     /// Txns that the throttle has not met yet.
     pub(crate) unweighed: Vec<usize>,
     /// Members that are or were of late.
@@ -251,15 +255,15 @@
     pub(crate) tallies: Vec<Tally>,
     /// What a new group counts in.
     pub(crate) blank: Tally,
-    pub(crate) first: Ring,
-    pub(crate) again: Ring,
+    pub(crate) first: SlidingSum,
+    pub(crate) again: SlidingSum,
 }
 
 impl Router {
     /// A router that remembers nothing and was allowed nothing yet.
-    pub(crate) fn blank(rng: Rand64, standing: Standing, types: Vec<TxnType>, cold: ColdStart) -> Self {
-        let (none, kinds) = (Ring::new(Duration::ZERO, 1), types.len());
-        let sessions = Sessions::new(types.iter().any(|t| t.level == Level::Session));
+    pub(crate) fn blank(rng: Rand64, standing: FrontInfo, types: Vec<TxnType>, cold: ColdStart) -> Self {
+        let (none, kinds) = (SlidingSum::new(Duration::ZERO, 1), types.len());
+        let sessions = Sessions::new(types.iter().any(|t| t.consistency == Consistency::Session));
         Router {
             rng,
             standing,
@@ -280,8 +284,8 @@
             groups: Vec::new(),
             txns: Vec::new(),
             touched: Vec::new(),
-            tenure: Tenure::default(),
-            held: Held::new(kinds, ALL),
+            tenure: PrimaryTracker::default(),
+            held: WaitQueue::new(kinds, ALL),
             unweighed: Vec::new(),
             known: 0,
             gone: BTreeSet::new(),
@@ -300,7 +304,7 @@
     }
 
     /// How many submissions a txn may have in all.
-    pub fn allow_submissions(&mut self, most: u32) {
+    pub fn set_max_submissions(&mut self, most: u32) {
         self.max_submissions = most;
     }
 
@@ -313,39 +317,39 @@
     }
 
     /// How far in the future a declined client can be told to come back.
-    pub fn allow_come_back(&mut self, longest: Duration) {
+    pub fn set_max_retry_after(&mut self, longest: Duration) {
         self.come_back_most = Some(longest);
     }
 
     /// What each tenant may ask of all fronts together, in txns a second, and what a txn beyond that is still
     /// worth, as a share of its value from 0 to 1.
-    pub fn share_out(&mut self, quotas: &[f64], beyond_value: f64) {
+    pub fn set_tenant_quotas(&mut self, quotas: &[f64], beyond_value: f64) {
         self.tenants = quotas.iter().map(|&quota| (quota, self.first.clone())).collect();
         self.beyond_value = beyond_value;
     }
 
     /// Members hold or turn away reads that they are too far behind for.
-    pub fn members_check_reads(&mut self) {
+    pub fn assume_members_check_reads(&mut self) {
         self.members_check = true;
     }
 
     /// Clients carry the age of their session's last write.
-    pub fn clients_carry_marks(&mut self) {
+    pub fn trust_client_session_marks(&mut self) {
         self.marks_carried = true;
     }
 
     /// How many txns may wait for a member, and how large they may be together.
-    pub fn hold_at_most(&mut self, most: Most) {
-        self.held.limit(most);
+    pub fn set_wait_queue_limits(&mut self, most: WaitLimits) {
+        self.held.set_limits(most);
     }
 
     /// How long what no member has had is held, as a share of its time.
-    pub fn hold_untaken(&mut self, share: f64) {
+    pub fn set_unexecuted_wait_share(&mut self, share: f64) {
         self.untaken = share;
     }
 
     /// Who is primary of each group, and how sure that is.
-    pub fn tenure(&self) -> &Tenure {
+    pub fn primary_tracker(&self) -> &PrimaryTracker {
         &self.tenure
     }
 
@@ -355,14 +359,14 @@
     }
 
     /// Asks every member for its role and position now, though no txn waits for it.
-    pub fn ask_all(&mut self, now: Duration, host: &mut impl Host) {
+    pub fn probe_all_members(&mut self, now: Duration, host: &mut impl Host) {
         self.members.iter_mut().for_each(|member| member.probe_due = now);
         (0..self.groups.len()).for_each(|group| self.touch(group));
         self.settle(now, &[], host);
     }
 
     /// A member is asked as soon as the rules on probes let it be.
-    pub fn ask_one(&mut self, now: Duration, member: usize, host: &mut impl Host) {
+    pub fn probe_member(&mut self, now: Duration, member: usize, host: &mut impl Host) {
         let Some(m) = self.members.get_mut(member).filter(|m| m.listed) else { return };
         m.probe_due = m.probe_due.min(now);
         let group = m.group;
@@ -370,13 +374,14 @@
     }
 
     /// Txns a second that have come here of late.
-    pub fn rate(&mut self, now: Duration) -> f64 {
+    pub fn arrival_rate(&mut self, now: Duration) -> f64 {
         self.first.sum(now) / now.as_secs_f64().clamp(1e-3, self.first.span().as_secs_f64())
     }
 
     /// The tightest bound on the age of reads, where there is one.
-    pub fn tightest(&self) -> Option<Duration> {
-        let bound = |t: &TxnType| if let Level::Bounded(bound) = t.level { Some(bound) } else { None };
+    pub fn tightest_bound(&self) -> Option<Duration> {
+        let bound =
+            |t: &TxnType| if let Consistency::Bounded(bound) = t.consistency { Some(bound) } else { None };
         self.types.iter().filter_map(bound).min()
     }
 
@@ -386,7 +391,7 @@
     }
 
     /// Being gone from the list does not bind, only draining does.
-    pub fn gone_is_advice(&mut self) {
+    pub fn treat_removal_as_advisory(&mut self) {
         self.gone_is_advice = true;
     }
 
@@ -403,12 +408,12 @@
     /// A member's index is free again; nothing of it is left behind.
     pub(crate) fn drop_member(&mut self, now: Duration, member: usize, blank: Member, host: &mut impl Host) {
         let group = self.members[member].group;
-        self.tenure.unseat(now, member);
+        self.tenure.remove_member(now, member);
         self.known -= usize::from(self.members[member].listed);
         self.groups[group].members.retain(|&m| m != member);
         self.gone.remove(&member);
         self.members[member] = blank;
-        host.forget(member);
+        host.release_member(member);
     }
 
     /// Listed members that a whole list does not name; they are noted as gone.
@@ -435,9 +440,9 @@
     }
 
     pub(crate) fn forget(&mut self, txn: usize, host: &mut impl Host) {
-        if self.txn(txn).fate.out().is_none() {
+        if self.txn(txn).fate.in_flight().is_none() {
             self.txns[txn] = None;
-            host.release(txn);
+            host.release_txn(txn);
         }
     }
 
@@ -452,7 +457,7 @@
     pub(crate) fn writes_out(&self, group: usize, session: u64) -> bool {
         let its = |&txn: &usize| {
             let t = self.txn(txn);
-            t.session == Some(session) && self.types[t.kind].level == Level::Write
+            t.session == Some(session) && self.types[t.kind].consistency == Consistency::Write
         };
         self.groups[group].members.iter().any(|&m| self.members[m].in_hand.iter().any(its))
     }
@@ -462,12 +467,12 @@
         if self.held.get(txn).is_some() {
             let last = self.hope(self.txn(txn));
             let at = if self.probe_every.is_some() { last } else { last.min(next) };
-            host.remind(at, txn as u64 * 2 + 1);
+            host.set_timer(at, txn as u64 * 2 + 1);
         }
     }
 
     /// What sessions have written before `now` is not known any more: their reads must see all of it.
-    pub fn sessions_lost(&mut self, now: Duration) {
+    pub fn session_marks_lost(&mut self, now: Duration) {
         self.sessions.lost(now);
     }
 
@@ -480,20 +485,20 @@
     }
 
     /// Orders a planned change of a group's primary: its writes wait from now on.
-    pub fn order_change(
+    pub fn order_primary_change(
         &mut self,
         now: Duration,
         group: usize,
         successor: Option<usize>,
         host: &mut impl Host,
     ) -> Result<Plan, String> {
-        let plan = self.tenure.order(now, group, successor)?;
+        let plan = self.tenure.order_change(now, group, successor)?;
         self.settle(now, &[group], host);
         Ok(plan)
     }
 
     /// Calls a planned change off; false where none is under way.
-    pub fn call_off_change(&mut self, now: Duration, group: usize, host: &mut impl Host) -> bool {
+    pub fn cancel_primary_change(&mut self, now: Duration, group: usize, host: &mut impl Host) -> bool {
         let off = self.tenure.call_off(now, group);
         if off {
             self.settle(now, &[group], host);
@@ -502,13 +507,13 @@
     }
 
     /// Where a submission to a member would go, as the record of a txn's fate knows it.
-    pub(crate) fn place_at(&self, member: usize) -> Place {
+    pub(crate) fn place_at(&self, member: usize) -> Target {
         let Member { group, zone, .. } = self.members[member];
-        Place { member, group, zone, term: self.tenure.term(group) }
+        Target { member, group, zone, term: self.tenure.term(group) }
     }
 }
 
 /// The queues of a type's first or later tries: those never sent, and those that were.
-pub(crate) fn both(kind: usize, retried: bool) -> [Rank; 2] {
-    [false, true].map(|tried| Rank { kind, retried, tried })
+pub(crate) fn both(kind: usize, retried: bool) -> [QueueKey; 2] {
+    [false, true].map(|submitted| QueueKey { kind, retried, submitted })
 }
--- a/crates/router/tests/fake/mod.rs
+++ b/crates/router/tests/fake/mod.rs
@@ -30,18 +30,18 @@
         self.1.push(come_back);
         self.0.push(Act::Declined(txn));
     }
-    fn unknown(&mut self, txn: usize) {
+    fn answer_unknown(&mut self, txn: usize) {
         self.0.push(Act::Unknown(txn));
     }
-    fn release(&mut self, _txn: usize) {}
-    fn forget(&mut self, member: usize) {
+    fn release_txn(&mut self, _txn: usize) {}
+    fn release_member(&mut self, member: usize) {
         self.0.push(Act::Forgotten(member));
     }
     fn probe(&mut self, member: usize) {
         self.0.push(Act::Probed(member));
     }
-    fn remind(&mut self, _at: Duration, _handle: u64) {}
-    fn listen(&mut self) {
+    fn set_timer(&mut self, _at: Duration, _handle: u64) {}
+    fn subscribe_to_member_list(&mut self) {
         self.0.push(Act::Listened);
     }
 }
@@ -68,31 +68,31 @@
 impl Story {
     /// One group: members 0 to 2, of which nothing is known yet.
     pub fn new() -> Self {
-        Story::of(Standing { me: 0, fronts: 2, zone: 0 })
+        Story::of(FrontInfo { index: 0, fronts: 2, zone: 0 })
     }
 
-    pub fn of(standing: Standing) -> Self {
-        let kind = |effect, level| {
-            let late_value = if matches!(level, Level::Bounded(_)) { 0.0 } else { 0.5 };
-            TxnType { sla: ms(400), value: 1.0, late_value, effect, level }
+    pub fn of(standing: FrontInfo) -> Self {
+        let kind = |effect, consistency| {
+            let late_value = if matches!(consistency, Consistency::Bounded(_)) { 0.0 } else { 0.5 };
+            TxnType { sla: ms(400), value: 1.0, late_value, effect, consistency }
         };
         let marked = Effect::Referenced { window: ms(2000), scope: Scope::Group };
         let types = vec![
-            kind(Effect::Repeatable, Level::Bounded(ms(300))),
-            kind(Effect::Repeatable, Level::Loose),
-            kind(Effect::OnceOnly, Level::Write),
-            kind(marked, Level::Write),
-            kind(Effect::Repeatable, Level::Fresh),
-            kind(Effect::Repeatable, Level::Session),
+            kind(Effect::Repeatable, Consistency::Bounded(ms(300))),
+            kind(Effect::Repeatable, Consistency::Loose),
+            kind(Effect::OnceOnly, Consistency::Write),
+            kind(marked, Consistency::Write),
+            kind(Effect::Repeatable, Consistency::Fresh),
+            kind(Effect::Repeatable, Consistency::Session),
         ];
         let cold = ColdStart { share: 0.2, warm_up: ms(10_000), multiple: 2.5, window: ms(1500) };
-        let mut router = Router::new(7 + standing.me as u64, standing, types, cold);
-        router.allow_submissions(6);
+        let mut router = Router::new(7 + standing.index as u64, standing, types, cold);
+        router.set_max_submissions(6);
         router.allow_cancelling();
-        router.allow_come_back(ms(500));
+        router.set_max_retry_after(ms(500));
         let mut story = Story { router, host: Acts::default(), now: ms(1000), next: 0 };
         for member in 0..3 {
-            story.list(member, Listed::Up, None);
+            story.list(member, ListedState::Up, None);
         }
         story
     }
@@ -104,14 +104,14 @@
         story
     }
 
-    pub fn list(&mut self, member: usize, state: Listed, up_for: Option<Duration>) {
-        self.router.listed(self.now, member, 0, 0, state, false, up_for);
-        self.router.list_ended(self.now, None, &mut self.host);
+    pub fn list(&mut self, member: usize, state: ListedState, up_for: Option<Duration>) {
+        self.router.member_listed(self.now, member, 0, 0, state, false, up_for);
+        self.router.list_completed(self.now, None, &mut self.host);
     }
 
     pub fn report(&mut self, member: usize, role: Role, position: Duration) {
         let report = Report { position: Some(position), role: Some(role), ..Report::default() };
-        self.router.probed(self.now, member, Ending::Committed, report, &mut self.host);
+        self.router.probe_ended(self.now, member, AttemptOutcome::Committed, report, &mut self.host);
     }
 
     pub fn report_all(&mut self, writer: usize) {
@@ -142,13 +142,20 @@
     }
 
     /// An answer that tells its member's role, and a position if there is one.
-    pub fn told(&mut self, txn: usize, member: usize, ending: Ending, role: Role, at: Option<Duration>) {
-        let (over, now, host) = (ending == Ending::Committed, self.now, &mut self.host);
+    pub fn told(
+        &mut self,
+        txn: usize,
+        member: usize,
+        ending: AttemptOutcome,
+        role: Role,
+        at: Option<Duration>,
+    ) {
+        let (over, now, host) = (ending == AttemptOutcome::Committed, self.now, &mut self.host);
         self.router.submission_ended(now, txn, over, member, ending, Some(role), at, ms(1), host);
     }
 
-    pub fn end(&mut self, txn: usize, member: usize, ending: Ending, took: u64) {
-        let over = ending == Ending::Committed;
+    pub fn end(&mut self, txn: usize, member: usize, ending: AttemptOutcome, took: u64) {
+        let over = ending == AttemptOutcome::Committed;
         let (now, took) = (self.now, ms(took));
         self.router.submission_ended(now, txn, over, member, ending, None, None, took, &mut self.host);
     }
@@ -156,8 +163,8 @@
     /// Lets time pass; a reminder touches the group and the txn.
     pub fn wait(&mut self, span: u64, txn: usize) {
         self.now += ms(span);
-        self.router.reminder_due(self.now, 2, &mut self.host);
-        self.router.reminder_due(self.now, txn as u64 * 2 + 1, &mut self.host);
+        self.router.timer_fired(self.now, 2, &mut self.host);
+        self.router.timer_fired(self.now, txn as u64 * 2 + 1, &mut self.host);
     }
 
     pub fn did(&self, act: &Act) -> bool {
--- a/crates/server-clock/src/lib.rs
+++ b/crates/server-clock/src/lib.rs
@@ -20,7 +20,7 @@
 
 /// One position, as a server told it. Times are of the monotonic clock, since this process's start; the position lies there by what is known of the servers' time.
 #[derive(Clone, Copy, Debug)]
-pub struct Told {
+pub struct PositionSample {
     pub server: usize,
     /// It may lie after `now`.
     pub position: Duration,
@@ -61,7 +61,7 @@
 
 impl ServerClock {
     /// Judges a position. After `Behind` the caller has to date positions that much earlier before it asks again.
-    pub fn judge(&mut self, told: Told) -> Verdict {
+    pub fn judge(&mut self, told: PositionSample) -> Verdict {
         if told.position <= told.now + TOLERANCE {
             self.claims.remove(&told.server);
             if told.primary {
@@ -102,7 +102,7 @@
 
     /// A primary's position was the present when it was told, between the question and now. The nearest of what was
     /// told of late counts: a report may have lain there for a while.
-    fn note_ahead(&mut self, told: Told) {
+    fn note_ahead(&mut self, told: PositionSample) {
         let ahead = told.asked.saturating_sub(told.position);
         let recent = self.ahead.filter(|(_, at)| told.now < *at + CONFIRMED_FOR);
         if recent.is_none_or(|(nearest, _)| ahead <= nearest) {
--- a/crates/server-clock/tests/server_clock.rs
+++ b/crates/server-clock/tests/server_clock.rs
@@ -1,6 +1,6 @@
 //! An oracle that knows the real time against what is made of positions.
 
-use juniperdock_server_clock::{ServerClock, TOLERANCE, Told, Verdict};
+use juniperdock_server_clock::{PositionSample, ServerClock, TOLERANCE, Verdict};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
     Duration::from_millis(ms)
 }
 
-fn told(server: usize, position: Duration, primary: bool, now: Duration) -> Told {
-    Told { server, position, primary, asked: now, now }
+fn told(server: usize, position: Duration, primary: bool, now: Duration) -> PositionSample {
+    PositionSample { server, position, primary, asked: now, now }
 }
 
 #[test]
@@ -74,7 +74,7 @@
             // A primary sits at the present at some time between the question and now.
             let at = if primary { asked + travel as i64 / 2 } else { asked - lag as i64 };
             let position = ms((start + at).max(0) as u64);
-            let verdict = clock.judge(Told { server, position, primary, asked: here(asked), now: here(real) });
+            let verdict = clock.judge(PositionSample { server, position, primary, asked: here(asked), now: here(real) });
             match verdict {
                 Verdict::Behind(by) => {
                     advanced += by.as_millis() as i64;
--- a/crates/server-list/src/entry.rs
+++ b/crates/server-list/src/entry.rs
@@ -64,7 +64,7 @@
 
 impl ServerList {
     /// Reads a list in JSON. The error says what was expected, and where.
-    pub fn read(text: &[u8]) -> Result<ServerList, String> {
+    pub fn parse(text: &[u8]) -> Result<ServerList, String> {
         serde_json::from_slice(text).map_err(|e| format!("expected a list of servers in JSON: {e}"))
     }
 }
--- a/crates/server-list/src/probes.rs
+++ b/crates/server-list/src/probes.rs
@@ -30,7 +30,7 @@
 
 impl ProbeLimits {
     /// For so many connections to servers.
-    pub fn of(connections: usize) -> ProbeLimits {
+    pub fn for_connections(connections: usize) -> ProbeLimits {
         let part = |part: usize| (connections / part).max(1);
         ProbeLimits { background: part(BACKGROUND_PART), all: part(ALL_PART) }
     }
--- a/crates/server-list/src/table.rs
+++ b/crates/server-list/src/table.rs
@@ -16,7 +16,7 @@
 
 impl KnownServer {
     /// What an entry says, with its group and its zone as indices.
-    pub fn of(entry: &ServerEntry, group: usize, zone: usize) -> KnownServer {
+    pub fn from_entry(entry: &ServerEntry, group: usize, zone: usize) -> KnownServer {
         KnownServer {
             address: entry.address,
             group,
--- a/crates/server-list/tests/server_list.rs
+++ b/crates/server-list/tests/server_list.rs
@@ -16,7 +16,7 @@
     };
     let entries: Vec<String> = servers.iter().map(entry).collect();
     let text = format!(r#"{{"version":{version},"full":{full},"servers":[{}]}}"#, entries.join(","));
-    ServerList::read(text.as_bytes()).expect("a list")
+    ServerList::parse(text.as_bytes()).expect("a list")
 }
 
 fn ids(list: Option<ServerList>) -> Option<Vec<String>> {
@@ -28,7 +28,7 @@
     let text = r#"{"version":4,"full":true,"servers":[
         {"id":"m","addr":"127.0.0.1:5","zone":"a","cell":3,"state":"up","role":"leader","started_ms":7},
         {"id":"n","addr":"127.0.0.1:6","cell":3,"state":"draining","started_ms":0,"role":null}]}"#;
-    let list = ServerList::read(text.as_bytes()).expect("a list");
+    let list = ServerList::parse(text.as_bytes()).expect("a list");
     let [one, two] = &list.servers[..] else { panic!("{list:?}") };
     assert!(one.is_leader() && !two.is_leader());
     assert_eq!((one.started_ms(), two.started_ms()), (Some(7), None));
@@ -40,7 +40,7 @@
         ("\"id\":\"m\",", ""),
         ("4", "-1"),
     ] {
-        let why = ServerList::read(text.replacen(from, to, 1).as_bytes()).expect_err(to);
+        let why = ServerList::parse(text.replacen(from, to, 1).as_bytes()).expect_err(to);
         assert!(why.starts_with("expected a list of servers in JSON: ") && why.contains("line"), "{why}");
     }
 }
@@ -160,7 +160,7 @@
     (0..3).for_each(|server| queue.ended(server));
     queue.ended(49);
     assert_eq!(starts(&mut queue, ms(0)), [102, 103, 104]);
-    assert_eq!(ProbeLimits::of(233), ProbeLimits { background: 58, all: 116 });
+    assert_eq!(ProbeLimits::for_connections(233), ProbeLimits { background: 58, all: 116 });
 }
 
 proptest! {
--- a/crates/sim-adapter/src/fellows.rs
+++ b/crates/sim-adapter/src/fellows.rs
@@ -1,6 +1,6 @@
 //! What instances send each other, where the simulator lets them: the program's membership over SHARE and MEMO.
 
-use juniperdock_membership::{Event, Fellows, Host, Keys, NEWEST, Times, life_at};
+use juniperdock_membership::{Event, Host, Keys, Membership, NEWEST_VERSION, Timing, incarnation_at};
 use std::fmt::Write;
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
 
     fn event(&mut self, event: Event) {
         let said = match event {
-            Event::Stands(standing) => format!("standing {}", standing.name()),
+            Event::ConnectivityChanged(standing) => format!("standing {}", standing.name()),
             Event::Down(other) => format!("fellow down {other}"),
             _ => return,
         };
@@ -37,11 +37,11 @@
 }
 
 /// An instance's part, born at a time of the simulator's clock in microseconds.
-pub fn born(me: usize, tier: usize, clock: i64, seed: u64) -> Fellows {
+pub fn born(me: usize, tier: usize, clock: i64, seed: u64) -> Membership {
     // All of one simulator are one fleet: nobody else reaches them.
-    let keys = Keys::read(&["5a".repeat(32)]).expect("a good key");
-    let life = life_at(UNIX + Duration::from_micros(clock.max(0) as u64));
-    Fellows::new(me, tier, life, seed, NEWEST, Times::of(EVERY), keys)
+    let keys = Keys::parse(&["5a".repeat(32)]).expect("a good key");
+    let life = incarnation_at(UNIX + Duration::from_micros(clock.max(0) as u64));
+    Membership::new(me, tier, life, seed, NEWEST_VERSION, Timing::with_period(EVERY), keys)
 }
 
 /// The bytes of hex digits; `-` for none.
--- a/crates/sim-adapter/src/world.rs
+++ b/crates/sim-adapter/src/world.rs
@@ -3,8 +3,8 @@
 use crate::fellows::{self, Letters, REMINDER};
 use crate::line::Line;
 use juniperdock_deployment::{self as deployment, Indices, Origin};
-use juniperdock_membership::Fellows;
-use juniperdock_router::host::{Ending, Host, Listed, Report, Role};
+use juniperdock_membership::Membership;
+use juniperdock_router::host::{AttemptOutcome, Host, ListedState, Report, Role};
 use juniperdock_router::routing::Router;
 use std::collections::HashMap;
 use std::fmt::Write;
@@ -16,7 +16,7 @@
     store: String,
     cell: u64,
     zone: usize,
-    state: Listed,
+    state: ListedState,
     primary: bool,
     came_up: Option<i64>,
 }
@@ -67,7 +67,7 @@
     router: Router,
     ids: Ids,
     /// Its part among the fronts, and when that is to be looked at next.
-    fellows: Option<Fellows>,
+    fellows: Option<Membership>,
     meets: Duration,
 }
 
@@ -112,17 +112,17 @@
         }
     }
 
-    fn unknown(&mut self, txn: usize) {
+    fn answer_unknown(&mut self, txn: usize) {
         let (front, id) = (self.ids.front, self.ids.txn_ids[txn]);
         self.put(format_args!("ABORT Front={front} Corr={id}"));
     }
 
-    fn release(&mut self, txn: usize) {
+    fn release_txn(&mut self, txn: usize) {
         self.ids.txns.remove(&self.ids.txn_ids[txn]);
         self.ids.free.push(txn);
     }
 
-    fn forget(&mut self, member: usize) {
+    fn release_member(&mut self, member: usize) {
         self.ids.stores.forget(member);
     }
 
@@ -131,13 +131,13 @@
         writeln!(self.out, "PROBE Front={front} Store={store}").expect("a String takes all");
     }
 
-    fn remind(&mut self, at: Duration, handle: u64) {
+    fn set_timer(&mut self, at: Duration, handle: u64) {
         let fire_at = (self.ids.origin.start + at.as_micros() as i64) as f64 / 1000.0;
         let front = self.ids.front;
         self.put(format_args!("REMIND Front={front} FireAt={fire_at} Handle={handle}"));
     }
 
-    fn listen(&mut self) {
+    fn subscribe_to_member_list(&mut self) {
         let front = self.ids.front;
         self.put(format_args!("LISTEN Front={front} On=1"));
     }
@@ -205,9 +205,9 @@
                 let asks = line.text("Discovery") == Some("on_request");
                 let front = instance.ids.front;
                 self.instances.insert(front, instance);
-                self.meet(front, |fellows, now, letters| fellows.due(now, letters));
+                self.meet(front, |fellows, now, letters| fellows.handle_timeout(now, letters));
                 if asks {
-                    self.call(front, |router, now, host| router.list_lost(now, host))?;
+                    self.call(front, |router, now, host| router.discovery_lost(now, host))?;
                 }
             }
             "RETIRE" => {
@@ -227,9 +227,9 @@
             cell: line.need("Cell")?,
             zone: line.opt("RegionPart")?.unwrap_or(0),
             state: match line.text("Health") {
-                Some("up") | None => Listed::Up,
-                Some("draining") => Listed::Draining,
-                Some("removed") => Listed::Removed,
+                Some("up") | None => ListedState::Up,
+                Some("draining") => ListedState::Draining,
+                Some("removed") => ListedState::Removed,
                 Some(other) => {
                     return Err(format!("ROW: expected up, draining or removed in Health, found {other:?}"));
                 }
@@ -246,7 +246,7 @@
         let complete = match line.text("How") {
             Some("Partial") => false,
             Some("Complete" | "Persisted") => true,
-            Some("Error") => return self.call(front, |router, now, host| router.list_lost(now, host)),
+            Some("Error") => return self.call(front, |router, now, host| router.discovery_lost(now, host)),
             other => return Err(format!("UPDATE: expected a known How, found {other:?}")),
         };
         let list: usize = line.need("List")?;
@@ -260,10 +260,10 @@
                 let (member, group) =
                     (host.ids.stores.index(row.store.clone()), host.ids.cells.index(row.cell));
                 let up_for = row.came_up.map(|at| deployment::span(clock - at));
-                router.listed(now, member, group, row.zone, row.state, row.primary, up_for);
+                router.member_listed(now, member, group, row.zone, row.state, row.primary, up_for);
                 named.push(member);
             }
-            router.list_ended(now, complete.then_some(&named), host);
+            router.list_completed(now, complete.then_some(&named), host);
         });
         self.lists[list] = rows;
         done
@@ -306,10 +306,10 @@
             "TICK_DUE" => {
                 let handle = line.need("Handle")?;
                 if handle == REMINDER {
-                    self.meet(front, |fellows, now, letters| fellows.due(now, letters));
+                    self.meet(front, |fellows, now, letters| fellows.handle_timeout(now, letters));
                     return Ok(());
                 }
-                self.call(front, |router, now, host| router.reminder_due(now, handle, host))
+                self.call(front, |router, now, host| router.timer_fired(now, handle, host))
             }
             "CANCELLED_BY_CLIENT" => {
                 let Some(&txn) = ids.txns.get(&line.need::<u64>("Corr")?) else { return Ok(()) };
@@ -320,7 +320,7 @@
                 let member = ids.known_store(line.text("Store").unwrap_or_default())?;
                 let report = report(line, ids)?;
                 self.call(front, |router, now, host| {
-                    router.probed(now, member, ending, report, host);
+                    router.probe_ended(now, member, ending, report, host);
                 })
             }
             "MEMO" => {
@@ -330,7 +330,7 @@
                 let from: usize = line.need("From")?;
                 // One that is refused is counted by the membership.
                 self.meet(front, |fellows, now, letters| {
-                    let _ = fellows.heard(now, from, &bytes, letters);
+                    let _ = fellows.handle_datagram(now, from, &bytes, letters);
                 });
                 Ok(())
             }
@@ -340,16 +340,16 @@
     }
 
     /// Calls an instance's membership, if it has one.
-    fn meet(&mut self, front: u64, input: impl FnOnce(&mut Fellows, Duration, &mut Letters)) {
+    fn meet(&mut self, front: u64, input: impl FnOnce(&mut Membership, Duration, &mut Letters)) {
         let Some(Instance { ids, fellows: Some(fellows), meets, .. }) = self.instances.get_mut(&front) else {
             return;
         };
         let now = ids.origin.since_start(self.clock);
         input(fellows, now, &mut Letters { front, out: &mut self.out });
-        let next = fellows.next();
+        let next = fellows.next_timeout();
         if next != *meets || now >= *meets {
             *meets = next;
-            Actions { ids, out: &mut self.out }.remind(next, REMINDER);
+            Actions { ids, out: &mut self.out }.set_timer(next, REMINDER);
         }
     }
 
@@ -376,17 +376,17 @@
     format!("expected an instance that was born, found Front={front}")
 }
 
-fn ending(line: &Line) -> Result<Ending, String> {
+fn ending(line: &Line) -> Result<AttemptOutcome, String> {
     Ok(match line.text("Verdict").unwrap_or_default() {
-        "OK" => Ending::Committed,
-        "INTERNAL" => Ending::Errored,
-        "RESOURCE_EXHAUSTED" => Ending::Full,
-        "DEADLINE_EXCEEDED" => Ending::TimedOut,
-        "UNAVAILABLE" => Ending::Unreachable,
-        "ABORTED" => Ending::Dropped,
-        "CANCELLED" => Ending::Cancelled,
-        "TOO_LATE" => Ending::Moot,
-        "NOT_FOUND" => Ending::Misplaced,
+        "OK" => AttemptOutcome::Committed,
+        "INTERNAL" => AttemptOutcome::Errored,
+        "RESOURCE_EXHAUSTED" => AttemptOutcome::Full,
+        "DEADLINE_EXCEEDED" => AttemptOutcome::TimedOut,
+        "UNAVAILABLE" => AttemptOutcome::Unreachable,
+        "ABORTED" => AttemptOutcome::Dropped,
+        "CANCELLED" => AttemptOutcome::Cancelled,
+        "TOO_LATE" => AttemptOutcome::Moot,
+        "NOT_FOUND" => AttemptOutcome::Misplaced,
         other => return Err(format!("{}: expected a known Verdict, found {other:?}", line.name)),
     })
 }
--- a/crates/snapshot/src/worth.rs
+++ b/crates/snapshot/src/decay.rs
@@ -8,32 +8,32 @@
 
 /// What a snapshot of a given age is worth.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Worth {
+pub struct Decay {
     age: Duration,
 }
 
-impl Worth {
-    pub fn of(age: Duration) -> Worth {
-        Worth { age }
+impl Decay {
+    pub fn of(age: Duration) -> Decay {
+        Decay { age }
     }
 
     /// A learnt value on its way back to what is assumed of the unknown.
     ///
     /// ```
-    /// use juniperdock_snapshot::Worth;
+    /// use juniperdock_snapshot::Decay;
     /// use std::time::Duration;
     ///
-    /// let fresh = Worth::of(Duration::ZERO);
-    /// let old = Worth::of(Duration::from_secs(10));
-    /// assert_eq!((fresh.learnt(8.0, 4.0), old.learnt(8.0, 4.0)), (8.0, 6.0));
+    /// let fresh = Decay::of(Duration::ZERO);
+    /// let old = Decay::of(Duration::from_secs(10));
+    /// assert_eq!((fresh.estimate(8.0, 4.0), old.estimate(8.0, 4.0)), (8.0, 6.0));
     /// ```
-    pub fn learnt(self, value: f64, unknown: f64) -> f64 {
+    pub fn estimate(self, value: f64, unknown: f64) -> f64 {
         let left = 0.5f64.powf(self.age.as_secs_f64() / HALF.as_secs_f64());
         unknown + (value - unknown) * left
     }
 
     /// Work sent to a cold member counts in full while any of it may lie inside the rule's window.
-    pub fn spent(self, work: f64, window: Duration) -> f64 {
+    pub fn budget_spent(self, work: f64, window: Duration) -> f64 {
         if self.age < window { work } else { 0.0 }
     }
 }
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -6,14 +6,14 @@
 //!
 //! Times are microseconds since 1970: a process counts from its own start. The wall clock may be stepped between two
 //! processes, so a snapshot also tells the machine's own time, by which the next one finds its age. What a fact is worth later,
-//! [`Worth`] says: proofs, terms, drains and budgets spent hold; roles are hints; what was learnt of speed
+//! [`Decay`] says: proofs, terms, drains and budgets spent hold; roles are hints; what was learnt of speed
 //! fades.
 
+mod decay;
 mod machine_time;
-mod worth;
 
+pub use decay::Decay;
 pub use machine_time::MachineTime;
-pub use worth::Worth;
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -34,19 +34,21 @@
 
 /// All that is kept.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
-pub struct Memory {
+#[schemars(rename = "Memory")]
+pub struct Snapshot {
     /// When it was taken.
     pub taken: i64,
-    pub members: Vec<OfMember>,
-    pub groups: Vec<OfGroup>,
-    pub types: Vec<OfType>,
+    pub members: Vec<MemberRecord>,
+    pub groups: Vec<GroupRecord>,
+    pub types: Vec<TxnTypeRecord>,
     /// When it was taken, by the machine's own time.
     pub machine_time: Option<MachineTime>,
 }
 
 /// Of one member, by its id in the list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
-pub struct OfMember {
+#[schemars(rename = "OfMember")]
+pub struct MemberRecord {
     pub id: String,
     /// It was seen draining, and binds until a later start.
     pub drains: bool,
@@ -72,7 +74,8 @@
 
 /// Of one group, by its number in the list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
-pub struct OfGroup {
+#[schemars(rename = "OfGroup")]
+pub struct GroupRecord {
     pub group: u64,
     pub term: u32,
     /// Who held the newest term, by its id.
@@ -85,14 +88,15 @@
 
 /// Of one txn type, by its name: answer times in seconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
-pub struct OfType {
+#[schemars(rename = "OfType")]
+pub struct TxnTypeRecord {
     pub name: String,
     pub typical: f64,
     pub usual: f64,
 }
 
 /// Writes a snapshot.
-pub fn encode(memory: &Memory) -> Result<Vec<u8>, String> {
+pub fn encode(memory: &Snapshot) -> Result<Vec<u8>, String> {
     let body = postcard::to_stdvec(memory).map_err(|e| format!("snapshot: {e}"))?;
     if HEAD + body.len() > LONGEST {
         return Err(format!("snapshot: expected at most {LONGEST} bytes, found {}", HEAD + body.len()));
@@ -105,13 +109,13 @@
 /// Reads a snapshot, whatever its age.
 ///
 /// ```
-/// use juniperdock_snapshot::{Memory, decode, encode};
+/// use juniperdock_snapshot::{Snapshot, decode, encode};
 ///
-/// let bytes = encode(&Memory::default()).unwrap();
-/// assert_eq!(decode(&bytes), Ok(Memory::default()));
+/// let bytes = encode(&Snapshot::default()).unwrap();
+/// assert_eq!(decode(&bytes), Ok(Snapshot::default()));
 /// assert!(decode(&bytes[..bytes.len() - 1]).unwrap_err().contains("cut"));
 /// ```
-pub fn decode(bytes: &[u8]) -> Result<Memory, String> {
+pub fn decode(bytes: &[u8]) -> Result<Snapshot, String> {
     let Some((head, body)) = bytes.split_at_checked(HEAD) else {
         return Err("snapshot: cut inside its head".to_owned());
     };
@@ -131,19 +135,20 @@
     }
     let no_machine_time: &[u8] = if version == WITHOUT_MACHINE_TIME { &[0] } else { &[] };
     let body = [body, no_machine_time].concat();
-    let (memory, rest) = postcard::take_from_bytes::<Memory>(&body).map_err(|e| format!("snapshot: {e}"))?;
+    let (memory, rest) =
+        postcard::take_from_bytes::<Snapshot>(&body).map_err(|e| format!("snapshot: {e}"))?;
     if !rest.is_empty() {
         return Err("snapshot: more behind its end".to_owned());
     }
     memory.check().map(|()| memory)
 }
 
-impl Memory {
+impl Snapshot {
     /// Numbers are numbers, and names are there.
     fn check(&self) -> Result<(), String> {
         let good = |n: f64| n.is_finite() && n >= 0.0;
-        let member = |m: &OfMember| !m.id.is_empty() && good(m.sent) && good(m.room) && good(m.slow);
-        let kind = |t: &OfType| !t.name.is_empty() && good(t.typical) && good(t.usual);
+        let member = |m: &MemberRecord| !m.id.is_empty() && good(m.sent) && good(m.room) && good(m.slow);
+        let kind = |t: &TxnTypeRecord| !t.name.is_empty() && good(t.typical) && good(t.usual);
         if self.members.iter().all(member) && self.types.iter().all(kind) {
             return Ok(());
         }
@@ -166,7 +171,7 @@
     }
 
     /// Dates all by a clock that says `now` while the snapshot is of that age.
-    pub fn date_anew(&mut self, now: i64, age: Duration) {
+    pub fn rebase(&mut self, now: i64, age: Duration) {
         let taken = now.saturating_sub(age.as_micros() as i64);
         let ahead = taken.saturating_sub(self.taken);
         self.taken = taken;
@@ -189,5 +194,5 @@
 
 /// What a snapshot holds, as a JSON schema.
 pub fn schema() -> serde_json::Value {
-    schemars::schema_for!(Memory).to_value()
+    schemars::schema_for!(Snapshot).to_value()
 }
--- a/crates/snapshot/tests/codec.rs
+++ b/crates/snapshot/tests/codec.rs
@@ -1,6 +1,8 @@
 //! The codec against whatever may lie in a file.
 
-use juniperdock_snapshot::{MachineTime, Memory, OLDEST, OfGroup, OfMember, OfType, decode, encode, schema};
+use juniperdock_snapshot::{
+    GroupRecord, MachineTime, MemberRecord, OLDEST, Snapshot, TxnTypeRecord, decode, encode, schema,
+};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -8,10 +10,10 @@
     MachineTime { boot: "one".to_owned(), up_us }
 }
 
-fn memory() -> impl Strategy<Value = Memory> {
+fn memory() -> impl Strategy<Value = Snapshot> {
     let time = proptest::option::of(any::<i64>());
     let member = ("[a-z0-9-]{1,12}", any::<bool>(), time.clone(), time.clone(), 0.0..9.0, any::<u32>())
-        .prop_map(|(id, drains, position, served, sent, term)| OfMember {
+        .prop_map(|(id, drains, position, served, sent, term)| MemberRecord {
             id,
             drains,
             position,
@@ -20,12 +22,19 @@
             term,
             room: 4.0,
             slow: 1.0,
-            ..OfMember::default()
+            ..MemberRecord::default()
         });
     let group = (any::<u64>(), any::<u32>(), time, proptest::collection::vec(any::<u8>(), 24)).prop_map(
-        |(group, term, began, vacancies)| OfGroup { group, term, began, vacancies, ..OfGroup::default() },
+        |(group, term, began, vacancies)| GroupRecord {
+            group,
+            term,
+            began,
+            vacancies,
+            ..GroupRecord::default()
+        },
     );
-    let kind = ("[a-z]{1,9}", 0.0..2.0).prop_map(|(name, typical)| OfType { name, typical, usual: typical });
+    let kind =
+        ("[a-z]{1,9}", 0.0..2.0).prop_map(|(name, typical)| TxnTypeRecord { name, typical, usual: typical });
     (
         any::<i64>(),
         proptest::collection::vec(member, 0..20),
@@ -34,7 +43,7 @@
     )
         .prop_map(|(taken, members, groups, types)| {
             let machine_time = (taken % 2 == 0).then(|| at(taken / 2));
-            Memory { taken, members, groups, types, machine_time }
+            Snapshot { taken, members, groups, types, machine_time }
         })
 }
 
@@ -75,7 +84,7 @@
 
 #[test]
 fn one_of_another_time_or_version_is_refused_with_its_reason() {
-    let bytes = encode(&Memory { taken: 1_000_000_000, ..Memory::default() }).expect("it is short");
+    let bytes = encode(&Snapshot { taken: 1_000_000_000, ..Snapshot::default() }).expect("it is short");
     let memory = decode(&bytes).expect("a snapshot");
     let seconds = |s: i64| 1_000_000_000 + s * 1_000_000;
     assert!(memory.age(seconds(5), None).is_ok_and(|age| age.as_secs() == 5));
@@ -85,7 +94,8 @@
     other[5] = 9;
     assert!(decode(&other).is_err_and(|why| why.contains("version")));
     assert!(decode(b"GIF89a and so on").is_err_and(|why| why.contains("foreign")));
-    let bad = Memory { types: vec![OfType { name: "a".into(), typical: f64::NAN, usual: 0.0 }], ..memory };
+    let bad =
+        Snapshot { types: vec![TxnTypeRecord { name: "a".into(), typical: f64::NAN, usual: 0.0 }], ..memory };
     assert!(decode(&encode(&bad).expect("it is short")).is_err_and(|why| why.contains("number")));
     assert!(schema()["properties"]["members"].is_object());
 }
@@ -94,7 +104,7 @@
 fn its_age_is_the_machines_own_time_while_that_runs_on() {
     const SECOND: i64 = 1_000_000;
     let taken = 1_000_000_000 * SECOND;
-    let memory = Memory { taken, machine_time: Some(at(50 * SECOND)), ..Memory::default() };
+    let memory = Snapshot { taken, machine_time: Some(at(50 * SECOND)), ..Snapshot::default() };
     let age = |step_s: i64, here: &MachineTime| memory.age(taken + (7 + step_s) * SECOND, Some(here));
     for step_s in [-3600, -5, 0, 3, 3600] {
         assert_eq!(age(step_s, &at(57 * SECOND)), Ok(Duration::from_secs(7)), "a step of {step_s} s");
@@ -108,10 +118,11 @@
 
 #[test]
 fn all_its_times_are_dated_anew_together() {
-    let member = OfMember { id: "a".into(), position: Some(90), heard: None, ..OfMember::default() };
-    let group = OfGroup { began: Some(40), ..OfGroup::default() };
-    let mut memory = Memory { taken: 100, members: vec![member], groups: vec![group], ..Memory::default() };
-    memory.date_anew(5_000, Duration::from_micros(1_000));
+    let member = MemberRecord { id: "a".into(), position: Some(90), heard: None, ..MemberRecord::default() };
+    let group = GroupRecord { began: Some(40), ..GroupRecord::default() };
+    let mut memory =
+        Snapshot { taken: 100, members: vec![member], groups: vec![group], ..Snapshot::default() };
+    memory.rebase(5_000, Duration::from_micros(1_000));
     assert_eq!(
         (memory.taken, memory.members[0].position, memory.members[0].heard),
         (4_000, Some(3_990), None)
@@ -121,7 +132,7 @@
 
 #[test]
 fn one_without_the_machines_time_is_read() {
-    let memory = Memory { taken: 77, ..Memory::default() };
+    let memory = Snapshot { taken: 77, ..Snapshot::default() };
     let now = encode(&memory).expect("it is short");
     let (body, mut before) = (&now[14..now.len() - 1], now[..14].to_vec());
     before[4..6].copy_from_slice(&1u16.to_be_bytes());
--- a/crates/timer-wheel/benches/timer_wheel.rs
+++ b/crates/timer-wheel/benches/timer_wheel.rs
@@ -2,7 +2,7 @@
 //! two alarms, one of which rings and one of which is no longer wanted.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use juniperdock_timer_wheel::Wheel;
+use juniperdock_timer_wheel::TimerWheel;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::hint::black_box;
@@ -21,16 +21,16 @@
         let mut rng = oorandom::Rand64::new(7);
         // Each lives a second; so many are set in one.
         let step = 1_000_000 / pending;
-        let (mut wheel, mut now) = (Wheel::new(us(250)), 0);
+        let (mut wheel, mut now) = (TimerWheel::new(us(250)), 0);
         for i in 0..pending {
-            wheel.set(us(i * step), i);
+            wheel.schedule(us(i * step), i);
         }
         all.bench_function(BenchmarkId::new("wheel", pending), |b| {
             b.iter(|| {
                 now += step;
-                let unwanted = wheel.set(us(now + 2_000_000), now);
-                wheel.set(us(now + rng.rand_range(900_000..1_100_000)), now);
-                while let Some(what) = wheel.due(us(now)) {
+                let unwanted = wheel.schedule(us(now + 2_000_000), now);
+                wheel.schedule(us(now + rng.rand_range(900_000..1_100_000)), now);
+                while let Some(what) = wheel.pop_due(us(now)) {
                     black_box(what);
                 }
                 black_box(wheel.cancel(unwanted))
--- a/crates/timer-wheel/src/lib.rs
+++ b/crates/timer-wheel/src/lib.rs
@@ -8,16 +8,16 @@
 //! anywhere.
 //!
 //! ```
-//! use juniperdock_timer_wheel::Wheel;
+//! use juniperdock_timer_wheel::TimerWheel;
 //! use std::time::Duration;
 //!
 //! let ms = Duration::from_millis;
-//! let mut wheel = Wheel::new(ms(1));
-//! let late = wheel.set(ms(500), "late");
-//! wheel.set(ms(20), "soon");
-//! assert_eq!(wheel.next(), Some(ms(20)));
-//! assert_eq!(wheel.due(ms(19)), None);
-//! assert_eq!(wheel.due(ms(20)), Some("soon"));
+//! let mut wheel = TimerWheel::new(ms(1));
+//! let late = wheel.schedule(ms(500), "late");
+//! wheel.schedule(ms(20), "soon");
+//! assert_eq!(wheel.next_due(), Some(ms(20)));
+//! assert_eq!(wheel.pop_due(ms(19)), None);
+//! assert_eq!(wheel.pop_due(ms(20)), Some("soon"));
 //! assert_eq!((wheel.cancel(late), wheel.cancel(late), wheel.len()), (Some("late"), None, 0));
 //! ```
 
@@ -32,7 +32,7 @@
 
 /// Names an alarm that was set. One that has rung or was cancelled names nothing any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Key {
+pub struct TimerKey {
     index: u32,
     life: u32,
 }
@@ -50,7 +50,7 @@
 
 /// Alarms by their time.
 #[derive(Debug)]
-pub struct Wheel<T> {
+pub struct TimerWheel<T> {
     tick: Duration,
     /// All ticks up to this one are over.
     now: u64,
@@ -64,9 +64,9 @@
     len: usize,
 }
 
-impl<T> Wheel<T> {
-    pub fn new(tick: Duration) -> Wheel<T> {
-        Wheel {
+impl<T> TimerWheel<T> {
+    pub fn new(tick: Duration) -> TimerWheel<T> {
+        TimerWheel {
             tick: tick.max(Duration::from_nanos(1)),
             now: 0,
             entries: Vec::new(),
@@ -89,7 +89,7 @@
 
     /// Sets an alarm: due once that time has come, at the latest a tick after. A time that is over is due at
     /// once.
-    pub fn set(&mut self, at: Duration, what: T) -> Key {
+    pub fn schedule(&mut self, at: Duration, what: T) -> TimerKey {
         let tick = at.as_nanos().div_ceil(self.tick.as_nanos());
         let tick = u64::try_from(tick).unwrap_or(u64::MAX).max(self.now + 1);
         let index = self.free.pop().unwrap_or_else(|| {
@@ -102,11 +102,11 @@
         let life = entry.life;
         self.len += 1;
         self.put(index);
-        Key { index, life }
+        TimerKey { index, life }
     }
 
     /// Takes an alarm out; `None` if it has rung or was cancelled before.
-    pub fn cancel(&mut self, key: Key) -> Option<T> {
+    pub fn cancel(&mut self, key: TimerKey) -> Option<T> {
         let entry = self.entries.get(key.index as usize).filter(|entry| entry.life == key.life)?;
         entry.what.as_ref()?;
         if entry.slot == NONE {
@@ -177,14 +177,14 @@
     }
 
     /// The earliest time at which an alarm may be due; it may turn out to be none.
-    pub fn next(&self) -> Option<Duration> {
+    pub fn next_due(&self) -> Option<Duration> {
         let tick = if self.due.is_empty() { self.next_tick()? } else { self.now };
         let nanos = u128::from(tick) * self.tick.as_nanos();
         Some(u64::try_from(nanos).map_or(Duration::MAX, Duration::from_nanos))
     }
 
     /// One that is due; those of earlier ticks come first.
-    pub fn due(&mut self, now: Duration) -> Option<T> {
+    pub fn pop_due(&mut self, now: Duration) -> Option<T> {
         let until = u64::try_from(now.as_nanos() / self.tick.as_nanos()).unwrap_or(u64::MAX);
         while self.due.is_empty() {
             let Some(tick) = self.next_tick().filter(|&tick| tick <= until) else {
--- a/crates/timer-wheel/tests/against_a_plain_one.rs
+++ b/crates/timer-wheel/tests/against_a_plain_one.rs
@@ -1,6 +1,6 @@
 //! The wheel beside a sorted list, on random histories over all its levels.
 
-use juniperdock_timer_wheel::{Key, Wheel};
+use juniperdock_timer_wheel::{TimerKey, TimerWheel};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -17,13 +17,13 @@
     fn none_rings_early_or_over_a_tick_late_and_none_is_lost(
         steps in proptest::collection::vec((0..4u8, 0..34u32, 0..1000u64, any::<prop::sample::Index>()), 1..200),
     ) {
-        let mut wheel = Wheel::new(us(TICK));
-        let mut plain: Vec<(u64, usize, Key)> = Vec::new();
+        let mut wheel = TimerWheel::new(us(TICK));
+        let mut plain: Vec<(u64, usize, TimerKey)> = Vec::new();
         let mut now = 0u64;
         for (number, (what, power, part, which)) in steps.into_iter().enumerate() {
             let span = (1u64 << power) * part / 1000;
             match what {
-                0 | 1 => plain.push((now + span, number, wheel.set(us(now + span), number))),
+                0 | 1 => plain.push((now + span, number, wheel.schedule(us(now + span), number))),
                 2 if !plain.is_empty() => {
                     let (_, number, key) = plain.swap_remove(which.index(plain.len()));
                     prop_assert_eq!(wheel.cancel(key), Some(number));
@@ -31,10 +31,10 @@
                 }
                 _ => {
                     // To the next time that the wheel names, or so far.
-                    let next = wheel.next().map(|at| at.as_micros() as u64);
+                    let next = wheel.next_due().map(|at| at.as_micros() as u64);
                     now = if power % 2 == 0 { next.unwrap_or(now).max(now) } else { now + span };
                     let mut rung = Vec::new();
-                    while let Some(number) = wheel.due(us(now)) {
+                    while let Some(number) = wheel.pop_due(us(now)) {
                         rung.push(number);
                     }
                     rung.sort_unstable();
@@ -48,7 +48,7 @@
             }
             prop_assert_eq!(wheel.len(), plain.len());
             if let Some(first) = plain.iter().map(|&(at, ..)| at).min() {
-                let next = wheel.next().expect("alarms are set").as_micros() as u64;
+                let next = wheel.next_due().expect("alarms are set").as_micros() as u64;
                 prop_assert!(next <= (first.max(now) + 2 * TICK), "{next} is after {first}");
             }
         }
--- a/crates/wait-queue/benches/wait_queue.rs
+++ b/crates/wait-queue/benches/wait_queue.rs
@@ -3,7 +3,7 @@
 //! is walked and sorted as the router did before; and ordered trees from the standard library.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use juniperdock_wait_queue::{Held, Most, Rank, Wait};
+use juniperdock_wait_queue::{QueueKey, WaitLimits, WaitQueue, WaitingTxn};
 use std::collections::BTreeSet;
 use std::hint::black_box;
 use std::time::Duration;
@@ -14,64 +14,64 @@
     Duration::from_millis(n)
 }
 
-fn wait(txn: usize, at: usize, rng: &mut oorandom::Rand32) -> Wait {
+fn wait(txn: usize, at: usize, rng: &mut oorandom::Rand32) -> WaitingTxn {
     let (kind, retried) = (rng.rand_range(0..KINDS as u32) as usize, rng.rand_range(0..4) == 0);
     let arrived = Duration::from_micros(at as u64);
     let expiry = arrived + ms(1000 + u64::from(rng.rand_range(0..60_000)));
-    Wait {
+    WaitingTxn {
         txn,
         group: 0,
         kind,
         retried,
-        tried: false,
+        submitted: false,
         arrived,
-        soft: expiry - ms(100),
-        hard: expiry,
+        soft_deadline: expiry - ms(100),
+        hard_deadline: expiry,
         bytes: 200,
     }
 }
 
 /// The order in which txns are let go.
-fn order(w: &Wait) -> (usize, bool, std::cmp::Reverse<Duration>, usize) {
+fn order(w: &WaitingTxn) -> (usize, bool, std::cmp::Reverse<Duration>, usize) {
     (w.kind, w.retried, std::cmp::Reverse(w.arrived), w.txn)
 }
 
 trait Store {
-    fn put(&mut self, wait: Wait);
+    fn put(&mut self, wait: WaitingTxn);
     fn remove(&mut self, txn: usize);
     fn due(&mut self, now: Duration) -> Option<usize>;
     fn best(&mut self) -> Option<usize>;
 }
 
-impl Store for Held {
-    fn put(&mut self, wait: Wait) {
-        Held::put(self, wait).expect("room");
+impl Store for WaitQueue {
+    fn put(&mut self, wait: WaitingTxn) {
+        WaitQueue::insert(self, wait).expect("room");
     }
     fn remove(&mut self, txn: usize) {
-        Held::remove(self, txn);
+        WaitQueue::remove(self, txn);
     }
     fn due(&mut self, now: Duration) -> Option<usize> {
-        Held::due(self, now, |_| ms(5))
+        WaitQueue::next_expired(self, now, |_| ms(5))
     }
     fn best(&mut self) -> Option<usize> {
-        let ranks = (0..KINDS * 2).map(|n| Rank { kind: n / 2, retried: n % 2 > 0, tried: false });
+        let ranks = (0..KINDS * 2).map(|n| QueueKey { kind: n / 2, retried: n % 2 > 0, submitted: false });
         ranks.into_iter().find_map(|rank| self.newest(rank, 0))
     }
 }
 
 /// As the router held them before: walked for what is over, sorted for what is best.
 #[derive(Default)]
-struct Plain(Vec<Wait>);
+struct Plain(Vec<WaitingTxn>);
 
 impl Store for Plain {
-    fn put(&mut self, wait: Wait) {
+    fn put(&mut self, wait: WaitingTxn) {
         self.0.push(wait);
     }
     fn remove(&mut self, txn: usize) {
         self.0.retain(|w| w.txn != txn);
     }
     fn due(&mut self, now: Duration) -> Option<usize> {
-        self.0.iter().find(|w| w.hard <= now || w.soft <= now + ms(5)).map(|w| w.txn)
+        self.0.iter().find(|w| w.hard_deadline <= now || w.soft_deadline <= now + ms(5)).map(|w| w.txn)
     }
     fn best(&mut self) -> Option<usize> {
         self.0.sort_by_key(order);
@@ -81,24 +81,24 @@
 
 #[derive(Default)]
 struct Trees {
-    waits: Vec<Option<Wait>>,
+    waits: Vec<Option<WaitingTxn>>,
     by_value: BTreeSet<(usize, bool, std::cmp::Reverse<Duration>, usize)>,
     by_time: BTreeSet<(Duration, usize)>,
 }
 
 impl Store for Trees {
-    fn put(&mut self, wait: Wait) {
+    fn put(&mut self, wait: WaitingTxn) {
         if self.waits.len() <= wait.txn {
             self.waits.resize(wait.txn + 1, None);
         }
         self.waits[wait.txn] = Some(wait);
         self.by_value.insert(order(&wait));
-        self.by_time.insert((wait.soft.min(wait.hard), wait.txn));
+        self.by_time.insert((wait.soft_deadline.min(wait.hard_deadline), wait.txn));
     }
     fn remove(&mut self, txn: usize) {
         if let Some(wait) = self.waits[txn].take() {
             self.by_value.remove(&order(&wait));
-            self.by_time.remove(&(wait.soft.min(wait.hard), txn));
+            self.by_time.remove(&(wait.soft_deadline.min(wait.hard_deadline), txn));
         }
     }
     fn due(&mut self, now: Duration) -> Option<usize> {
@@ -132,8 +132,8 @@
             (count, rng)
         }
         let most = usize::MAX / 2;
-        let limits = Most { of_group: most, of_all: most, bytes_of_group: most, bytes_of_all: most };
-        let mut held = Held::new(KINDS, limits);
+        let limits = WaitLimits { per_group: most, total: most, bytes_per_group: most, total_bytes: most };
+        let mut held = WaitQueue::new(KINDS, limits);
         let (mut next, mut rng) = fill(&mut held, count);
         all.bench_function(BenchmarkId::new("held", count), |b| {
             b.iter(|| events(&mut held, &mut next, &mut rng, count))
--- a/crates/wait-queue/src/lib.rs
+++ b/crates/wait-queue/src/lib.rs
@@ -8,21 +8,23 @@
 //! *soft* time, which moves with how long the type takes of late (one heap a type), one by a *hard* time.
 //!
 //! ```
-//! use juniperdock_wait_queue::{Held, Most, Rank, Wait};
+//! use juniperdock_wait_queue::{WaitQueue, WaitLimits, QueueKey, WaitingTxn};
 //! use std::time::Duration;
 //!
 //! let ms = Duration::from_millis;
-//! let mut held = Held::new(2, Most { of_group: 10, of_all: 100, bytes_of_group: 1000, bytes_of_all: 10_000 });
-//! let wait = |txn, kind| Wait {
-//!     txn, group: 4, kind, retried: false, tried: false, arrived: ms(txn as u64), soft: ms(500), hard: ms(900), bytes: 40,
+//! let limits = WaitLimits { per_group: 10, total: 100, bytes_per_group: 1000, total_bytes: 10_000 };
+//! let mut held = WaitQueue::new(2, limits);
+//! let wait = |txn, kind| WaitingTxn {
+//!     txn, group: 4, kind, retried: false, submitted: false, arrived: ms(txn as u64),
+//!     soft_deadline: ms(500), hard_deadline: ms(900), bytes: 40,
 //! };
-//! held.put(wait(0, 1)).unwrap();
-//! held.put(wait(1, 1)).unwrap();
-//! assert_eq!(held.newest(Rank { kind: 1, retried: false, tried: false }, 4), Some(1));
+//! held.insert(wait(0, 1)).unwrap();
+//! held.insert(wait(1, 1)).unwrap();
+//! assert_eq!(held.newest(QueueKey { kind: 1, retried: false, submitted: false }, 4), Some(1));
 //! // Type 1 takes 100 ms of late: what has to end by 500 ms is hopeless from 400 ms on.
 //! let takes = |kind| [ms(0), ms(100)][kind];
-//! assert_eq!(held.due(ms(399), takes), None);
-//! assert_eq!(held.due(ms(400), takes), Some(0));
+//! assert_eq!(held.next_expired(ms(399), takes), None);
+//! assert_eq!(held.next_expired(ms(400), takes), Some(0));
 //! ```
 
 mod heap;
@@ -35,7 +37,7 @@
 
 /// What waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Wait {
+pub struct WaitingTxn {
     pub txn: usize,
     pub group: usize,
     /// Its txn type.
@@ -43,34 +45,34 @@
     /// Its client has tried before.
     pub retried: bool,
     /// It has been sent before.
-    pub tried: bool,
+    pub submitted: bool,
     pub arrived: Duration,
     /// When its answer has to be there to be worth anything.
-    pub soft: Duration,
+    pub soft_deadline: Duration,
     /// When it is given up, however quick members are.
-    pub hard: Duration,
+    pub hard_deadline: Duration,
     pub bytes: usize,
 }
 
 /// How much may wait. The limits of one group keep it from taking all there is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Most {
-    pub of_group: usize,
-    pub of_all: usize,
-    pub bytes_of_group: usize,
-    pub bytes_of_all: usize,
+pub struct WaitLimits {
+    pub per_group: usize,
+    pub total: usize,
+    pub bytes_per_group: usize,
+    pub total_bytes: usize,
 }
 
 /// Which limit leaves no room.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoRoom {
-    OfGroup,
-    OfAll,
+pub enum QueueFull {
+    Group,
+    Total,
 }
 
 #[derive(Clone, Debug)]
 struct Entry {
-    wait: Wait,
+    wait: WaitingTxn,
     /// Its queue in the pool, and its neighbours there: newer and older.
     pool: u32,
     newer: u32,
@@ -88,23 +90,23 @@
 
 /// What shares a queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rank {
+pub struct QueueKey {
     pub kind: usize,
     pub retried: bool,
-    pub tried: bool,
+    pub submitted: bool,
 }
 
-impl Rank {
+impl QueueKey {
     const OF_KIND: usize = 4;
 
     fn index(self) -> usize {
-        self.kind * Self::OF_KIND + usize::from(self.retried) * 2 + usize::from(self.tried)
+        self.kind * Self::OF_KIND + usize::from(self.retried) * 2 + usize::from(self.submitted)
     }
 }
 
-impl Wait {
-    pub fn rank(&self) -> Rank {
-        Rank { kind: self.kind, retried: self.retried, tried: self.tried }
+impl WaitingTxn {
+    pub fn rank(&self) -> QueueKey {
+        QueueKey { kind: self.kind, retried: self.retried, submitted: self.submitted }
     }
 }
 
@@ -119,9 +121,9 @@
 
 /// The store. Txns and groups are small indices; groups without a waiting txn take no memory.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct WaitQueue {
     kinds: usize,
-    most: Most,
+    most: WaitLimits,
     entries: Vec<Option<Entry>>,
     pool: Vec<Queues>,
     /// Places in the pool that are free, and which one a group has.
@@ -139,9 +141,9 @@
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
 
-impl Held {
-    pub fn new(kinds: usize, most: Most) -> Held {
-        Held {
+impl WaitQueue {
+    pub fn new(kinds: usize, most: WaitLimits) -> WaitQueue {
+        WaitQueue {
             kinds,
             most,
             entries: Vec::new(),
@@ -157,7 +159,7 @@
     }
 
     /// Other limits from now on; what waits already stays.
-    pub fn limit(&mut self, most: Most) {
+    pub fn set_limits(&mut self, most: WaitLimits) {
         self.most = most;
     }
 
@@ -166,20 +168,20 @@
     }
 
     /// Whether one more of that size may wait in a group.
-    pub fn room(&self, group: usize, bytes: usize) -> Result<(), NoRoom> {
+    pub fn room(&self, group: usize, bytes: usize) -> Result<(), QueueFull> {
         let (len, of_group) = self.queues(group).map_or((0, 0), |queues| (queues.len, queues.bytes));
-        if len >= self.most.of_group || of_group + bytes > self.most.bytes_of_group {
-            return Err(NoRoom::OfGroup);
+        if len >= self.most.per_group || of_group + bytes > self.most.bytes_per_group {
+            return Err(QueueFull::Group);
         }
-        if self.len >= self.most.of_all || self.bytes + bytes > self.most.bytes_of_all {
-            return Err(NoRoom::OfAll);
+        if self.len >= self.most.total || self.bytes + bytes > self.most.total_bytes {
+            return Err(QueueFull::Total);
         }
         Ok(())
     }
 
     /// Puts a txn in, newest of its rank or where its arrival belongs; it is not given up yet for its time.
     /// The error says which limit leaves no room; then nothing has changed.
-    pub fn put(&mut self, wait: Wait) -> Result<(), NoRoom> {
+    pub fn insert(&mut self, wait: WaitingTxn) -> Result<(), QueueFull> {
         self.room(wait.group, wait.bytes)?;
         self.remove(wait.txn);
         let at = self.place_of(wait.group);
@@ -205,8 +207,8 @@
         self.len += 1;
         self.bytes += wait.bytes;
         self.weigh(at);
-        self.soft[wait.kind].set(txn as u32, micros(wait.soft));
-        self.hard.set(txn as u32, micros(wait.hard));
+        self.soft[wait.kind].set(txn as u32, micros(wait.soft_deadline));
+        self.hard.set(txn as u32, micros(wait.hard_deadline));
         Ok(())
     }
 
@@ -226,7 +228,7 @@
             return at;
         }
         let at = self.free.pop().unwrap_or_else(|| {
-            let of = vec![EMPTY; self.kinds * Rank::OF_KIND].into_boxed_slice();
+            let of = vec![EMPTY; self.kinds * QueueKey::OF_KIND].into_boxed_slice();
             self.pool.push(Queues { group, of, len: 0, bytes: 0 });
             self.pool.len() as u32 - 1
         });
@@ -248,7 +250,7 @@
     }
 
     /// Takes a txn out, wherever it stands; gives what waited.
-    pub fn remove(&mut self, txn: usize) -> Option<Wait> {
+    pub fn remove(&mut self, txn: usize) -> Option<WaitingTxn> {
         let entry = self.entries.get_mut(txn)?.take()?;
         let Entry { wait, pool, newer, older } = entry;
         let rank = wait.rank().index();
@@ -267,9 +269,9 @@
     }
 
     /// Gives a txn that waits other times.
-    pub fn retime(&mut self, txn: usize, soft: Duration, hard: Duration) {
+    pub fn set_deadlines(&mut self, txn: usize, soft: Duration, hard: Duration) {
         if let Some(Some(entry)) = self.entries.get_mut(txn) {
-            (entry.wait.soft, entry.wait.hard) = (soft, hard);
+            (entry.wait.soft_deadline, entry.wait.hard_deadline) = (soft, hard);
             self.soft[entry.wait.kind].set(txn as u32, micros(soft));
             self.hard.set(txn as u32, micros(hard));
         }
@@ -279,7 +281,7 @@
         self.entries.get(txn as usize)?.as_ref()
     }
 
-    pub fn get(&self, txn: usize) -> Option<&Wait> {
+    pub fn get(&self, txn: usize) -> Option<&WaitingTxn> {
         self.entries.get(txn)?.as_ref().map(|entry| &entry.wait)
     }
 
@@ -301,19 +303,19 @@
     }
 
     /// How many of a rank wait in a group.
-    pub fn of_rank(&self, rank: Rank, group: usize) -> usize {
+    pub fn of_rank(&self, rank: QueueKey, group: usize) -> usize {
         self.queues(group).map_or(0, |queues| queues.of[rank.index()].len as usize)
     }
 
-    pub fn newest(&self, rank: Rank, group: usize) -> Option<usize> {
+    pub fn newest(&self, rank: QueueKey, group: usize) -> Option<usize> {
         self.end(rank, group, |queue| queue.newest)
     }
 
-    pub fn oldest(&self, rank: Rank, group: usize) -> Option<usize> {
+    pub fn oldest(&self, rank: QueueKey, group: usize) -> Option<usize> {
         self.end(rank, group, |queue| queue.oldest)
     }
 
-    fn end(&self, rank: Rank, group: usize, of: impl Fn(&Queue) -> u32) -> Option<usize> {
+    fn end(&self, rank: QueueKey, group: usize, of: impl Fn(&Queue) -> u32) -> Option<usize> {
         let end = of(&self.queues(group)?.of[rank.index()]);
         (end != NONE).then_some(end as usize)
     }
@@ -326,7 +328,7 @@
 
     /// One whose time is over: its hard time, or its soft time less what its type takes (`takes`, by type).
     /// It stays until it is removed.
-    pub fn due(&self, now: Duration, takes: impl Fn(usize) -> Duration) -> Option<usize> {
+    pub fn next_expired(&self, now: Duration, takes: impl Fn(usize) -> Duration) -> Option<usize> {
         let over = |heap: &Heap, lead: Duration| {
             let (key, txn) = heap.first()?;
             (key <= micros(now.saturating_add(lead))).then_some(txn as usize)
--- a/crates/wait-queue/tests/against_a_plain_one.rs
+++ b/crates/wait-queue/tests/against_a_plain_one.rs
@@ -1,6 +1,6 @@
 //! The store beside a plain list, on random histories: both must always say the same.
 
-use juniperdock_wait_queue::{Heap, Held, Most, NoRoom, Rank, Wait};
+use juniperdock_wait_queue::{Heap, QueueFull, QueueKey, WaitLimits, WaitQueue, WaitingTxn};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -13,10 +13,10 @@
         group: usize,
         kind: usize,
         retried: bool,
-        tried: bool,
+        submitted: bool,
         ago: u64,
-        soft: u64,
-        hard: u64,
+        soft_deadline: u64,
+        hard_deadline: u64,
         bytes: usize,
     },
     Remove(usize),
@@ -28,17 +28,11 @@
         (0..60usize, 0..4usize, 0..KINDS, any::<bool>(), any::<bool>()),
         (0..200u64, 0..3000u64, 0..3000u64, 0..200usize),
     )
-        .prop_map(|((txn, group, kind, retried, tried), (ago, soft, hard, bytes))| Step::Put {
-            txn,
-            group,
-            kind,
-            retried,
-            tried,
-            ago,
-            soft,
-            hard,
-            bytes,
-        });
+        .prop_map(
+            |((txn, group, kind, retried, submitted), (ago, soft_deadline, hard_deadline, bytes))| {
+                Step::Put { txn, group, kind, retried, submitted, ago, soft_deadline, hard_deadline, bytes }
+            },
+        );
     prop_oneof![6 => put, 2 => (0..60usize).prop_map(Step::Remove), 1 => (0..400u64).prop_map(Step::Due)]
 }
 
@@ -46,28 +40,28 @@
     Duration::from_millis(n)
 }
 
-const MOST: Most = Most { of_group: 12, of_all: 30, bytes_of_group: 1500, bytes_of_all: 3500 };
+const MOST: WaitLimits = WaitLimits { per_group: 12, total: 30, bytes_per_group: 1500, total_bytes: 3500 };
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
     fn both_hold_the_same(steps in proptest::collection::vec(step(), 1..250)) {
-        let (mut held, mut plain, mut now) = (Held::new(KINDS, MOST), Vec::<Wait>::new(), 1000u64);
+        let (mut held, mut plain, mut now) = (WaitQueue::new(KINDS, MOST), Vec::<WaitingTxn>::new(), 1000u64);
         let takes = [ms(0), ms(50), ms(400)];
         for step in steps {
             now += 1;
             match step {
-                Step::Put { txn, group, kind, retried, tried, ago, soft, hard, bytes } => {
-                    let (arrived, soft, hard) = (ms(now - ago), ms(now + soft), ms(now + hard));
-                    let wait = Wait { txn, group, kind, retried, tried, arrived, soft, hard, bytes };
+                Step::Put { txn, group, kind, retried, submitted, ago, soft_deadline, hard_deadline, bytes } => {
+                    let (arrived, soft_deadline, hard_deadline) = (ms(now - ago), ms(now + soft_deadline), ms(now + hard_deadline));
+                    let wait = WaitingTxn { txn, group, kind, retried, submitted, arrived, soft_deadline, hard_deadline, bytes };
                     let of_group = || plain.iter().filter(|other| other.group == group);
-                    let full = of_group().count() >= MOST.of_group
-                        || of_group().map(|w| w.bytes).sum::<usize>() + bytes > MOST.bytes_of_group;
-                    let all = plain.len() >= MOST.of_all
-                        || plain.iter().map(|w| w.bytes).sum::<usize>() + bytes > MOST.bytes_of_all;
-                    let expected = if full { Err(NoRoom::OfGroup) } else if all { Err(NoRoom::OfAll) } else { Ok(()) };
-                    prop_assert_eq!(held.put(wait), expected);
+                    let full = of_group().count() >= MOST.per_group
+                        || of_group().map(|w| w.bytes).sum::<usize>() + bytes > MOST.bytes_per_group;
+                    let all = plain.len() >= MOST.total
+                        || plain.iter().map(|w| w.bytes).sum::<usize>() + bytes > MOST.total_bytes;
+                    let expected = if full { Err(QueueFull::Group) } else if all { Err(QueueFull::Total) } else { Ok(()) };
+                    prop_assert_eq!(held.insert(wait), expected);
                     if expected.is_ok() {
                         plain.retain(|other| other.txn != txn);
                         plain.push(wait);
@@ -79,9 +73,9 @@
                 }
                 Step::Due(later) => {
                     now += later;
-                    let over = |w: &Wait| w.hard <= ms(now) || w.soft <= ms(now) + takes[w.kind];
+                    let over = |w: &WaitingTxn| w.hard_deadline <= ms(now) || w.soft_deadline <= ms(now) + takes[w.kind];
                     let mut due = Vec::new();
-                    while let Some(txn) = held.due(ms(now), |kind| takes[kind]) {
+                    while let Some(txn) = held.next_expired(ms(now), |kind| takes[kind]) {
                         due.push(txn);
                         held.remove(txn);
                     }
@@ -97,7 +91,7 @@
             for group in 0..4 {
                 prop_assert_eq!(held.len(group), of_group(group));
                 for n in 0..KINDS * 4 {
-                    let rank = Rank { kind: n / 4, retried: n & 2 > 0, tried: n & 1 > 0 };
+                    let rank = QueueKey { kind: n / 4, retried: n & 2 > 0, submitted: n & 1 > 0 };
                     let mine = plain.iter().filter(|w| (w.group, w.rank()) == (group, rank)).count();
                     let walk: Vec<_> =
                         std::iter::successors(held.newest(rank, group), |&txn| held.older(txn)).collect();
@@ -131,16 +125,26 @@
 
 #[test]
 fn one_vacant_group_leaves_room_for_the_others() {
-    let most = Most { of_group: 50, of_all: 80, bytes_of_group: usize::MAX, bytes_of_all: usize::MAX };
-    let mut held = Held::new(1, most);
+    let most = WaitLimits { per_group: 50, total: 80, bytes_per_group: usize::MAX, total_bytes: usize::MAX };
+    let mut held = WaitQueue::new(1, most);
     let wait = |txn: usize, group| {
-        let (arrived, soft, hard) = (ms(txn as u64), ms(9000), ms(9000));
-        Wait { txn, group, kind: 0, retried: false, tried: false, arrived, soft, hard, bytes: 10 }
+        let (arrived, soft_deadline, hard_deadline) = (ms(txn as u64), ms(9000), ms(9000));
+        WaitingTxn {
+            txn,
+            group,
+            kind: 0,
+            retried: false,
+            submitted: false,
+            arrived,
+            soft_deadline,
+            hard_deadline,
+            bytes: 10,
+        }
     };
-    let put = (0..60).filter(|&txn| held.put(wait(txn, 7)).is_ok()).count();
-    assert_eq!((put, held.put(wait(60, 7))), (50, Err(NoRoom::OfGroup)));
-    assert!((70..100).all(|txn| held.put(wait(txn, txn)).is_ok()), "each of the others finds room");
-    assert_eq!((held.put(wait(100, 100)), held.fullest()), (Err(NoRoom::OfAll), Some(7)));
+    let put = (0..60).filter(|&txn| held.insert(wait(txn, 7)).is_ok()).count();
+    assert_eq!((put, held.insert(wait(60, 7))), (50, Err(QueueFull::Group)));
+    assert!((70..100).all(|txn| held.insert(wait(txn, txn)).is_ok()), "each of the others finds room");
+    assert_eq!((held.insert(wait(100, 100)), held.fullest()), (Err(QueueFull::Total), Some(7)));
     // Where all is full, the fullest group gives way.
-    assert!(held.remove(0).is_some() && held.put(wait(100, 100)).is_ok());
+    assert!(held.remove(0).is_some() && held.insert(wait(100, 100)).is_ok());
 }
