--- a/crates/router/src/host.rs
+++ b/crates/router/src/host.rs
@@ -2,7 +2,6 @@
 //!
 //! A host maps its own ids to small indices: members, groups, zones and txn types count from 0, and a txn
 //! keeps its index until the router releases it. All times are spans since the instance started.
-
 pub use juniperdock_attempt_outcome::{AttemptOutcome, Effect, Scope};
 pub use juniperdock_primary_tracker::{Change, Phase, Plan, Role};
 use std::time::Duration;
@@ -15,7 +14,7 @@
     /// Stops waiting for one submission of a txn; its end is still reported.
     fn cancel(&mut self, txn: usize, submission: u32);
     /// Final answer: not done, and trying again is harmless.
-    fn decline(&mut self, txn: usize, come_back: Option<Duration>);
+    fn decline(&mut self, txn: usize, retry_after: Option<Duration>);
     /// Final answer: given up, and whether it took effect is not known.
     fn answer_unknown(&mut self, txn: usize);
     /// The router keeps nothing on this txn any more; its index may be used again.
--- a/crates/router/src/sessions.rs
+++ b/crates/router/src/sessions.rs
@@ -1,5 +1,4 @@
 //! The newest commit that each session was told of, where its clients don't carry it. Nothing is decided here.
-
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -9,35 +8,35 @@
 #[derive(Debug, Default)]
 pub(crate) struct Sessions {
     /// There are reads that need it.
-    wanted: bool,
-    young: HashMap<u64, Duration>,
-    old: HashMap<u64, Duration>,
+    enabled: bool,
+    current: HashMap<u64, Duration>,
+    previous: HashMap<u64, Duration>,
     /// When the young ones began to be collected.
-    turned: Duration,
+    rotated_at: Duration,
     /// Newest commit of those that are forgotten.
     floor: Option<Duration>,
 }
 
 impl Sessions {
-    pub fn new(wanted: bool) -> Sessions {
-        Sessions { wanted, ..Sessions::default() }
+    pub fn new(enabled: bool) -> Sessions {
+        Sessions { enabled, ..Sessions::default() }
     }
 
     /// A session was told of a commit. Each is kept for `keep` at least and twice as long at most.
-    pub fn learn(&mut self, now: Duration, session: Option<u64>, commit: Duration, keep: Duration) {
-        let Some(session) = session.filter(|_| self.wanted) else { return };
-        if now >= self.turned + keep {
-            let forgotten = std::mem::replace(&mut self.old, std::mem::take(&mut self.young));
-            self.floor = self.floor.max(forgotten.into_values().max());
-            self.turned = now;
+    pub fn learn(&mut self, now: Duration, session: Option<u64>, commit: Duration, retention: Duration) {
+        let Some(session) = session.filter(|_| self.enabled) else { return };
+        if now >= self.rotated_at + retention {
+            let dropped = std::mem::replace(&mut self.previous, std::mem::take(&mut self.current));
+            self.floor = self.floor.max(dropped.into_values().max());
+            self.rotated_at = now;
         }
-        let newest = self.young.entry(session).or_insert(commit);
+        let newest = self.current.entry(session).or_insert(commit);
         *newest = commit.max(*newest);
     }
 
     /// Up to which commit a read of the session must see; nothing where it has been told of none.
     pub fn must_see(&self, session: u64) -> Option<Duration> {
-        self.young.get(&session).max(self.old.get(&session)).max(self.floor.as_ref()).copied()
+        self.current.get(&session).max(self.previous.get(&session)).max(self.floor.as_ref()).copied()
     }
 
     /// Whatever was told before `now` may be missing.
@@ -51,18 +50,19 @@
     use super::*;
 
     #[test]
-    fn what_is_forgotten_still_binds_and_memory_stays_bounded() {
-        let (s, keep, mut sessions) = (Duration::from_secs, Duration::from_secs(60), Sessions::new(true));
+    fn dropped_entries_still_count_and_memory_stays_bounded() {
+        let (s, retention, mut sessions) =
+            (Duration::from_secs, Duration::from_secs(60), Sessions::new(true));
         assert_eq!(sessions.must_see(7), None);
-        sessions.learn(s(1), Some(7), s(1), keep);
-        sessions.learn(s(2), Some(7), Duration::from_millis(500), keep);
-        assert_eq!(sessions.must_see(7), Some(s(1)), "the newest counts, whatever is told last");
+        sessions.learn(s(1), Some(7), s(1), retention);
+        sessions.learn(s(2), Some(7), Duration::from_millis(500), retention);
+        assert_eq!(sessions.must_see(7), Some(s(1)), "the newest commit counts, whatever was reported last");
         assert_eq!(sessions.must_see(8), None);
         for at in 3..600 {
-            sessions.learn(s(at), Some(1000 + at), s(at), keep);
+            sessions.learn(s(at), Some(1000 + at), s(at), retention);
             assert!(sessions.must_see(7) >= Some(s(1)), "at {at}");
             assert_eq!(sessions.must_see(1000 + at), Some(s(at)));
-            assert!(sessions.young.len() + sessions.old.len() <= 120, "at {at}");
+            assert!(sessions.current.len() + sessions.previous.len() <= 120, "at {at}");
         }
         let floor = sessions.must_see(8);
         assert!(floor >= Some(s(400)) && floor < Some(s(540)), "{floor:?}");
--- a/crates/router/src/sliding_sum.rs
+++ b/crates/router/src/sliding_sum.rs
@@ -1,5 +1,4 @@
 //! Sums over a sliding span of time, kept in fixed buckets that are used again in a ring.
-
 use std::time::Duration;
 
 /// A sum over the last `span`, in buckets of equal width.
@@ -19,7 +18,7 @@
 pub struct SlidingSum {
     width: Duration,
     newest: u64,
-    cells: Vec<f64>,
+    buckets: Vec<f64>,
 }
 
 impl SlidingSum {
@@ -27,31 +26,31 @@
     pub fn new(span: Duration, buckets: usize) -> Self {
         let buckets = buckets.max(1);
         let width = (span / buckets as u32).max(Duration::from_micros(1));
-        SlidingSum { width, newest: 0, cells: vec![0.0; buckets + 1] }
+        SlidingSum { width, newest: 0, buckets: vec![0.0; buckets + 1] }
     }
 
-    fn turn_to(&mut self, now: Duration) {
+    fn advance_to(&mut self, now: Duration) {
         let at = (now.as_micros() / self.width.as_micros()) as u64;
-        let len = self.cells.len() as u64;
+        let len = self.buckets.len() as u64;
         for step in (self.newest + 1).max((at + 1).saturating_sub(len))..=at {
-            self.cells[(step % len) as usize] = 0.0;
+            self.buckets[(step % len) as usize] = 0.0;
         }
         self.newest = self.newest.max(at);
     }
 
     pub fn add(&mut self, now: Duration, amount: f64) {
-        self.turn_to(now);
-        let len = self.cells.len() as u64;
-        self.cells[(self.newest % len) as usize] += amount;
+        self.advance_to(now);
+        let len = self.buckets.len() as u64;
+        self.buckets[(self.newest % len) as usize] += amount;
     }
 
     /// What a sum covers at least.
     pub fn span(&self) -> Duration {
-        self.width * (self.cells.len() as u32 - 1)
+        self.width * (self.buckets.len() as u32 - 1)
     }
 
     pub fn sum(&mut self, now: Duration) -> f64 {
-        self.turn_to(now);
-        self.cells.iter().sum()
+        self.advance_to(now);
+        self.buckets.iter().sum()
     }
 }
--- a/crates/router/tests/fake/mod.rs
+++ b/crates/router/tests/harness/mod.rs
@@ -1,48 +1,48 @@
 //! One tiny host: it writes down what the router has done and lets a story hand in its inputs.
-#![allow(dead_code)] // Not every file of stories uses all of it.
+#![allow(dead_code)] // Not every test file uses all of it.
 
 use juniperdock_router::host::*;
 use juniperdock_router::routing::Router;
 use std::time::Duration;
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum Action {
     Sent(usize, usize),
     Cancelled(usize, u32),
     Declined(usize),
     Unknown(usize),
     Probed(usize),
-    Forgotten(usize),
-    Listened,
+    MemberReleased(usize),
+    Subscribed,
 }
 
 #[derive(Default)]
-pub struct Acts(pub Vec<Act>, pub Vec<Option<Duration>>);
+pub struct RecordingHost(pub Vec<Action>, pub Vec<Option<Duration>>);
 
-impl Host for Acts {
+impl Host for RecordingHost {
     fn send(&mut self, txn: usize, member: usize, _until: Duration) {
-        self.0.push(Act::Sent(txn, member));
+        self.0.push(Action::Sent(txn, member));
     }
     fn cancel(&mut self, txn: usize, submission: u32) {
-        self.0.push(Act::Cancelled(txn, submission));
+        self.0.push(Action::Cancelled(txn, submission));
     }
-    fn decline(&mut self, txn: usize, come_back: Option<Duration>) {
-        self.1.push(come_back);
-        self.0.push(Act::Declined(txn));
+    fn decline(&mut self, txn: usize, retry_after: Option<Duration>) {
+        self.1.push(retry_after);
+        self.0.push(Action::Declined(txn));
     }
     fn answer_unknown(&mut self, txn: usize) {
-        self.0.push(Act::Unknown(txn));
+        self.0.push(Action::Unknown(txn));
     }
     fn release_txn(&mut self, _txn: usize) {}
     fn release_member(&mut self, member: usize) {
-        self.0.push(Act::Forgotten(member));
+        self.0.push(Action::MemberReleased(member));
     }
     fn probe(&mut self, member: usize) {
-        self.0.push(Act::Probed(member));
+        self.0.push(Action::Probed(member));
     }
     fn set_timer(&mut self, _at: Duration, _handle: u64) {}
     fn subscribe_to_member_list(&mut self) {
-        self.0.push(Act::Listened);
+        self.0.push(Action::Subscribed);
     }
 }
 
@@ -51,57 +51,57 @@
 }
 
 /// Txn types of the stories, by index.
-pub const READ: usize = 0;
+pub const BOUNDED: usize = 0;
 pub const LOOSE: usize = 1;
-pub const ONCE: usize = 2;
-pub const MARKED: usize = 3;
+pub const ONCE_ONLY: usize = 2;
+pub const REFERENCED: usize = 3;
 pub const FRESH: usize = 4;
 pub const SESSION: usize = 5;
 
-pub struct Story {
+pub struct Scenario {
     pub router: Router,
-    pub host: Acts,
+    pub host: RecordingHost,
     pub now: Duration,
     next: usize,
 }
 
-impl Story {
+impl Scenario {
     /// One group: members 0 to 2, of which nothing is known yet.
     pub fn new() -> Self {
-        Story::of(FrontInfo { index: 0, fronts: 2, zone: 0 })
+        Scenario::of(FrontInfo { index: 0, fronts: 2, zone: 0 })
     }
 
-    pub fn of(standing: FrontInfo) -> Self {
+    pub fn of(front_info: FrontInfo) -> Self {
         let kind = |effect, consistency| {
             let late_value = if matches!(consistency, Consistency::Bounded(_)) { 0.0 } else { 0.5 };
             TxnType { sla: ms(400), value: 1.0, late_value, effect, consistency }
         };
-        let marked = Effect::Referenced { window: ms(2000), scope: Scope::Group };
+        let referenced = Effect::Referenced { window: ms(2000), scope: Scope::Group };
         let types = vec![
             kind(Effect::Repeatable, Consistency::Bounded(ms(300))),
             kind(Effect::Repeatable, Consistency::Loose),
             kind(Effect::OnceOnly, Consistency::Write),
-            kind(marked, Consistency::Write),
+            kind(referenced, Consistency::Write),
             kind(Effect::Repeatable, Consistency::Fresh),
             kind(Effect::Repeatable, Consistency::Session),
         ];
         let cold = ColdStart { share: 0.2, warm_up: ms(10_000), multiple: 2.5, window: ms(1500) };
-        let mut router = Router::new(7 + standing.index as u64, standing, types, cold);
+        let mut router = Router::new(7 + front_info.index as u64, front_info, types, cold);
         router.set_max_submissions(6);
         router.allow_cancelling();
         router.set_max_retry_after(ms(500));
-        let mut story = Story { router, host: Acts::default(), now: ms(1000), next: 0 };
+        let mut scenario = Scenario { router, host: RecordingHost::default(), now: ms(1000), next: 0 };
         for member in 0..3 {
-            story.list(member, ListedState::Up, None);
+            scenario.list(member, ListedState::Up, None);
         }
-        story
+        scenario
     }
 
     /// As `new`, with member 0 as the writer and fresh reports from all.
-    pub fn running() -> Self {
-        let mut story = Story::new();
-        story.report_all(0);
-        story
+    pub fn with_primary() -> Self {
+        let mut scenario = Scenario::new();
+        scenario.report_all(0);
+        scenario
     }
 
     pub fn list(&mut self, member: usize, state: ListedState, up_for: Option<Duration>) {
@@ -114,18 +114,18 @@
         self.router.probe_ended(self.now, member, AttemptOutcome::Committed, report, &mut self.host);
     }
 
-    pub fn report_all(&mut self, writer: usize) {
+    pub fn report_all(&mut self, primary: usize) {
         for member in 0..3 {
-            let role = if member == writer { Role::Primary } else { Role::Replica };
+            let role = if member == primary { Role::Primary } else { Role::Replica };
             self.report(member, role, self.now);
         }
     }
 
     pub fn arrive(&mut self, kind: usize, left: u64) -> usize {
-        self.arrive_again(kind, left, false)
+        self.arrive_retry(kind, left, false)
     }
 
-    pub fn arrive_again(&mut self, kind: usize, left: u64, retried: bool) -> usize {
+    pub fn arrive_retry(&mut self, kind: usize, left: u64, retried: bool) -> usize {
         self.next += 1;
         let (now, txn) = (self.now, self.next);
         self.router.txn_arrived(now, txn, kind, 0, ms(left), retried, None, None, None, 100, &mut self.host);
@@ -133,7 +133,7 @@
     }
 
     /// A txn of a session whose clients do not carry what it has written.
-    pub fn arrive_of(&mut self, session: u64, kind: usize, left: u64) -> usize {
+    pub fn arrive_in_session(&mut self, session: u64, kind: usize, left: u64) -> usize {
         self.next += 1;
         let (now, txn, session) = (self.now, self.next, Some(session));
         let host = &mut self.host;
@@ -142,38 +142,38 @@
     }
 
     /// An answer that tells its member's role, and a position if there is one.
-    pub fn told(
+    pub fn end_with_report(
         &mut self,
         txn: usize,
         member: usize,
-        ending: AttemptOutcome,
+        outcome: AttemptOutcome,
         role: Role,
         at: Option<Duration>,
     ) {
-        let (over, now, host) = (ending == AttemptOutcome::Committed, self.now, &mut self.host);
-        self.router.submission_ended(now, txn, over, member, ending, Some(role), at, ms(1), host);
+        let (over, now, host) = (outcome == AttemptOutcome::Committed, self.now, &mut self.host);
+        self.router.submission_ended(now, txn, over, member, outcome, Some(role), at, ms(1), host);
     }
 
-    pub fn end(&mut self, txn: usize, member: usize, ending: AttemptOutcome, took: u64) {
-        let over = ending == AttemptOutcome::Committed;
+    pub fn end(&mut self, txn: usize, member: usize, outcome: AttemptOutcome, took: u64) {
+        let over = outcome == AttemptOutcome::Committed;
         let (now, took) = (self.now, ms(took));
-        self.router.submission_ended(now, txn, over, member, ending, None, None, took, &mut self.host);
+        self.router.submission_ended(now, txn, over, member, outcome, None, None, took, &mut self.host);
     }
 
     /// Lets time pass; a reminder touches the group and the txn.
-    pub fn wait(&mut self, span: u64, txn: usize) {
+    pub fn advance(&mut self, span: u64, txn: usize) {
         self.now += ms(span);
         self.router.timer_fired(self.now, 2, &mut self.host);
         self.router.timer_fired(self.now, txn as u64 * 2 + 1, &mut self.host);
     }
 
-    pub fn did(&self, act: &Act) -> bool {
+    pub fn recorded(&self, act: &Action) -> bool {
         self.host.0.contains(act)
     }
 
     /// Where the txn was sent, in order.
-    pub fn sends(&self, txn: usize) -> Vec<usize> {
-        let sent = |act: &Act| if let Act::Sent(t, m) = act { (*t == txn).then_some(*m) } else { None };
+    pub fn sent_to(&self, txn: usize) -> Vec<usize> {
+        let sent = |act: &Action| if let Action::Sent(t, m) = act { (*t == txn).then_some(*m) } else { None };
         self.host.0.iter().filter_map(sent).collect()
     }
 }
--- a/crates/router/tests/primary.rs
+++ b/crates/router/tests/primary.rs
@@ -1,22 +1,21 @@
 //! Stories of changing primaries: one for each way in which a write or a read could go wrong meanwhile.
+mod harness;
 
-mod fake;
-
-use fake::{Act, LOOSE, MARKED, ONCE, READ, Story, ms};
+use harness::{Action, BOUNDED, LOOSE, ONCE_ONLY, REFERENCED, Scenario, ms};
 use juniperdock_router::host::{AttemptOutcome, ListedState, Phase, Role};
 use juniperdock_wait_queue::WaitLimits;
 
 /// Member 0 has answered as primary; the others are replicas.
-fn steady() -> Story {
-    let mut s = Story::running();
-    let first = s.arrive(ONCE, 2000);
+fn with_confirmed_primary() -> Scenario {
+    let mut s = Scenario::with_primary();
+    let first = s.arrive(ONCE_ONLY, 2000);
     s.now += ms(5);
     answer(&mut s, first, 0, Role::Primary, 5);
     assert_eq!(s.router.primary_tracker().phase(0), Phase::Steady);
     s
 }
 
-fn answer(s: &mut Story, txn: usize, member: usize, role: Role, took: u64) {
+fn answer(s: &mut Scenario, txn: usize, member: usize, role: Role, took: u64) {
     let (now, role, at) = (s.now, Some(role), Some(s.now));
     s.router.submission_ended(
         now,
@@ -32,9 +31,9 @@
 }
 
 /// The primary falls silent with what it holds; after a while member 1 says that it is one.
-fn hang_and_succeed(s: &mut Story, any: usize, lasts: u64) {
+fn hang_and_replace_primary(s: &mut Scenario, any: usize, lasts: u64) {
     for _ in 0..lasts / 100 {
-        s.wait(100, any);
+        s.advance(100, any);
         s.report(1, Role::Replica, s.now - ms(50));
         s.report(2, Role::Replica, s.now - ms(50));
     }
@@ -42,50 +41,58 @@
 }
 
 #[test]
-fn a_referenced_write_at_a_hung_primary_goes_to_its_successor_inside_its_window() {
-    let mut s = steady();
-    let (marked, once) = (s.arrive(MARKED, 4000), s.arrive(ONCE, 4000));
-    hang_and_succeed(&mut s, marked, 1500);
-    assert!(s.did(&Act::Cancelled(marked, 0)) && !s.did(&Act::Cancelled(once, 0)));
-    s.end(marked, 0, AttemptOutcome::Cancelled, 1500);
-    assert_eq!((s.sends(marked), s.sends(once)), (vec![0, 1], vec![0]));
-    assert!(s.router.valid_until(marked) <= ms(1005 + 2000), "not written after its window, though it waits");
+fn a_referenced_write_at_a_hung_primary_goes_to_its_successor_within_its_window() {
+    let mut s = with_confirmed_primary();
+    let (referenced, once_only) = (s.arrive(REFERENCED, 4000), s.arrive(ONCE_ONLY, 4000));
+    hang_and_replace_primary(&mut s, referenced, 1500);
+    assert!(s.recorded(&Action::Cancelled(referenced, 0)) && !s.recorded(&Action::Cancelled(once_only, 0)));
+    s.end(referenced, 0, AttemptOutcome::Cancelled, 1500);
+    assert_eq!((s.sent_to(referenced), s.sent_to(once_only)), (vec![0, 1], vec![0]));
+    assert!(
+        s.router.valid_until(referenced) <= ms(1005 + 2000),
+        "not written after its window, even if it still waits"
+    );
     s.now += ms(20);
-    answer(&mut s, marked, 1, Role::Primary, 20);
-    s.end(once, 0, AttemptOutcome::Errored, 1600);
-    assert!(s.did(&Act::Unknown(once)), "it may have run");
+    answer(&mut s, referenced, 1, Role::Primary, 20);
+    s.end(once_only, 0, AttemptOutcome::Errored, 1600);
+    assert!(s.recorded(&Action::Unknown(once_only)), "it may have run");
 }
 
 #[test]
-fn past_its_window_a_write_that_may_have_run_is_told_so_at_once() {
-    let mut s = steady();
-    let marked = s.arrive(MARKED, 4000);
-    hang_and_succeed(&mut s, marked, 2100);
-    s.end(marked, 0, AttemptOutcome::Dropped, 2100);
-    assert_eq!(s.sends(marked), [0]);
-    assert!(s.did(&Act::Unknown(marked)) && !s.did(&Act::Declined(marked)));
+fn after_its_window_a_write_that_may_have_run_is_answered_as_unknown_at_once() {
+    let mut s = with_confirmed_primary();
+    let referenced = s.arrive(REFERENCED, 4000);
+    hang_and_replace_primary(&mut s, referenced, 2100);
+    s.end(referenced, 0, AttemptOutcome::Dropped, 2100);
+    assert_eq!(s.sent_to(referenced), [0]);
+    assert!(s.recorded(&Action::Unknown(referenced)) && !s.recorded(&Action::Declined(referenced)));
 }
 
 #[test]
-fn a_window_that_ends_while_its_write_is_held_ends_the_wait() {
-    let mut s = steady();
-    let marked = s.arrive(MARKED, 4000);
+fn a_window_that_ends_while_its_write_waits_ends_the_wait() {
+    let mut s = with_confirmed_primary();
+    let referenced = s.arrive(REFERENCED, 4000);
     s.now += ms(300);
-    s.end(marked, 0, AttemptOutcome::Dropped, 300);
-    s.end(marked, 0, AttemptOutcome::Dropped, 1);
-    assert_eq!(s.sends(marked), [0, 0], "the second broke as well: the slot is empty");
-    s.wait(1600, marked);
-    assert!(!s.did(&Act::Unknown(marked)));
-    s.wait(200, marked);
-    assert!(s.did(&Act::Unknown(marked)), "its mark is forgotten");
+    s.end(referenced, 0, AttemptOutcome::Dropped, 300);
+    s.end(referenced, 0, AttemptOutcome::Dropped, 1);
+    assert_eq!(
+        s.sent_to(referenced),
+        [0, 0],
+        "the second connection broke as well: there is no recorded primary"
+    );
+    s.advance(1600, referenced);
+    assert!(!s.recorded(&Action::Unknown(referenced)));
+    s.advance(200, referenced);
+    assert!(s.recorded(&Action::Unknown(referenced)), "stores no longer recognise its mark");
     s.report(1, Role::Primary, s.now);
-    assert_eq!(s.sends(marked).len(), 2);
+    assert_eq!(s.sent_to(referenced).len(), 2);
 }
 
 #[test]
-fn what_is_not_written_yet_when_its_primary_is_lost_waits_for_the_next() {
-    let mut s = steady();
-    let (waits, other, third) = (s.arrive(ONCE, 4000), s.arrive(ONCE, 4000), s.arrive(ONCE, 4000));
+fn a_write_not_yet_written_when_its_primary_is_lost_waits_for_the_next() {
+    let mut s = with_confirmed_primary();
+    let (waits, other, third) =
+        (s.arrive(ONCE_ONLY, 4000), s.arrive(ONCE_ONLY, 4000), s.arrive(ONCE_ONLY, 4000));
     assert!(s.router.valid_until(waits) > s.now);
     s.end(other, 0, AttemptOutcome::Unreachable, 5);
     assert!(s.router.valid_until(waits).is_zero(), "nothing more is written there");
@@ -93,40 +100,40 @@
     s.end(third, 0, AttemptOutcome::Dropped, 5);
     s.now += ms(800);
     s.report(1, Role::Primary, s.now - ms(1));
-    assert_eq!((s.sends(waits), s.sends(other), s.sends(third)), (vec![0, 1], vec![0, 1], vec![0]));
-    assert!(s.did(&Act::Unknown(third)));
+    assert_eq!((s.sent_to(waits), s.sent_to(other), s.sent_to(third)), (vec![0, 1], vec![0, 1], vec![0]));
+    assert!(s.recorded(&Action::Unknown(third)));
 }
 
 #[test]
-fn a_woken_primary_gets_no_write_and_its_word_is_no_proof_for_reads() {
-    let mut s = steady();
-    let any = s.arrive(ONCE, 9000);
-    hang_and_succeed(&mut s, any, 2500);
+fn a_former_primary_that_resumes_gets_no_write_and_its_claim_proves_nothing_to_reads() {
+    let mut s = with_confirmed_primary();
+    let any = s.arrive(ONCE_ONLY, 9000);
+    hang_and_replace_primary(&mut s, any, 2500);
     s.now += ms(300);
     s.report(1, Role::Primary, s.now);
     // It wakes, as sure of itself as ever: the newest of all claims.
     s.report(0, Role::Primary, s.now);
-    let write = s.arrive(MARKED, 2000);
-    assert_eq!(s.sends(write), [1]);
+    let write = s.arrive(REFERENCED, 2000);
+    assert_eq!(s.sent_to(write), [1]);
     // Then it knows better, and follows: what it held ends in an error, what it had before proves nothing.
     s.end(any, 0, AttemptOutcome::Errored, 2800);
     s.report(2, Role::Replica, s.now - ms(400));
     s.report(0, Role::Replica, s.now - ms(2800));
-    let read = s.arrive(READ, 1000);
-    s.wait(41, read);
-    assert_eq!(s.sends(read), [1], "no reader is proven, so the writer");
+    let read = s.arrive(BOUNDED, 1000);
+    s.advance(41, read);
+    assert_eq!(s.sent_to(read), [1], "no reader is proven, so the read goes to the primary");
     // Once it is no longer shunned for its silence.
     s.end(read, 1, AttemptOutcome::Committed, 5);
     for _ in 0..40 {
-        s.wait(100, read);
+        s.advance(100, read);
         s.report(1, Role::Primary, s.now);
         s.report(0, Role::Replica, s.now - ms(10));
         s.report(2, Role::Replica, s.now - ms(400));
     }
     let mut to = Vec::new();
     for _ in 0..3 {
-        let read = s.arrive(READ, 1000);
-        to.extend(s.sends(read));
+        let read = s.arrive(BOUNDED, 1000);
+        to.extend(s.sent_to(read));
     }
     assert!(
         to.iter().filter(|&&member| member == 0).count() >= 2,
@@ -135,279 +142,293 @@
 }
 
 #[test]
-fn an_ordered_change_holds_writes_before_any_is_turned_away() {
-    let mut s = steady();
-    let out = s.arrive(ONCE, 4000);
+fn an_ordered_change_queues_writes_before_any_is_refused() {
+    let mut s = with_confirmed_primary();
+    let out = s.arrive(ONCE_ONLY, 4000);
     s.router.order_primary_change(s.now, 0, Some(1), &mut s.host).expect("a plan");
-    let (held, read) = (s.arrive(MARKED, 4000), s.arrive(LOOSE, 4000));
-    assert!(s.sends(held).is_empty() && s.sends(read).len() == 1, "reads go on");
+    let (waiting, read) = (s.arrive(REFERENCED, 4000), s.arrive(LOOSE, 4000));
+    assert!(s.sent_to(waiting).is_empty() && s.sent_to(read).len() == 1, "reads go on");
     s.now += ms(30);
     answer(&mut s, out, 0, Role::Primary, 30);
-    assert!(s.sends(held).is_empty());
+    assert!(s.sent_to(waiting).is_empty());
     s.now += ms(100);
     s.report(1, Role::Primary, s.now);
-    assert_eq!(s.sends(held), [1]);
+    assert_eq!(s.sent_to(waiting), [1]);
     // Called off, the old one takes what waits.
     s.router.order_primary_change(s.now, 0, None, &mut s.host).expect("a plan");
-    let held = s.arrive(ONCE, 4000);
+    let waiting = s.arrive(ONCE_ONLY, 4000);
     assert!(s.router.order_primary_change(s.now, 0, None, &mut s.host).is_err());
     assert!(s.router.cancel_primary_change(s.now, 0, &mut s.host));
-    assert_eq!(s.sends(held), [1]);
+    assert_eq!(s.sent_to(waiting), [1]);
     assert!(!s.router.cancel_primary_change(s.now, 0, &mut s.host));
 }
 
 #[test]
-fn a_change_whose_successor_never_comes_is_undone_in_time() {
-    let mut s = steady();
+fn a_change_whose_successor_never_claims_is_undone_in_time() {
+    let mut s = with_confirmed_primary();
     s.router.order_primary_change(s.now, 0, None, &mut s.host).expect("a plan");
-    let held = s.arrive(ONCE, 20_000);
+    let waiting = s.arrive(ONCE_ONLY, 20_000);
     for _ in 0..49 {
-        s.wait(100, held);
+        s.advance(100, waiting);
         s.report(0, Role::Primary, s.now - ms(1));
-        assert!(s.sends(held).is_empty());
+        assert!(s.sent_to(waiting).is_empty());
     }
-    s.wait(100, held);
-    assert_eq!(s.sends(held), [0]);
+    s.advance(100, waiting);
+    assert_eq!(s.sent_to(waiting), [0]);
 }
 
 #[test]
-fn a_drain_holds_writes_until_a_successor_claims() {
-    let mut s = steady();
+fn a_drain_queues_writes_until_a_successor_claims() {
+    let mut s = with_confirmed_primary();
     s.list(0, ListedState::Draining, None);
-    let held = s.arrive(ONCE, 4000);
+    let waiting = s.arrive(ONCE_ONLY, 4000);
     assert_eq!(s.router.primary_tracker().phase(0), Phase::HandingOver);
     s.report(0, Role::Primary, s.now);
-    assert!(s.sends(held).is_empty(), "rule 3");
+    assert!(s.sent_to(waiting).is_empty(), "rule 3");
     s.now += ms(700);
     s.report(2, Role::Primary, s.now);
-    assert_eq!(s.sends(held), [2]);
+    assert_eq!(s.sent_to(waiting), [2]);
 }
 
 #[test]
-fn an_answer_as_primary_of_another_member_is_looked_into_at_once() {
-    let mut s = steady();
+fn an_answer_as_primary_from_another_member_triggers_a_probe_at_once() {
+    let mut s = with_confirmed_primary();
     let read = s.arrive(LOOSE, 1000);
-    let to = s.sends(read)[0];
+    let to = s.sent_to(read)[0];
     s.now += ms(200);
     s.report(0, Role::Primary, s.now - ms(1));
     s.now += ms(10);
     s.host.0.clear();
     answer(&mut s, read, to, Role::Primary, 210);
-    assert!(s.did(&Act::Probed(to)), "sent before the last claim, it proves too little by itself");
+    assert!(
+        s.recorded(&Action::Probed(to)),
+        "sent before the last claim, the answer proves too little by itself"
+    );
     s.report(to, Role::Primary, s.now);
-    let write = s.arrive(ONCE, 1000);
-    assert_eq!(s.sends(write), [to]);
+    let write = s.arrive(ONCE_ONLY, 1000);
+    assert_eq!(s.sent_to(write), [to]);
 }
 
 #[test]
-fn what_was_kept_fences_former_primaries_and_binds_drains_in_the_process_after() {
-    let mut s = steady();
+fn a_snapshot_fences_former_primaries_and_keeps_drains_in_the_next_process() {
+    let mut s = with_confirmed_primary();
     s.report(1, Role::Replica, s.now - ms(5));
-    hang_and_succeed_at_once(&mut s);
+    replace_primary_at_once(&mut s);
     s.list(2, ListedState::Draining, None);
     let members: Vec<_> = (0..3).map(|m| s.router.snapshot_member(s.now, m).expect("listed")).collect();
     let group = s.router.snapshot_group(0);
     assert_eq!((group.term, group.last_primary), (2, Some(1)));
     // Another process, a moment later by the same clock.
-    let mut next = Story::new();
+    let mut next = Scenario::new();
     next.now = s.now + ms(50);
     (0..3).for_each(|m| next.list(m, ListedState::Up, None));
     next.router.restore_group(next.now, 0, &group);
-    let worth = juniperdock_snapshot::Decay::of(ms(50));
-    members.iter().enumerate().for_each(|(m, kept)| next.router.restore_member(next.now, m, kept, worth));
+    let decay = juniperdock_snapshot::Decay::of(ms(50));
+    members
+        .iter()
+        .enumerate()
+        .for_each(|(m, snapshot)| next.router.restore_member(next.now, m, snapshot, decay));
     next.router.probe_all_members(next.now, &mut next.host);
     assert_eq!(next.router.primary_tracker().primary(0), None, "roles are hints until confirmed");
     next.report(0, Role::Primary, next.now);
-    let write = next.arrive(MARKED, 2000);
-    assert!(next.sends(write).is_empty(), "the former primary's claim is of its old term");
+    let write = next.arrive(REFERENCED, 2000);
+    assert!(next.sent_to(write).is_empty(), "the former primary's claim is of its old term");
     next.now += ms(5);
     next.report(1, Role::Primary, next.now);
-    assert_eq!((next.sends(write), next.router.primary_tracker().term(0)), (vec![1], 2));
+    assert_eq!((next.sent_to(write), next.router.primary_tracker().term(0)), (vec![1], 2));
     let drained = next.arrive(LOOSE, 1000);
-    assert!(next.sends(drained) != [2], "its drain binds, though the list has not said so here");
+    assert!(
+        next.sent_to(drained) != [2],
+        "its drain is kept, although this process has not seen it in a list"
+    );
 }
 
-fn hang_and_succeed_at_once(s: &mut Story) {
-    let lost = s.arrive(ONCE, 2000);
+fn replace_primary_at_once(s: &mut Scenario) {
+    let lost = s.arrive(ONCE_ONLY, 2000);
     s.end(lost, 0, AttemptOutcome::Unreachable, 1);
     s.now += ms(200);
     s.report(1, Role::Primary, s.now - ms(1));
-    assert_eq!(s.sends(lost), [0, 1]);
+    assert_eq!(s.sent_to(lost), [0, 1]);
 }
 
 #[test]
-fn a_vacancy_longer_than_every_expiry_declines_what_never_ran_and_serves_who_comes_after() {
-    let mut s = steady();
-    let lost = s.arrive(ONCE, 1000);
+fn without_a_primary_past_every_expiry_unsent_writes_are_declined_and_later_ones_served() {
+    let mut s = with_confirmed_primary();
+    let lost = s.arrive(ONCE_ONLY, 1000);
     s.end(lost, 0, AttemptOutcome::Unreachable, 1);
-    let held: Vec<usize> = (0..5).map(|i| s.arrive(MARKED, 500 + 100 * i)).collect();
+    let waiting: Vec<usize> = (0..5).map(|i| s.arrive(REFERENCED, 500 + 100 * i)).collect();
     for _ in 0..20 {
-        s.wait(100, held[0]);
+        s.advance(100, waiting[0]);
         (1..3).for_each(|m| s.report(m, Role::Replica, s.now - ms(10)));
     }
-    assert!(held.iter().chain([&lost]).all(|&txn| s.did(&Act::Declined(txn)) && s.sends(txn).len() < 2));
+    assert!(
+        waiting
+            .iter()
+            .chain([&lost])
+            .all(|&txn| s.recorded(&Action::Declined(txn)) && s.sent_to(txn).len() < 2)
+    );
     assert_eq!(s.router.waiting(), 0);
     s.report(2, Role::Primary, s.now);
-    let next = s.arrive(ONCE, 1000);
-    assert_eq!(s.sends(next), [2]);
+    let next = s.arrive(ONCE_ONLY, 1000);
+    assert_eq!(s.sent_to(next), [2]);
 }
 
 #[test]
-fn a_replica_promoted_two_seconds_behind_is_believed_from_its_claim_on() {
-    let mut s = steady();
-    let lost = s.arrive(ONCE, 4000);
+fn a_replica_promoted_two_seconds_behind_counts_as_current_from_its_claim_on() {
+    let mut s = with_confirmed_primary();
+    let lost = s.arrive(ONCE_ONLY, 4000);
     s.end(lost, 0, AttemptOutcome::Unreachable, 1);
     s.now += ms(2500);
     s.report(1, Role::Replica, s.now - ms(2000));
-    let read = s.arrive(READ, 1000);
-    assert!(s.sends(read).is_empty(), "none is inside the bound");
+    let read = s.arrive(BOUNDED, 1000);
+    assert!(s.sent_to(read).is_empty(), "no member is within the bound");
     s.now += ms(20);
     s.report(1, Role::Primary, s.now);
-    let reads: Vec<usize> = s.sends(read);
-    assert!(reads.iter().all(|&member| member == 1), "a primary stands at the present: {reads:?}");
+    let reads: Vec<usize> = s.sent_to(read);
+    assert!(reads.iter().all(|&member| member == 1), "a primary's data is current: {reads:?}");
     // What it said of its position before it was promoted proves nothing more than it did.
-    let other = s.arrive(READ, 1000);
-    assert!(!s.sends(other).contains(&2));
+    let other = s.arrive(BOUNDED, 1000);
+    assert!(!s.sent_to(other).contains(&2));
 }
 
 #[test]
-fn a_front_that_starts_in_the_middle_of_a_change_goes_by_the_newest_claim() {
-    let mut s = Story::new();
+fn a_front_that_starts_during_a_change_follows_the_newest_claim() {
+    let mut s = Scenario::new();
     s.report(0, Role::Primary, s.now - ms(30));
-    let first = s.arrive(ONCE, 4000);
-    assert_eq!(s.sends(first), [0], "the only claim");
+    let first = s.arrive(ONCE_ONLY, 4000);
+    assert_eq!(s.sent_to(first), [0], "the only claim");
     s.now += ms(10);
     s.report(1, Role::Primary, s.now);
     s.now += ms(10);
     s.report(0, Role::Primary, s.now);
-    let second = s.arrive(ONCE, 4000);
-    assert_eq!(s.sends(second), [1], "a later term, and the first is fenced");
+    let second = s.arrive(ONCE_ONLY, 4000);
+    assert_eq!(s.sent_to(second), [1], "a later term, and the first primary is fenced");
     s.end(first, 0, AttemptOutcome::Errored, 20);
-    assert!(s.did(&Act::Unknown(first)));
+    assert!(s.recorded(&Action::Unknown(first)));
 }
 
 #[test]
-fn what_waits_for_a_primary_has_all_members_asked_again_in_time() {
-    let mut s = Story::new();
-    let probes = |s: &Story| s.host.0.iter().filter(|act| matches!(act, Act::Probed(_))).count();
+fn a_write_that_waits_for_a_primary_has_all_members_probed_again_in_time() {
+    let mut s = Scenario::new();
+    let probes = |s: &Scenario| s.host.0.iter().filter(|act| matches!(act, Action::Probed(_))).count();
     s.now += ms(300);
-    let gone = s.arrive(ONCE, 4000);
+    let gone = s.arrive(ONCE_ONLY, 4000);
     assert_eq!(probes(&s), 3);
     s.router.client_left(s.now, gone, &mut s.host);
     (0..3).for_each(|m| s.report(m, Role::Replica, s.now - ms(1)));
     let before = probes(&s);
     s.now += ms(5);
-    let txn = s.arrive(ONCE, 4000);
-    assert_eq!(probes(&s), before, "just asked");
+    let txn = s.arrive(ONCE_ONLY, 4000);
+    assert_eq!(probes(&s), before, "they have just been probed");
     // Nothing comes in but the reminders that were asked for.
     s.now += ms(80);
     s.router.timer_fired(s.now, 2, &mut s.host);
     assert!(probes(&s) >= before + 3, "{} {}", probes(&s), before);
     s.report(1, Role::Primary, s.now);
-    assert_eq!(s.sends(txn), [1]);
+    assert_eq!(s.sent_to(txn), [1]);
 }
 
 #[test]
-fn what_was_sent_to_a_cold_member_counts_in_the_process_after() {
-    let mut s = Story::running();
+fn work_sent_to_a_cold_member_counts_in_the_next_process() {
+    let mut s = Scenario::with_primary();
     let read = s.arrive(LOOSE, 1000);
-    let to = s.sends(read)[0];
-    let kept = s.router.snapshot_member(s.now, to).expect("listed");
-    assert!(kept.work_sent > 0.0, "a submission is work sent there");
-    assert!(s.router.snapshot_member(s.now, 77).is_none(), "nothing of one that is not there");
+    let to = s.sent_to(read)[0];
+    let snapshot = s.router.snapshot_member(s.now, to).expect("listed");
+    assert!(snapshot.work_sent > 0.0, "a submission is work sent to the member");
+    assert!(s.router.snapshot_member(s.now, 77).is_none(), "no snapshot of an unknown member");
     // The next process at once, with and without what was kept.
-    let next = |kept: Option<&juniperdock_router::snapshot::MemberSnapshot>, age| {
-        let mut next = Story::new();
+    let next = |snapshot: Option<&juniperdock_router::snapshot::MemberSnapshot>, age| {
+        let mut next = Scenario::new();
         next.now = s.now + ms(20);
         next.list(to, ListedState::Up, Some(ms(1300)));
-        if let Some(kept) = kept {
-            let worth = juniperdock_snapshot::Decay::of(age);
-            next.router.restore_member(next.now, to, kept, worth);
+        if let Some(snapshot) = snapshot {
+            let decay = juniperdock_snapshot::Decay::of(age);
+            next.router.restore_member(next.now, to, snapshot, decay);
         }
         next.router.snapshot_member(next.now, to).expect("listed").work_sent
     };
     assert_eq!(next(None, ms(20)), 0.0);
-    assert!((next(Some(&kept), ms(20)) - kept.work_sent).abs() < 1e-9, "spent is spent");
-    assert_eq!(next(Some(&kept), ms(1600)), 0.0, "past the rule's window it counts no more");
+    assert!((next(Some(&snapshot), ms(20)) - snapshot.work_sent).abs() < 1e-9, "spent budget stays spent");
+    assert_eq!(next(Some(&snapshot), ms(1600)), 0.0, "it does not count after the rule's window");
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_held_write_along() {
-    let mut s = Story::new();
-    let (gone, stays) = (s.arrive(ONCE, 4000), s.arrive(ONCE, 4000));
+fn a_client_that_leaves_removes_its_waiting_write() {
+    let mut s = Scenario::new();
+    let (gone, stays) = (s.arrive(ONCE_ONLY, 4000), s.arrive(ONCE_ONLY, 4000));
     s.router.client_left(s.now, gone, &mut s.host);
     assert_eq!(s.router.waiting(), 1);
     s.now += ms(50);
     s.report_all(2);
-    assert!(s.sends(gone).is_empty() && s.sends(stays) == [2]);
+    assert!(s.sent_to(gone).is_empty() && s.sent_to(stays) == [2]);
 }
 
 #[test]
-fn a_vacant_group_fills_its_own_part_and_the_least_value_gives_way() {
-    let mut s = Story::new();
+fn a_group_without_a_primary_fills_only_its_own_part_of_the_queue() {
+    let mut s = Scenario::new();
     s.router.set_wait_queue_limits(WaitLimits {
         per_group: 4,
         total: 6,
         bytes_per_group: 1000,
         total_bytes: 1000,
     });
-    let all: Vec<usize> = (0..6).map(|_| s.arrive(ONCE, 4000)).collect();
-    let declined: Vec<bool> = all.iter().map(|&txn| s.did(&Act::Declined(txn))).collect();
-    assert_eq!(declined, [true, true, false, false, false, false], "the oldest of like value, at once");
+    let all: Vec<usize> = (0..6).map(|_| s.arrive(ONCE_ONLY, 4000)).collect();
+    let declined: Vec<bool> = all.iter().map(|&txn| s.recorded(&Action::Declined(txn))).collect();
+    assert_eq!(declined, [true, true, false, false, false, false], "the oldest of equal value, at once");
     // Another group has its own.
     let (now, txn) = (s.now, 50);
     s.router.member_listed(now, 7, 1, 0, ListedState::Up, false, None);
-    s.router.txn_arrived(now, txn, ONCE, 1, ms(4000), false, None, None, None, 100, &mut s.host);
-    assert!(!s.did(&Act::Declined(txn)) && s.router.waiting() == 5);
+    s.router.txn_arrived(now, txn, ONCE_ONLY, 1, ms(4000), false, None, None, None, 100, &mut s.host);
+    assert!(!s.recorded(&Action::Declined(txn)) && s.router.waiting() == 5);
 }
 
 #[test]
-fn a_declined_write_is_told_to_come_back_when_changes_of_late_were_over() {
-    let mut s = steady();
-    for turn in 0..4 {
-        let (old, next) = ([0, 1][turn % 2], [1, 0][turn % 2]);
-        let lost = s.arrive(MARKED, 4000);
+fn a_declined_write_is_told_to_retry_after_the_usual_length_of_a_change() {
+    let mut s = with_confirmed_primary();
+    for round in 0..4 {
+        let (old, next) = ([0, 1][round % 2], [1, 0][round % 2]);
+        let lost = s.arrive(REFERENCED, 4000);
         s.end(lost, old, AttemptOutcome::Unreachable, 1);
         s.now += ms(100);
         s.report(next, Role::Replica, s.now);
         s.now += ms(20);
         s.report(next, Role::Primary, s.now);
-        assert_eq!(s.sends(lost).last(), Some(&next));
+        assert_eq!(s.sent_to(lost).last(), Some(&next));
         s.now += ms(10);
         answer(&mut s, lost, next, Role::Primary, 10);
         s.report(old, Role::Replica, s.now);
         s.now += ms(1000);
     }
-    let lost = s.arrive(ONCE, 4000);
+    let lost = s.arrive(ONCE_ONLY, 4000);
     s.end(lost, 0, AttemptOutcome::Unreachable, 1);
     s.host.1.clear();
-    let late = s.arrive(ONCE, 0);
-    assert!(s.did(&Act::Declined(late)));
-    let back = s.host.1[0].expect("a time to come back");
-    assert!(back >= ms(110) && back <= ms(260), "120 ms each time: {back:?}");
+    let late = s.arrive(ONCE_ONLY, 0);
+    assert!(s.recorded(&Action::Declined(late)));
+    let retry_after = s.host.1[0].expect("a retry delay");
+    assert!(retry_after >= ms(110) && retry_after <= ms(260), "120 ms each time: {retry_after:?}");
 }
 
 #[test]
-fn who_has_just_taken_over_has_its_writes_first() {
-    let mut s = Story::new();
-    let writes: Vec<usize> = (0..6).map(|_| s.arrive(MARKED, 4000)).collect();
+fn a_new_primary_gets_its_waiting_writes_before_reads() {
+    let mut s = Scenario::new();
+    let writes: Vec<usize> = (0..6).map(|_| s.arrive(REFERENCED, 4000)).collect();
     s.now += ms(10);
     s.report(0, Role::Primary, s.now);
-    let reads: Vec<usize> = (0..3).map(|_| s.arrive(READ, 4000)).collect();
-    s.wait(45, reads[0]);
-    let sent = writes.iter().filter(|&&txn| s.sends(txn) == [0]).count();
-    assert!(sent > 0 && sent < writes.len(), "{sent}: it starts with little room");
-    assert!(reads.iter().all(|&txn| s.sends(txn) != [0]), "no read takes it from them");
+    let reads: Vec<usize> = (0..3).map(|_| s.arrive(BOUNDED, 4000)).collect();
+    s.advance(45, reads[0]);
+    let sent = writes.iter().filter(|&&txn| s.sent_to(txn) == [0]).count();
+    assert!(sent > 0 && sent < writes.len(), "{sent}: it starts with a low limit");
+    assert!(reads.iter().all(|&txn| s.sent_to(txn) != [0]), "no read takes their capacity");
 }
 
 /// Found by the laboratory: a primary that is cut off with some fronts goes on claiming the present, of which
 /// it has not all.
 #[test]
-fn what_a_primary_told_as_one_is_no_proof_once_it_says_that_it_is_none() {
-    let mut s = steady();
+fn positions_stated_as_primary_prove_nothing_once_the_member_reports_as_replica() {
+    let mut s = with_confirmed_primary();
     s.now += ms(2000);
     s.report(0, Role::Primary, s.now);
-    let write = s.arrive(ONCE, 2000);
+    let write = s.arrive(ONCE_ONLY, 2000);
     s.now += ms(50);
     // It has learnt meanwhile that another had followed 1.2 s ago.
     let (now, before) = (s.now, Some(s.now - ms(1200)));
@@ -423,20 +444,20 @@
         took,
         &mut s.host,
     );
-    let read = s.arrive(READ, 900);
-    assert!(s.sends(read).is_empty(), "none is known to have what it needs: {:?}", s.sends(read));
+    let read = s.arrive(BOUNDED, 900);
+    assert!(s.sent_to(read).is_empty(), "no member is proven to have what it needs: {:?}", s.sent_to(read));
     s.now += ms(20);
     s.report(0, Role::Replica, s.now - ms(10));
-    assert_eq!(s.sends(read), [0]);
+    assert_eq!(s.sent_to(read), [0]);
 }
 
 /// As above, with a report that was made before and comes after.
 #[test]
-fn a_late_claim_of_one_that_does_not_hold_the_slot_proves_nothing() {
-    let mut s = steady();
+fn a_late_claim_of_a_member_that_is_not_the_recorded_primary_proves_nothing() {
+    let mut s = with_confirmed_primary();
     s.now += ms(2000);
     s.report(0, Role::Primary, s.now);
-    let write = s.arrive(ONCE, 2000);
+    let write = s.arrive(ONCE_ONLY, 2000);
     s.now += ms(50);
     let (now, made, before) = (s.now, s.now - ms(20), Some(s.now - ms(1200)));
     let (replica, took) = (Some(Role::Replica), ms(50));
@@ -453,6 +474,6 @@
     );
     s.now += ms(5);
     s.report(0, Role::Primary, made);
-    let read = s.arrive(READ, 900);
-    assert!(s.sends(read).is_empty(), "{:?}", s.sends(read));
+    let read = s.arrive(BOUNDED, 900);
+    assert!(s.sent_to(read).is_empty(), "{:?}", s.sent_to(read));
 }
