--- a/crates/router/src/host.rs
+++ b/crates/router/src/host.rs
@@ -1,76 +1,87 @@
-//! What the router needs of its surroundings, and the plain types that cross the border.
+//! The interface between the router and its host, and the plain types that pass through it.
 //!
-//! A host maps its own ids to small indices: members, groups, zones and txn types count from 0, and a txn
-//! keeps its index until the router releases it. All times are spans since the instance started.
+//! A host maps its own ids to small indices: members, groups, zones and txn types are counted from 0, and a txn keeps
+//! its index until the router releases it. All times are measured from the start of the instance.
+
 pub use juniperdock_attempt_outcome::{AttemptOutcome, Effect, Scope};
 pub use juniperdock_primary_tracker::{Change, Phase, Plan, Role};
 use std::time::Duration;
 
-/// What the router can have done. A host carries out each call in the order of the calls.
+/// The actions that the router requests. A host carries them out in the order of the calls.
 pub trait Host {
-    /// Submits the txn to a member, and waits until the txn expires. Nothing is written after `until`, nor
-    /// after a later `Router::holds_until`: it is then reported as never sent.
+    /// Submits the txn to a member and waits for the answer until the txn expires. Nothing may be written after
+    /// `until`, nor after a later `Router::valid_until`; the submission is then reported as never sent.
     fn send(&mut self, txn: usize, member: usize, until: Duration);
-    /// Stops waiting for one submission of a txn; its end is still reported.
+    /// Cancels one submission of a txn; its end is still reported.
     fn cancel(&mut self, txn: usize, submission: u32);
-    /// Final answer: not done, and trying again is harmless.
+    /// Final answer: the txn was not executed, and a retry is harmless.
     fn decline(&mut self, txn: usize, retry_after: Option<Duration>);
-    /// Final answer: given up, and whether it took effect is not known.
+    /// Final answer: the txn was given up, and whether it took effect is unknown.
     fn answer_unknown(&mut self, txn: usize);
-    /// The router keeps nothing on this txn any more; its index may be used again.
+    /// The router has no state of this txn any more; its index may be used again.
     fn release_txn(&mut self, txn: usize);
-    /// The router keeps nothing on this member any more; its index may be used again.
+    /// The router has no state of this member any more; its index may be used again.
     fn release_member(&mut self, member: usize);
+    /// Asks a member for a [`Report`]; the result comes back through `Router::probe_ended`.
     fn probe(&mut self, member: usize);
-    /// Asks for a call of `reminder_due` at that time.
+    /// Requests a call of `Router::timer_fired` with this handle at that time.
     fn set_timer(&mut self, at: Duration, handle: u64);
     /// Subscribes to changes of the member list.
     fn subscribe_to_member_list(&mut self);
-    /// Another member holds a group's slot, or a planned change has begun or ended. Nothing is to be done.
+    /// A group has another primary or none, or a planned change has begun or ended. For information only.
     fn primary_changed(&mut self, _change: &Change) {}
 }
 
-/// What a txn type needs of the data it meets.
+/// How recent the data must be that a txn type works on, and which members may execute it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// Taken by the primary alone.
+    /// Executed by the primary only.
     Write,
-    /// Sees all that was committed before it arrived.
+    /// Sees everything that was committed before it arrived.
     Fresh,
     /// Sees the writes of its own session.
     Session,
-    /// Data no older than this when it is submitted.
+    /// Sees data no older than this at the time of its submission.
     Bounded(Duration),
+    /// Sees data of any age.
     Loose,
 }
 
+/// The settings of one txn type.
 #[derive(Clone, Copy, Debug)]
 pub struct TxnType {
+    /// Time within which an answer has its full value.
     pub sla: Duration,
     pub value: f64,
-    /// What is left of the value after the SLA time, as a share of it.
+    /// Value of an answer after the SLA time, as a share of `value`.
     pub late_value: f64,
     pub effect: Effect,
     pub consistency: Consistency,
 }
 
-/// The rule on members that have just started.
+/// Limits for members that have just started and are cold.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdStart {
+    /// Share of its warm capacity that a member has right after its start.
     pub share: f64,
+    /// Time after which it has its full capacity.
     pub warm_up: Duration,
+    /// Multiple of its current capacity that it may be sent within `window`.
     pub multiple: f64,
     pub window: Duration,
 }
 
-/// Where this instance stands.
+/// This instance's place in the fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct FrontInfo {
+    /// Its index among the fronts.
     pub index: usize,
+    /// Number of fronts.
     pub fronts: usize,
     pub zone: usize,
 }
 
+/// The state of a member in the server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedState {
     Up,
@@ -78,13 +89,14 @@
     Removed,
 }
 
-/// What a member says of itself; whatever it left out is `None`.
+/// What a member reports about itself; fields that it did not send are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
+    /// Time up to which it has every commit.
     pub position: Option<Duration>,
     pub role: Option<Role>,
-    /// Txns waiting there.
+    /// Number of txns that wait there.
     pub queue: Option<f64>,
-    /// Busy share of its cores.
+    /// Share of its cores that is busy.
     pub busy: Option<f64>,
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,6 +1,8 @@
 //! Routing decisions for sharded, replicated databases, free of any protocol.
 //!
-//! [`routing`] decides, [`host`] is what it needs of its surroundings, [`ring`] counts over time.
+//! [`routing`] makes the decisions, [`host`] is the interface to its environment, [`snapshot`] holds what a process
+//! passes on to its successor, and [`sliding_sum`] counts over time.
+
 pub mod host;
 pub mod routing;
 mod sessions;
--- a/crates/router/src/routing.rs
+++ b/crates/router/src/routing.rs
@@ -1,5 +1,7 @@
-//! All decisions of the router. The host ([`crate::host`]) calls one method per input; each notes the facts, then
-//! the rules in `settle` run until none fires. Sends leave through `submit` alone, and only if `gate` lets them pass.
+//! All routing decisions. The host ([`crate::host`]) calls one method per input event. Each method records the facts
+//! and then runs the rules in `run_rules` until none fires. Only `submit` sends a txn to a member, and only if
+//! `may_submit` allows it.
+
 use crate::host::AttemptOutcome::*;
 use crate::host::{
     AttemptOutcome, ColdStart, Consistency, Effect, FrontInfo, Host, ListedState, Phase, Plan, Report, Role,
@@ -14,67 +16,80 @@
 use oorandom::Rand64;
 use std::{cmp::Reverse, mem::take, time::Duration};
 
-/// Probes of a member within the tightest bound: measured from the design's start value of 4 downwards.
+/// Periodic probes of a member within the tightest staleness bound.
 const PROBES_PER_BOUND: u32 = 2;
-/// Polls stay under this share of a front's first submissions; what it needs to know beyond that it asks for.
+/// Periodic probes stay below this share of the txns that arrive at this front; further reports are requested on
+/// demand.
 const PERIODIC_PROBES_PER_TXN: f64 = 0.5;
-/// Asked out of turn is so many times as often as txns come; more often where fronts are fewer than this.
+/// Limit of on-demand probes, as a multiple of the txn rate. It applies from `ON_DEMAND_PROBE_FRONTS` fronts on; a
+/// smaller fleet may probe more often.
 const ON_DEMAND_PROBES_PER_TXN: f64 = 4.0;
 const ON_DEMAND_PROBE_FRONTS: f64 = 32.0;
-/// The writer, or whoever checks reads, is polled so many times less often: answers tell as much.
+/// The primary, and members that check reads themselves, are probed at this multiple of the usual interval, because
+/// their answers carry the same information.
 const PRIMARY_PROBE_INTERVAL_FACTOR: u32 = 4;
-/// A read waits so long for a report that may prove a reader.
+/// How long a read waits for a report that may prove a reader's position.
 const REPORT_WAIT: Duration = Duration::from_millis(40);
-/// A member that fails is left alone this long at first, then twice as long each time, up to the longest.
+/// Back-off after a member's first failure; it doubles with each further one, up to `BACKOFF_MAX`.
 const BACKOFF_MIN: Duration = Duration::from_millis(250);
 const BACKOFF_MAX: Duration = Duration::from_secs(4);
-/// Further submissions stay under this share of the first ones, counted over `RESEND_SPAN`.
+/// Resubmissions stay below this share of the arriving txns, both counted over `RATE_WINDOW`.
 const RESUBMISSION_SHARE: f64 = 0.1;
 const RATE_WINDOW: Duration = Duration::from_secs(5);
-/// Submissions a member may hold from this front at first, and at least; parted beyond so many fronts.
+/// Initial and lowest limit on the submissions that one front has in flight at a member. Both shrink in proportion
+/// when there are more than `FULL_LIMIT_FRONTS` fronts.
 const INITIAL_CONCURRENCY: f64 = 4.0;
 const MIN_CONCURRENCY: f64 = 2.0;
 const FULL_LIMIT_FRONTS: f64 = 5.0;
-/// A member whose answers take more than this share of the SLA time gets less room.
+/// The concurrency limit of a member is cut while its answers take more than this share of the SLA time.
 const LIMIT_CUT_SLA_SHARE: f64 = 0.25;
-/// Share of a member's room for what must leave the rest free: reads at the writer, tries late already.
+/// Share of a member's concurrency limit for work that must leave the rest free: reads at the primary, and client
+/// retries that are worth nothing once late. It also halves other shares and random ranges.
 const HALF: f64 = 0.5;
-/// A member is silent that has held work for so many mean answer times, or half as long with two in hand.
+/// A member is silent when it has had work in flight for this many mean latencies without an answer, or for half of
+/// that with two or more submissions in flight.
 const SILENCE_LATENCIES: f64 = 5.0;
-/// A submission out for this many mean answer times, while its member answers others, is lost.
+/// A submission is considered lost after this many mean latencies, provided that its member answers others.
 const LOST_LATENCIES: f64 = 8.0;
-/// So many answers a member within `RESEND_SPAN` double what the throttle lets through.
+/// Answers in time per known member within the counting window that double what the rate limiter admits.
 const ANSWERS_PER_MEMBER_TO_DOUBLE: f64 = 2.5;
-/// What the throttle takes as in time, as a share of the SLA time: queues are to end before it.
+/// Share of the SLA time within which an answer is in time for the rate limiter, so that queues shrink before the SLA
+/// time itself is exceeded.
 const IN_TIME_SLA_SHARE: f64 = 0.7;
-/// How many times what was in time is let through of the least valuable type; the most valuable has one more.
+/// The rate limiter admits this multiple of the share answered in time, plus `HALF` for the most valuable txn type and
+/// proportionally less for others, but at least 1.
 const BASE_ADMISSION_FACTOR: f64 = 0.8;
-/// Declined txns count in full in the throttle when one in so many answers is late, else less: it opens then.
+/// Weight of declined txns in the rate limiter, as a multiple of the share of late answers, up to 1. While few answers
+/// are late, declined txns count little, so that the limiter opens again.
 const DECLINED_WEIGHT_PER_LATE_SHARE: f64 = 8.0;
-/// Declined txns count for no more than so many times those that ended: too few may come back to judge by.
+/// Declined txns count up to this multiple of the ended submissions; otherwise too few txns might be admitted to judge
+/// by.
 const MAX_DECLINED_PER_ENDED: f64 = 2.0;
-/// The throttle counts so many answers beforehand: of a type as in time, of a group as its type.
+/// Answers that the rate limiter assumes in advance: for a txn type all in time, for a group as its txn type.
 const PRIOR_ANSWERS: f64 = 2.0;
-/// Reads spill to the writer while this share of what only it takes is in time.
+/// Reads spill to the primary while at least this share of the txns that only the primary accepts is in time.
 const SPILL_IN_TIME_SHARE: f64 = 0.8;
-/// Reads spill to the writer where it is cheaper by this factor than the reader drawn.
+/// Reads spill to the primary if it costs less than the chosen reader by this factor.
 const SPILL_COST_FACTOR: f64 = 2.0;
-/// A member that failed costs so many times more until it has answered a probe or a txn.
+/// Cost factor of a member that has failed, until it answers a probe or a txn.
 const FAILED_COST_FACTOR: f64 = 8.0;
-/// Half of a member's slowness is forgotten in this time without answers.
+/// Without answers, the excess of a member's slowness is halved after this time.
 const SLOWNESS_HALF_LIFE: Duration = Duration::from_secs(1);
-/// No list is so old that it names a member that has been gone for this long.
+/// How long removed members and session marks are kept. No server list is so old that it names a member that was
+/// removed longer ago.
 const RETENTION: Duration = Duration::from_secs(60);
-/// Reminder handles: this one, even ones for members, odd ones for txns.
+/// Timer handle for requesting the server list. Even handles from 2 on belong to members, odd ones to txns.
 const LIST_REQUEST_TIMER: u64 = 0;
-/// What no member has had is given up after this share of its time: its client can still try elsewhere.
+/// A txn that no member can have executed is given up after this share of its time, so that its client can still try
+/// elsewhere.
 const UNEXECUTED_WAIT_SHARE: f64 = 0.45;
-/// Part of a cold member's budget that is used; the rest is for chance, probes and handshakes.
+/// Part of a cold member's budget that is used; the rest covers random variation, probes and handshakes.
 const COLD_BUDGET_SHARE: f64 = 0.5;
 
 type MaybeTime = Option<Duration>;
 
 impl Router {
+    /// Creates the router of one front. `seed` makes its random choices reproducible.
     pub fn new(seed: u64, front_info: FrontInfo, types: Vec<TxnType>, cold: ColdStart) -> Self {
         let tightest = types.iter().filter_map(|t| match t.consistency {
             Consistency::Bounded(bound) => Some(bound / PROBES_PER_BOUND),
@@ -83,7 +98,8 @@
         let interval = tightest.min().unwrap_or(BACKOFF_MIN);
         let mut router = Router::with_defaults(Rand64::new(seed as u128), front_info, types, cold);
         (router.probe_interval, router.unexecuted_wait_share) = (Some(interval), UNEXECUTED_WAIT_SHARE);
-        // Guesses until answers tell: the fastest come first, a start from those would be far too low.
+        // Estimates until enough answers have arrived. The fastest answers arrive first, so starting from those would
+        // be far too low.
         router.base_latency = router.types.iter().map(|t| t.sla.as_secs_f64() / 4.0).collect();
         router.mean_latency = router.types.iter().map(|t| t.sla.as_secs_f64() / 2.0).collect();
         (router.arrivals, router.resubmissions) =
@@ -93,11 +109,13 @@
         router
     }
 
-    /// The list has to be asked for, at the start or again; not at once, lest all ask together.
+    /// The server list has to be requested, at the start or after its source was lost. The request is delayed by a
+    /// random time, so that not all fronts request it at once.
     pub fn discovery_lost(&mut self, now: Duration, host: &mut impl Host) {
         host.set_timer(now + BACKOFF_MIN.mul_f64(self.rng.rand_float()), LIST_REQUEST_TIMER);
     }
 
+    /// Records one entry of a server list. `up_for` is the time since the member's start, if the list contains it.
     pub fn member_listed(
         &mut self,
         now: Duration,
@@ -115,7 +133,7 @@
         let m = &mut self.members[member];
         (m.group, m.zone) = (group, zone);
         if !std::mem::replace(&mut m.listed, true) {
-            // Not asked by all fronts at once, where many start together.
+            // Spread randomly: many fronts may start together, and must not all probe it at once.
             m.next_probe_at = now + BACKOFF_MIN.mul_f64(self.rng.rand_float());
             self.groups[group].members.push(member);
             self.primary_tracker.add_member(member, group);
@@ -123,7 +141,7 @@
         }
         let m = &mut self.members[member];
         let warm_at = up_for.map_or(m.warm_at, |up| (now + self.cold.warm_up).saturating_sub(up));
-        // Only a later start ends a drain: a list may be wrong, or an old one may come again.
+        // Only a later start ends a drain: a list may be wrong, or an old list may arrive again.
         m.draining = state == ListedState::Draining || m.draining && warm_at <= m.warm_at;
         m.removed_at = m.removed_at.or(Some(now)).filter(|_| state == ListedState::Removed);
         m.excluded = m.draining || state == ListedState::Removed && !self.removal_is_advisory;
@@ -131,13 +149,15 @@
         m.listed_as_primary = primary && !m.excluded;
         self.removed_members.extend(m.removed_at.map(|_| member));
         self.primary_tracker.set_availability(now, member, m.excluded, m.draining);
-        // A hint only: whoever is named is asked at once, and believed only if its report tells no role.
+        // The listed primary is only a hint. The member is probed at once, and the hint counts only if its report
+        // contains no role.
         m.next_probe_at = if m.listed_as_primary { now } else { m.next_probe_at };
         self.mark_dirty(group);
     }
 
-    /// All entries are in; of a full list, members that it does not name are gone. A gone one is forgotten
-    /// once no old list will name it again, nothing is out to it, and it is of no use.
+    /// All entries of a list have been recorded. `named` is given for a complete list: members that it does not contain
+    /// are removed. A removed member is dropped once no old list can name it again, nothing is in flight to it and it
+    /// is of no use.
     pub fn list_completed(&mut self, now: Duration, named: Option<&[usize]>, host: &mut impl Host) {
         for i in self.note_unnamed_members(named) {
             let m = &mut self.members[i];
@@ -160,7 +180,8 @@
         self.run_rules(now, &[], host);
     }
 
-    /// A client's txn; `wrote_ago` is the age of its session's last write where the client tells it.
+    /// A txn has arrived from a client. `left` is the time until it expires; `wrote_ago` is the age of its session's
+    /// last write, if the client sends it.
     pub fn txn_arrived(
         &mut self,
         now: Duration,
@@ -192,7 +213,8 @@
         self.txns[txn] = Some(Txn { over_quota, ..t });
         self.arrivals.add(now, 1.0);
         self.enqueue(txn, host);
-        // At arrival all may be placed: answer times of a bad time are unlearnt only by sending.
+        // On arrival every txn may be submitted, whatever the measured latencies: latencies learnt in a bad period are
+        // corrected only by further submissions.
         self.wait_queue.set_deadlines(txn, Duration::MAX, Duration::MAX);
         self.rate_unchecked.push(txn);
         self.run_rules(now, &[group], host);
@@ -204,7 +226,8 @@
         }
     }
 
-    /// By lot, whether a txn is beyond its tenant's share: first tries here against an equal part of it.
+    /// Decides at random whether a txn exceeds its tenant's quota, by comparing the tenant's first tries at this front
+    /// with an equal part of the quota.
     fn exceeds_quota(&mut self, now: Duration, tenant: usize, retried: bool) -> bool {
         let (span, draw) = (now.min(RATE_WINDOW).as_secs_f64(), self.rng.rand_float());
         let Some((quota, first_tries)) = self.tenant_quotas.get_mut(tenant) else { return false };
@@ -212,7 +235,8 @@
         draw * first_tries.sum(now) > *quota * span / self.front_info.fronts.max(1) as f64 + PRIOR_ANSWERS
     }
 
-    /// A submission has ended. `over`: the client has its final answer.
+    /// A submission has ended. `over`: the client has its final answer. `role` and `position` are those that came with
+    /// the answer.
     pub fn submission_ended(
         &mut self,
         now: Duration,
@@ -245,7 +269,7 @@
         }
         let writes = self.types[kind].consistency == Consistency::Write;
         if outcome == Misplaced && position.is_none() && !writes {
-            // It lags by more than was known, where it doesn't say by how much.
+            // It lags by more than was known, but does not report by how much.
             let m = &mut self.members[member];
             (m.lag_observed_at, m.lag) = (now, (m.lag.max(BACKOFF_MIN) * 2).min(BACKOFF_MAX));
         }
@@ -253,7 +277,8 @@
             self.primary_tracker.committed(member);
         }
         if writes && !outcome.never_ran() {
-            // What may have run binds as of now; so does a repeat that is told its first commit, before this start.
+            // A write that may have run counts as committed now. So does a repeat whose first commit is older than this
+            // process, because such a position cannot be expressed here.
             let at = position.filter(|_| outcome == Committed).unwrap_or(now);
             self.session_marks.learn(now, session, at, RETENTION);
         }
@@ -278,6 +303,7 @@
         self.run_rules(now, &[group], host);
     }
 
+    /// The client of a txn has disconnected or given up: nothing more is submitted for the txn.
     pub fn client_left(&mut self, now: Duration, txn: usize, host: &mut impl Host) {
         let Some(Some(t)) = self.txns.get_mut(txn) else { return };
         t.finished = true;
@@ -288,6 +314,7 @@
         self.run_rules(now, &[group], host);
     }
 
+    /// A probe has ended. `report` counts only if `end` is `Committed`.
     pub fn probe_ended(
         &mut self,
         now: Duration,
@@ -316,6 +343,7 @@
         self.run_rules(now, &[self.members[member].group], host);
     }
 
+    /// A timer set through `Host::set_timer` is due.
     pub fn timer_fired(&mut self, now: Duration, handle: u64, host: &mut impl Host) {
         let index = (handle / 2) as usize;
         if handle == LIST_REQUEST_TIMER {
@@ -328,7 +356,8 @@
         }
     }
 
-    /// A reminder long overdue shows that this front itself stood still: the silence was its own.
+    /// Detects from an overdue timer that this process was stalled. Members were then not silent: this process did not
+    /// read their answers.
     fn detect_stall(&mut self, now: Duration) {
         if self.next_timer_at <= now {
             if now - self.next_timer_at > BACKOFF_MIN {
@@ -338,9 +367,11 @@
         }
     }
 
-    /// Records a claim of role: an answer's is as new as now, but proves no more than that it was made since
-    /// its txn was sent; a report's is at least as new as its position. What a front reads right after it
-    /// stood still may have waited since. Only of the slot's holder is the word as a primary a proof of data.
+    /// Records the role and the log position that a member reported. `at` is the position, `sent` the time when the
+    /// answered txn was sent, or `None` for a probe's report. A role in an answer is dated now, but proves only that it
+    /// was stated after the txn was sent; a role in a report is at least as new as its position. What is read right
+    /// after a stall may have been waiting since the stall began. A position stated as primary is a proof only from the
+    /// recorded primary.
     fn record_report(&mut self, now: Duration, m: usize, role: Option<Role>, at: MaybeTime, sent: MaybeTime) {
         let group = self.members[m].group;
         let read = if now < self.resumed_at + REPORT_WAIT {
@@ -351,13 +382,13 @@
         let made_at = at.filter(|_| sent.is_none()).unwrap_or(read);
         let claim = role.map(|role| Claim { role, made_at, not_before: sent.unwrap_or(made_at) });
         self.primary_tracker.observe(now, m, claim, sent.is_some());
-        // What one told as the primary proves nothing any more once it says that it is none: it may not have
-        // known that another had followed. Meets primaries that are cut off with their clients.
+        // Once a member reports that it is not primary, the positions that it stated as primary prove nothing: it may
+        // not have known of its successor. This covers primaries that are partitioned off together with clients.
         let (is_primary, is_recorded) =
             (role == Some(Role::Primary), self.primary_tracker.primary(group) == Some(m));
         let state = &mut self.members[m];
         state.mark_alive(now, self.cold.warm_up);
-        // A report is some time old by itself: it can only show that a lag is shorter.
+        // A report has some age of its own, so it can only show that the lag is shorter.
         if let Some(lag) = at.map(|at| read.saturating_sub(at)).filter(|&l| sent.is_some() || l < state.lag) {
             (state.lag_observed_at, state.lag) = (read, lag);
         }
@@ -366,7 +397,7 @@
         } else if !is_primary || is_recorded {
             state.position = state.position.max(at);
         }
-        // An answer proves too little to take a held slot: its member is asked.
+        // An answer is too weak a proof to replace a recorded primary, so the member is probed.
         if role == Some(Role::Primary) && sent.is_some() && self.primary_tracker.primary(group) != Some(m) {
             let earliest = self.members[m].last_probe_at.unwrap_or_default()
                 + self.probe_interval.unwrap_or_default() / 2;
@@ -374,6 +405,7 @@
         }
     }
 
+    /// Updates what is measured of a member from the end of a submission: latencies, concurrency limit and back-off.
     fn update_health(
         &mut self,
         now: Duration,
@@ -390,7 +422,7 @@
         }
         let mean_latency = Duration::from_secs_f64(*mean_latency);
         let (least, m) = (self.per_front_limit(MIN_CONCURRENCY), &mut self.members[member]);
-        // A quick error must not look like low load: it counts as an answer at the SLA time.
+        // A fast error must not look like low load: it counts as an answer at the SLA time.
         let errored = matches!(outcome, Errored | Dropped);
         let counted = if errored { secs.max(sla) } else { secs };
         if errored || matches!(outcome, Committed | TimedOut | Cancelled) {
@@ -410,17 +442,17 @@
                 m.work_done.add(now, work);
                 m.newest_answered_sent_at = m.newest_answered_sent_at.max(now.saturating_sub(took));
                 let base_latency = &mut self.base_latency[kind];
-                // Falls fast and rises slowly: what an answer takes where nothing waits.
+                // Falls fast and rises slowly, to follow the latency without queueing.
                 *base_latency += if secs < *base_latency { 0.05 } else { 0.01 } * (secs - *base_latency);
             }
-            // Turned away at once, it looks idle: left alone for longer each time, also as the writer.
+            // A member that refuses at once looks idle, so it is avoided for longer each time, even as primary.
             Full => {
                 m.concurrency_limit = (m.concurrency_limit * 0.7).max(least);
                 m.consecutive_fulls = (m.consecutive_fulls + 1).min(8);
                 m.avoid_until =
                     m.avoid_until.max(now + BACKOFF_MIN / 8 * 2u32.pow(m.consecutive_fulls.min(4)));
             }
-            // Connections end now and then: its member is asked, and shunned if it was not the only one.
+            // Single connections break now and then: the member is probed, and avoided only after a second failure.
             Dropped if m.consecutive_failures == 0 => {
                 (m.consecutive_failures, m.probe_failures, m.next_probe_at) = (1, 1, now);
                 self.primary_tracker.mark_doubted(now, member);
@@ -432,21 +464,24 @@
                     (avoid_until, m.probe_failures.max(1), now);
                 m.consecutive_failures += 1;
             }
-            // A time-out is the client's end of patience, an error weighs as a late answer: neither shuns.
+            // A timeout depends on the client's deadline, and an error already counts as a late answer: neither starts
+            // a back-off.
             _ => {}
         }
-        // A failed submission to the writer empties the slot; only a claim made after this fills it again.
+        // After a failed submission to the recorded primary there is none until a member claims the role later than
+        // now.
         let not_primary = outcome == Misplaced && self.types[kind].consistency == Consistency::Write;
         if not_primary || matches!(outcome, Unreachable | Dropped) {
             self.suspect_primary(now, member);
         }
     }
 
+    /// This front's part of a concurrency limit.
     fn per_front_limit(&self, limit: f64) -> f64 {
         (limit * (FULL_LIMIT_FRONTS / self.front_info.fronts.max(1) as f64).min(1.0)).max(1.0)
     }
 
-    /// Empties the writer slot if this member holds it, and starts a probe round.
+    /// Clears the recorded primary if it is this member, and probes the whole group.
     fn suspect_primary(&mut self, now: Duration, member: usize) {
         let group = self.members[member].group;
         if self.primary_tracker.primary(group) == Some(member) {
@@ -457,6 +492,7 @@
         }
     }
 
+    /// Queues a txn again after a submission without a final answer, or answers it if no further attempt is allowed.
     fn resubmit_or_answer(
         &mut self,
         now: Duration,
@@ -477,8 +513,9 @@
         }
     }
 
-    /// When an answer has to be there to be worth anything, and when the txn is given up however quick
-    /// members are: what no member has had early, what may have run once its stores forget its mark.
+    /// The soft deadline, by which an answer must be there to be worth anything, and the hard one, at which the txn is
+    /// given up however fast members are. The hard one is early for a txn that cannot have run yet; for one that may
+    /// have run it is the end of the window in which stores recognise its mark.
     fn deadlines(&self, t: &Txn) -> (Duration, Duration) {
         let kind = self.types[t.kind];
         let soft_deadline = if kind.late_value > 0.0 { t.expiry } else { t.expiry.min(t.arrived + kind.sla) };
@@ -487,13 +524,15 @@
         (soft_deadline, hard_deadline.min(t.attempts.window_end().unwrap_or(hard_deadline)))
     }
 
+    /// When a waiting txn is given up: at the hard deadline, or one mean latency before the soft one.
     pub(crate) fn give_up_at(&self, t: &Txn) -> Duration {
         let ((soft_deadline, hard_deadline), work) =
             (self.deadlines(t), Duration::from_secs_f64(self.mean_latency[t.kind]));
         soft_deadline.saturating_sub(work).min(hard_deadline).max(t.arrived)
     }
 
-    /// A txn waits; without room what is worth least gives way, of its group or of the fullest one.
+    /// Puts a txn into the wait queue. If a limit is reached, the txn worth least is answered instead, of its own group
+    /// or, if the limit over all groups is reached, of the fullest group.
     fn enqueue(&mut self, txn: usize, host: &mut impl Host) {
         let t = self.txn(txn);
         let ((soft_deadline, hard_deadline), submitted) = (self.deadlines(t), t.attempts.submissions() > 0);
@@ -517,12 +556,13 @@
         }
     }
 
-    /// Value per work of a txn type.
+    /// Value of a txn type per unit of work.
     fn value_density(&self, kind: usize) -> f64 {
         self.types[kind].value / self.base_latency[kind]
     }
 
-    /// What waits in a group, as types with first and later tries apart: most value per work first.
+    /// Txn types with waiting txns in a group, with first tries and client retries separate, highest value density
+    /// first.
     fn waiting_ranks(&self, group: usize) -> Vec<(usize, bool)> {
         if self.wait_queue.is_empty(group) {
             return Vec::new();
@@ -535,8 +575,8 @@
         ranks
     }
 
-    /// The one final answer that is true, at once: declined where that is harmless, else that its effect is not
-    /// known. Who wants a primary is to come back when changes of late were over.
+    /// Sends the final answer that is true now: declined if a retry is harmless, otherwise that the outcome is unknown.
+    /// A declined txn that needs a primary is told to retry when, judging by recent changes, there should be one again.
     fn send_final_answer(&mut self, now: Duration, txn: usize, host: &mut impl Host) {
         let Txn { kind, group, attempts, .. } = *self.txn(txn);
         match attempts.final_answer() {
@@ -554,6 +594,7 @@
         self.release_if_done(txn, host);
     }
 
+    /// Schedules the next periodic probe of a member.
     fn schedule_probe(&mut self, now: Duration, member: usize, host: &mut impl Host) {
         let Some(interval) = self.probe_interval else { return };
         let rate = self.arrivals.sum(now) / now.min(RATE_WINDOW).as_secs_f64().max(1e-3);
@@ -574,6 +615,7 @@
         host.set_timer(now + pause, member as u64 * 2 + 2);
     }
 
+    /// Runs the rules for the given groups, and for all others marked dirty, until no rule fires.
     pub(crate) fn run_rules(&mut self, now: Duration, groups: &[usize], host: &mut impl Host) {
         groups.iter().for_each(|&group| self.mark_dirty(group));
         self.detect_stall(now);
@@ -590,9 +632,10 @@
         }
     }
 
-    /// A member that answers nothing for some answer times is shunned. What is out there, or for as long and
-    /// passed by later answers, is called off, and a referenced write out at a former primary: its mark is
-    /// known to the next one. Meets hangs, lost answers; harms when one answers in bursts.
+    /// Backs off from a member that has not answered for several latencies, and cancels what can be resubmitted: the
+    /// repeatable txns in flight there, those that later answers have overtaken for as long, and referenced writes at a
+    /// former primary, whose marks its successor recognises. This covers hung members and lost answers; a member that
+    /// answers in bursts is backed off needlessly.
     fn handle_silent_members(&mut self, now: Duration, group: usize, host: &mut impl Host) -> bool {
         let (mut fired, mut to_cancel) = (false, Vec::new());
         let (term, no_primary) =
@@ -647,7 +690,8 @@
         fired || !to_cancel.is_empty()
     }
 
-    /// Keeps the record of who is primary; who takes the slot starts with little room. The host hears of it.
+    /// Updates the record of the group's primary and notifies the host of changes. A new primary starts with a low
+    /// concurrency limit.
     fn update_primary(&mut self, now: Duration, group: usize, host: &mut impl Host) -> bool {
         let (before, next_check_before) =
             (self.primary_tracker.primary(group), self.primary_tracker.plan_deadline(group));
@@ -670,8 +714,9 @@
         writer != before
     }
 
-    /// Exception: members are asked out of turn for what a held txn waits for, a role or a proof of readers;
-    /// ever less often where reports prove nothing. Meets fronts of few txns; harms tight bounds by a delay.
+    /// Exception: probes members before their scheduled time for what a waiting txn needs, a role or a proof of a
+    /// reader's position, and less and less often where reports prove nothing. This serves fronts with few txns; reads
+    /// with tight bounds are delayed by the probe.
     fn probe_on_demand(&mut self, now: Duration, group: usize, host: &mut impl Host) -> bool {
         let (Some(interval), g) = (self.probe_interval, &self.groups[group]) else { return false };
         let no_primary = self.primary_tracker.writer(group).is_none();
@@ -695,7 +740,8 @@
             let earliest =
                 m.last_probe_at.map_or(now, |at| now.max(at + min_gap * 2u32.pow(m.stale_reports.min(5))));
             let early = !m.excluded && !m.probe_in_flight && m.next_probe_at > earliest;
-            // What waits for a primary has nothing else to wake it.
+            // Without a primary, nothing else triggers a look at the waiting txns, so the later probe is scheduled as
+            // well.
             let probe =
                 needed && early && (no_primary || earliest == now && self.is_available_reader(now, i));
             probe.then_some((i, earliest))
@@ -710,11 +756,13 @@
         to_probe.iter().any(|&(_, at)| at == now)
     }
 
+    /// Whether reads may go to a member as a replica now: it is in use, not backed off and not the recorded primary.
     fn is_available_reader(&self, now: Duration, member: usize) -> bool {
         let m = &self.members[member];
         self.primary_tracker.primary(m.group) != Some(member) && m.avoid_until <= now && !m.excluded
     }
 
+    /// Whether a report of a member of the group is expected within `REPORT_WAIT`.
     fn awaits_report(&self, now: Duration, group: usize) -> bool {
         let recent = |at| now < at + REPORT_WAIT;
         let awaited =
@@ -722,6 +770,7 @@
         self.groups[group].members.iter().any(awaited)
     }
 
+    /// Sends one probe that is due in the group.
     fn send_due_probe(&mut self, now: Duration, group: usize, host: &mut impl Host) -> bool {
         let due = self.groups[group].members.iter().copied().find(|&i| {
             let m = &self.members[i];
@@ -736,8 +785,9 @@
         due.is_some()
     }
 
-    /// A txn is declined at random before it is ever sent while too few are answered in time, of its type and
-    /// its group. Meets overload, storms of later tries; harms where members are gone for good.
+    /// The rate limiter: declines a new txn at random before its first submission while too few txns of its type and
+    /// its group are answered in time. This covers overload and retry storms; it declines too much where members have
+    /// gone for good.
     fn limit_rate(&mut self, now: Duration, host: &mut impl Host) -> bool {
         let Some(txn) = self.rate_unchecked.pop() else { return false };
         let Some(WaitingTxn { kind, group, .. }) = self.wait_queue.get(txn).copied() else { return true };
@@ -758,7 +808,7 @@
                 (in_time + PRIOR_ANSWERS * admitted_share) / (ended + declined_weight * declined);
         }
         let draw = self.rng.rand_float();
-        // What its tenant has no share for goes first, by as much as it is worth less.
+        // Txns over their tenant's quota are declined first, in proportion to how much less they are worth.
         let decline = if over_quota {
             (1.0 - draw) * self.over_quota_value < 1.0 - admitted_share
         } else {
@@ -773,7 +823,7 @@
         true
     }
 
-    /// Whatever waits past hope is answered, of whichever group.
+    /// Answers one waiting txn, of any group, that can no longer be completed in time.
     fn expire_waiting(&mut self, now: Duration, host: &mut impl Host) -> bool {
         let latency = |kind: usize| Duration::from_secs_f64(self.mean_latency[kind]);
         let Some(txn) = self.wait_queue.next_expired(now, latency) else { return false };
@@ -782,8 +832,9 @@
         true
     }
 
-    /// Places what can be placed: most value per work, then first tries, then newest; the rest is late. What
-    /// finds no member leaves those of its kind none either.
+    /// Submits the waiting txns of a group for which there is a member: by highest value density, then first tries
+    /// before client retries, then the newest first, because older ones are more likely to be late. If no member fits a
+    /// txn, the rest of its queue is skipped, unless its txns need different data (session reads).
     fn submit_waiting(&mut self, now: Duration, group: usize, host: &mut impl Host) -> bool {
         let has_capacity = |&m: &usize| self.has_capacity(now, m, 1.0);
         if self.wait_queue.is_empty(group) || !self.groups[group].members.iter().any(has_capacity) {
@@ -806,7 +857,8 @@
         submitted
     }
 
-    /// The member for a txn: the writer for writes and fresh reads, else a random reader inside the bound.
+    /// Chooses the member for a txn: the primary for writes and fresh reads, otherwise the cheaper of two random
+    /// readers whose data is recent enough.
     fn choose_member(&mut self, now: Duration, txn: usize) -> Option<usize> {
         let Txn { group, kind, .. } = *self.txn(txn);
         let usable = |w: &usize| self.has_capacity(now, *w, 1.0) && self.members[*w].avoid_until <= now;
@@ -820,7 +872,8 @@
             }
             _ => {}
         }
-        // A later try that is worth nothing late leaves half of the room to first tries still to come.
+        // A client retry that is worth nothing once late leaves half of the capacity to first tries that are still to
+        // come.
         let share = if self.txn(txn).retried && self.types[kind].late_value == 0.0 { HALF } else { 1.0 };
         let (mut candidates, mut any_current, mut least_behind) = (Vec::new(), false, None);
         for i in 0..self.groups[group].members.len() {
@@ -837,7 +890,8 @@
                 least_behind = least_behind.max(Some((self.members[m].position, m)));
             }
         }
-        // Exception: reads spill into half of the writer's room; one just promoted has its writes first.
+        // Exception: reads may spill into half of the primary's capacity, except on a primary that was just promoted
+        // and still has writes waiting.
         let is_write = |&(kind, _): &(usize, bool)| self.types[kind].consistency == Consistency::Write;
         let writes_first = self.primary_tracker.phase(group) == Phase::Settling
             && self.waiting_ranks(group).iter().any(is_write);
@@ -851,7 +905,7 @@
         let reader = match candidates.len() {
             0 if any_current => None,
             0 if bounded && !self.members_check_reads && self.awaits_report(now, group) => return None,
-            // Once: a member that turned the read away is as far behind a moment later.
+            // Only once: a member that refused the read is as far behind a moment later.
             0 if self.txn(txn).attempts.submissions() == 0 => least_behind.map(|(_, m)| m),
             0 => None,
             n => {
@@ -867,15 +921,17 @@
         }
     }
 
-    /// Exception: where no probe is allowed a write without a primary is its own, and a fresh read where members
-    /// check: who is none turns it away untouched. Meets fronts that know nobody; harms by what is turned away.
+    /// Exception: where probes are not allowed, a write searches for the primary itself while none is known, and so
+    /// does a fresh read if members check reads: a member that is not primary refuses it without effect. This serves
+    /// fronts that know no primary, at the cost of the refused submissions.
     fn searches_by_trial(&self, group: usize, kind: usize) -> bool {
         let refused_elsewhere =
             self.types[kind].consistency == Consistency::Write || self.members_check_reads;
         refused_elsewhere && self.probe_interval.is_none() && self.primary_tracker.primary(group).is_none()
     }
 
-    /// One that has not failed: whom the list names, then who said longest ago, or never, that it is a replica.
+    /// The member to try in such a search: one that has not failed, preferably the listed primary, then the one that
+    /// reported longest ago, or never, that it is a replica.
     fn choose_trial_member(&mut self, now: Duration, txn: usize) -> Option<usize> {
         let mut best = None;
         for m in self.groups[self.txn(txn).group].members.clone() {
@@ -891,7 +947,7 @@
         best.map(|(.., m)| m)
     }
 
-    /// What only the primary takes comes in time there.
+    /// Whether the txns that only the primary accepts are answered in time.
     fn primary_keeps_up(&mut self, now: Duration, group: usize) -> bool {
         let (mut in_time, mut ended) = (PRIOR_ANSWERS, PRIOR_ANSWERS);
         for (kind, counts) in self.groups[group].outcome_counts.iter_mut().enumerate() {
@@ -902,7 +958,8 @@
         in_time >= SPILL_IN_TIME_SHARE * ended
     }
 
-    /// Submissions at work there; lost ones take no room. Meets links that swallow a share of all.
+    /// Submissions in flight at a member that count against its limit. Lost ones do not, since a link may drop some of
+    /// them silently.
     fn active_submissions(&self, now: Duration, member: usize) -> usize {
         let active = |&&t: &&usize| {
             self.txn(t)
@@ -913,15 +970,18 @@
         self.members[member].in_flight.iter().filter(active).count()
     }
 
+    /// Whether a submission that has been in flight for this long is considered lost.
     fn considered_lost(&self, out_for: Duration, kind: usize) -> bool {
         out_for.as_secs_f64() > LOST_LATENCIES * self.mean_latency[kind]
     }
 
+    /// Whether a member has a free place within the given share of its concurrency limit.
     fn has_capacity(&self, now: Duration, member: usize, share: f64) -> bool {
         (self.active_submissions(now, member) as f64) < self.members[member].concurrency_limit.floor() * share
     }
 
-    /// What a further submission would wait for; slowness is forgotten by and by: all get their trial.
+    /// Estimated cost of one more submission to a member. Slowness fades without answers, so that every member is tried
+    /// again.
     fn cost(&self, now: Duration, member: usize) -> f64 {
         let m = &self.members[member];
         let age = now.saturating_sub(m.last_answer_at).as_secs_f64();
@@ -929,19 +989,19 @@
             + (m.slowness - 1.0)
                 / (1.0 + age / SLOWNESS_HALF_LIFE.max(2 * self.member_txn_interval).as_secs_f64());
         let distance = if m.zone == self.front_info.zone { 1.0 } else { 1.1 };
-        // After a failure a probe is its trial, not a txn, while another member will do.
+        // After a failure a member is to be tried by a probe and not by a txn, as long as there is another member.
         let failed = if m.probe_failures > 0 { FAILED_COST_FACTOR } else { 1.0 };
         (self.active_submissions(now, member) + 1) as f64 * slowness * distance * failed
     }
 
-    /// A former primary's proofs count from the beginning of the newest term.
+    /// A member's proven log position. For a former primary only positions since the start of the newest term count.
     fn proven_position(&self, member: usize) -> Option<Duration> {
         self.members[member]
             .position
             .filter(|&position| position >= self.primary_tracker.valid_positions_from(member))
     }
 
-    /// Whether a member's data is proven to be as new as a txn type, or a txn, needs it.
+    /// Whether a member's data is proven to be as recent as the txn type, or this txn, needs.
     fn is_proven_current(
         &self,
         now: Duration,
@@ -960,8 +1020,9 @@
         }
     }
 
-    /// Exception: where members check reads, a read is its own probe: a told lag counts twice as long as it
-    /// is. With no primary the log stands still. Meets proofs that are too old; harms by reads turned away.
+    /// Exception: where members check reads, no proof is needed: the last reported lag is assumed to last for twice its
+    /// length and to be gone after that. Without a primary the log does not grow. This serves reads when all proofs are
+    /// too old, at the cost of reads that are refused.
     fn is_estimated_current(
         &self,
         now: Duration,
@@ -980,26 +1041,28 @@
         }
     }
 
-    /// Every rule on sends, each in its place; no send passes by.
+    /// Whether a txn may be submitted to a member now. All rules on submissions are checked here, and every submission
+    /// passes through here.
     fn may_submit(&mut self, now: Duration, txn: usize, member: usize) -> bool {
         let t = self.txn(txn);
         let kind = self.types[t.kind];
         // Rule 2: one submission at a time, no more than allowed, and no second effect.
         let repeat_allowed = t.attempts.blocked_at(now, self.max_submissions, self.target(member)).is_none();
-        // Rule 3: nothing new once the list says draining or gone; the grace is not used.
+        // Rule 3: nothing new once the list marks the member as draining or removed; the grace period is not used.
         let in_use = self.members[member].group == t.group && !self.members[member].excluded;
-        // Rule 5: proof, or the writer; an answer or a report as a replica empties that slot.
+        // Rule 5: a proof, or the recorded primary, which is cleared by any answer or report as a replica.
         let current = kind.consistency == Consistency::Write
             || self.primary_tracker.trusted(member)
             || self.members_check_reads
             || self.is_proven_current(now, t.kind, t.must_see, member);
-        // Rule 1: nothing for a txn that has its answer, whose client has left, or whose time is up.
+        // Rule 1: nothing for a txn that has its answer, whose client has left, or that has expired.
         let open = !t.finished && now < t.expiry;
         open && repeat_allowed && in_use && current && self.within_cold_budget(now, member, t.kind)
     }
 
-    /// Rule 4. Each front sends a cold member a part of what the same front gets done on a warm one, by lot. One
-    /// that refused probes had no process: it is back cold, before late lists say so. Harms what comes back warm.
+    /// Rule 4: each front sends a cold member a part of the work that it gets done on a warm one; fractions are rounded
+    /// at random. A member that refused probes had no process and is treated as cold when it is back, before the list
+    /// shows its new start. A member that comes back warm is used too little.
     fn within_cold_budget(&mut self, now: Duration, member: usize, kind: usize) -> bool {
         let (warm_up, cold_time) =
             (self.cold.warm_up, |m: &Member, warm_up| m.remaining_cold_time(now, warm_up));
@@ -1022,6 +1085,7 @@
         m.work_sent.sum(now) + self.base_latency[kind] * m.budget_rounding <= budget
     }
 
+    /// Submits a txn to a member if the rules allow it; false otherwise.
     fn submit(&mut self, now: Duration, txn: usize, member: usize, host: &mut impl Host) -> bool {
         if !self.may_submit(now, txn, member) {
             return false;
@@ -1036,8 +1100,8 @@
         true
     }
 
-    /// Rules 1, 2, 3 and 5 again: until when a submission that waits for a connection may be written. A write
-    /// whose primary has lost the slot meanwhile, or hands over, waits for the next one.
+    /// Until when a submission that waits for a connection may be written, by rules 1, 2, 3 and 5. A write whose
+    /// primary is no longer the recorded one, or is handing over, is not written: it waits for the next primary.
     pub fn valid_until(&self, txn: usize) -> Duration {
         let Some(Some(t)) = self.txns.get(txn) else { return Duration::ZERO };
         let Some(out) = t.attempts.in_flight().filter(|_| !t.finished) else { return Duration::ZERO };
@@ -1064,6 +1128,7 @@
     }
 }
 
+/// Back-off after this many consecutive failures.
 fn backoff(failures: u32) -> Duration {
     (BACKOFF_MIN * 2u32.pow(failures.min(8))).min(BACKOFF_MAX)
 }
--- a/crates/router/src/sessions.rs
+++ b/crates/router/src/sessions.rs
@@ -1,28 +1,32 @@
-//! The newest commit that each session was told of, where its clients don't carry it. Nothing is decided here.
+//! The newest commit reported to each session, for sessions whose clients do not send it along. No routing decision is
+//! made here.
+
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Commits by session. One that is not renewed for a while is forgotten: from then on every session must
-/// see what any forgotten one wrote. So memory stays bounded, and no read gets an older answer than its session
-/// may have seen (rule 5); most ask for a little more than they need.
+/// The newest commit by session. An entry that is not renewed for a while is dropped, and from then on every session
+/// must see the commits of all dropped entries. So memory stays bounded, and no read gets data older than its session
+/// may have seen (rule 5), although most reads require slightly more than they need.
 #[derive(Debug, Default)]
 pub(crate) struct Sessions {
-    /// There are reads that need it.
+    /// There are txn types with session consistency; otherwise nothing is recorded.
     enabled: bool,
+    /// Entries renewed in the current retention period, and those of the one before.
     current: HashMap<u64, Duration>,
     previous: HashMap<u64, Duration>,
-    /// When the young ones began to be collected.
+    /// When the current retention period began.
     rotated_at: Duration,
-    /// Newest commit of those that are forgotten.
+    /// The newest commit of all dropped entries.
     floor: Option<Duration>,
 }
 
 impl Sessions {
+    /// Records nothing unless `enabled`.
     pub fn new(enabled: bool) -> Sessions {
         Sessions { enabled, ..Sessions::default() }
     }
 
-    /// A session was told of a commit. Each is kept for `keep` at least and twice as long at most.
+    /// A commit was reported to a session. It is kept for at least `retention` and at most twice as long.
     pub fn learn(&mut self, now: Duration, session: Option<u64>, commit: Duration, retention: Duration) {
         let Some(session) = session.filter(|_| self.enabled) else { return };
         if now >= self.rotated_at + retention {
@@ -34,12 +38,12 @@
         *newest = commit.max(*newest);
     }
 
-    /// Up to which commit a read of the session must see; nothing where it has been told of none.
+    /// The commit up to which a read of the session must see the data; `None` if no commit was reported to it.
     pub fn must_see(&self, session: u64) -> Option<Duration> {
         self.current.get(&session).max(self.previous.get(&session)).max(self.floor.as_ref()).copied()
     }
 
-    /// Whatever was told before `now` may be missing.
+    /// Entries from before `now` may be missing: every session must see all commits up to now.
     pub fn lost(&mut self, now: Duration) {
         self.floor = self.floor.max(Some(now));
     }
--- a/crates/router/src/sliding_sum.rs
+++ b/crates/router/src/sliding_sum.rs
@@ -1,4 +1,5 @@
-//! Sums over a sliding span of time, kept in fixed buckets that are used again in a ring.
+//! Sums over a sliding time window, in a ring of fixed buckets.
+
 use std::time::Duration;
 
 /// A sum over the last `span`, in buckets of equal width.
@@ -22,13 +23,14 @@
 }
 
 impl SlidingSum {
-    /// One cell more than asked for, so that a sum covers at least `span`, never less.
+    /// Uses one bucket more than requested, so that a sum always covers at least `span`.
     pub fn new(span: Duration, buckets: usize) -> Self {
         let buckets = buckets.max(1);
         let width = (span / buckets as u32).max(Duration::from_micros(1));
         SlidingSum { width, newest: 0, buckets: vec![0.0; buckets + 1] }
     }
 
+    /// Clears the buckets whose time has passed.
     fn advance_to(&mut self, now: Duration) {
         let at = (now.as_micros() / self.width.as_micros()) as u64;
         let len = self.buckets.len() as u64;
@@ -38,17 +40,19 @@
         self.newest = self.newest.max(at);
     }
 
+    /// Adds an amount at the time `now`.
     pub fn add(&mut self, now: Duration, amount: f64) {
         self.advance_to(now);
         let len = self.buckets.len() as u64;
         self.buckets[(self.newest % len) as usize] += amount;
     }
 
-    /// What a sum covers at least.
+    /// The time that a sum covers at least.
     pub fn span(&self) -> Duration {
         self.width * (self.buckets.len() as u32 - 1)
     }
 
+    /// The sum of all amounts added within the last `span`.
     pub fn sum(&mut self, now: Duration) -> f64 {
         self.advance_to(now);
         self.buckets.iter().sum()
--- a/crates/router/src/snapshot.rs
+++ b/crates/router/src/snapshot.rs
@@ -1,24 +1,30 @@
-//! What a router leaves to the process after it, and takes up from the one before. Nothing is decided here.
+//! Parts of the router's state that a process passes on to its successor. No routing decision is made here.
+
 use crate::routing::Router;
 use juniperdock_primary_tracker::{ClaimsSnapshot, GroupSnapshot};
 use juniperdock_snapshot::Decay;
 use std::time::Duration;
 
-/// Of a member.
+/// The state of one member that is worth keeping.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MemberSnapshot {
     pub draining: bool,
+    /// End of its warm-up.
     pub warm_at: Duration,
+    /// Proven log position.
     pub position: Option<Duration>,
+    /// Work sent within the window of the rule on cold members, in seconds.
     pub work_sent: f64,
     pub concurrency_limit: f64,
+    /// Recent latency, as a multiple of the base latency.
     pub slowness: f64,
+    /// End of its back-off.
     pub avoid_until: Duration,
     pub claims: ClaimsSnapshot,
 }
 
 impl Router {
-    /// What is worth keeping of a member; `None` for one that is not listed.
+    /// The state of a member that is worth keeping; `None` for a member that is not listed.
     pub fn snapshot_member(&mut self, now: Duration, member: usize) -> Option<MemberSnapshot> {
         let claims = self.primary_tracker.snapshot_claims(member);
         let m = self.members.get_mut(member).filter(|m| m.listed)?;
@@ -34,17 +40,18 @@
         })
     }
 
+    /// The state of a group that is worth keeping.
     pub fn snapshot_group(&self, group: usize) -> GroupSnapshot {
         self.primary_tracker.snapshot_group(group)
     }
 
-    /// Answer times of a txn type in seconds: typical and usual.
+    /// Base and mean latency of a txn type, in seconds.
     pub fn snapshot_type(&self, kind: usize) -> (f64, f64) {
         (self.base_latency[kind], self.mean_latency[kind])
     }
 
-    /// Takes up what was kept of a member that is listed. Proofs, drains and budgets spent hold; what was
-    /// learnt of its speed fades. A drain binds until the list shows a later start.
+    /// Restores the state of a member that is listed. Proofs, drains and spent budgets count in full; what was learnt
+    /// of its speed fades with the snapshot's age. A drain lasts until the list shows a later start.
     pub fn restore_member(&mut self, now: Duration, member: usize, snapshot: &MemberSnapshot, decay: Decay) {
         let window = self.cold.window;
         let Some(m) = self.members.get_mut(member).filter(|m| m.listed) else { return };
@@ -66,11 +73,13 @@
         self.primary_tracker.set_availability(now, member, excluded, draining);
     }
 
-    /// Takes up what was kept of a group, before its members. Who held the slot has to claim anew.
+    /// Restores the state of a group; to be called before its members are restored. The former primary has to claim its
+    /// role again.
     pub fn restore_group(&mut self, now: Duration, group: usize, snapshot: &GroupSnapshot) {
         self.primary_tracker.restore_group(now, group, snapshot);
     }
 
+    /// Restores the latencies of a txn type, in seconds; they fade with the snapshot's age.
     pub fn restore_type(&mut self, kind: usize, base_latency: f64, mean_latency: f64, decay: Decay) {
         self.base_latency[kind] = decay.estimate(base_latency, self.base_latency[kind]);
         self.mean_latency[kind] = decay.estimate(mean_latency, self.mean_latency[kind]);
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -1,4 +1,5 @@
-//! What the router remembers and is told at its start; nothing is decided here.
+//! The router's state and its settings. No routing decision is made here.
+
 use crate::host::{ColdStart, Consistency, FrontInfo, Host, Plan, TxnType};
 use crate::sessions::Sessions;
 use crate::sliding_sum::SlidingSum;
@@ -9,7 +10,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// No limit but memory.
+/// Queue limits before the host sets any.
 const UNLIMITED: WaitLimits = WaitLimits {
     per_group: usize::MAX,
     total: usize::MAX,
@@ -17,54 +18,62 @@
     total_bytes: usize::MAX,
 };
 
+/// What the router knows of one member.
 #[derive(Debug)]
 pub(crate) struct Member {
     pub group: usize,
     pub zone: usize,
+    /// Has been in a server list; false for an index that is not in use.
     pub listed: bool,
-    /// The list told to send nothing new.
+    /// The server list rules out new submissions.
     pub excluded: bool,
-    /// Seen listed as draining.
+    /// The server list has marked it as draining.
     pub draining: bool,
+    /// End of its warm-up according to the server list.
     pub warm_at: Duration,
-    /// Refuses at once: it has no process. And until when it is cold, as far as this front saw that itself.
+    /// It refuses connections at once, so it has no running process.
     pub process_down: bool,
+    /// End of its warm-up after a restart that this front has observed itself.
     pub cold_until: Duration,
-    /// Where between none and one this window's budget is rounded up, while it is cold.
+    /// Random threshold between 0 and 1 at which the budget of a cold member is rounded up in this window.
     pub budget_rounding: f64,
     pub budget_rounding_until: Duration,
-    /// Has every commit up to here: proven, and true for ever.
+    /// Proven log position: the member has every commit up to here.
     pub position: Option<Duration>,
-    /// When it told its position last, and how far it was behind then.
+    /// When it last reported a position, and how far it was behind then.
     pub lag_observed_at: Duration,
     pub lag: Duration,
-    /// Said last that it is primary.
+    /// Its last reported role was primary.
     pub reports_primary: bool,
-    /// Since when the list has it as gone.
+    /// Since when the server list has it as removed.
     pub removed_at: Option<Duration>,
-    /// The list calls it primary.
+    /// The server list names it as primary.
     pub listed_as_primary: bool,
     pub probe_in_flight: bool,
     pub next_probe_at: Duration,
     pub probe_failures: u32,
-    /// When the newest probe went out.
+    /// When the last probe was sent.
     pub last_probe_at: Option<Duration>,
-    /// Reports in a row that proved nothing when they came.
+    /// Consecutive reports that were too old on arrival to prove anything.
     pub stale_reports: u32,
-    /// Txns with a submission out to it.
+    /// Txns with a submission in flight to it.
     pub in_flight: Vec<usize>,
     pub last_answer_at: Duration,
-    /// When the newest of those that it has answered was sent.
+    /// When the most recently sent of the txns that it has answered was sent.
     pub newest_answered_sent_at: Duration,
+    /// When it was last found to be silent.
     pub silence_noted_at: Duration,
+    /// Submissions that this front may have in flight to it.
     pub concurrency_limit: f64,
     pub limit_cut_at: Duration,
-    /// Recent answer time, as a multiple of what is typical of the txn type.
+    /// Recent latency, as a multiple of the txn type's base latency.
     pub slowness: f64,
     pub consecutive_failures: u32,
-    /// Times in a row that it was full.
+    /// Consecutive submissions that it refused as full.
     pub consecutive_fulls: u32,
+    /// End of its back-off.
     pub avoid_until: Duration,
+    /// Work sent to it and work completed by it, as base latencies in seconds.
     pub work_sent: SlidingSum,
     pub work_done: SlidingSum,
 }
@@ -111,21 +120,22 @@
 }
 
 impl Member {
-    /// It has answered; if it had no process before that, it has just started.
+    /// The member has answered. If its process was down before, it has just restarted and is cold.
     pub fn mark_alive(&mut self, now: Duration, warm_up: Duration) {
         if std::mem::take(&mut self.process_down) {
             self.cold_until = now + warm_up;
         }
     }
 
-    /// For how long it is cold yet, by the list or by what this front saw; all of it while it has no process.
+    /// The remaining warm-up time, by the server list or by what this front has observed; the whole warm-up time while
+    /// the process is down.
     pub fn remaining_cold_time(&self, now: Duration, warm_up: Duration) -> Duration {
         let seen = if self.process_down { warm_up } else { self.cold_until.saturating_sub(now) };
         self.warm_at.saturating_sub(now).max(seen)
     }
 }
 
-/// Submissions ended of late, those answered in time, and txns declined instead.
+/// Recent counts of ended submissions, of those answered in time, and of txns declined before any submission.
 #[derive(Clone, Debug)]
 pub(crate) struct OutcomeCounts {
     pub ended: SlidingSum,
@@ -140,38 +150,43 @@
     }
 }
 
+/// What the router knows of one group.
 #[derive(Debug)]
 pub(crate) struct Group {
     pub members: Vec<usize>,
     /// By txn type.
     pub outcome_counts: Vec<OutcomeCounts>,
+    /// Waits for the rules to run.
     pub dirty: bool,
 }
 
+/// One txn, from its arrival until it is released.
 #[derive(Debug)]
 pub(crate) struct Txn {
+    /// Index of its txn type.
     pub kind: usize,
     pub group: usize,
     pub arrived: Duration,
-    /// The client has tried before, or its tenant is beyond its share.
+    /// The client has tried it before, or its tenant is over its quota.
     pub retried: bool,
-    /// Beyond the share of its tenant.
+    /// Its tenant is over its quota.
     pub over_quota: bool,
     pub expiry: Duration,
-    /// Commits up to here must be seen (fresh and session reads).
+    /// It must see all commits up to here (fresh and session reads).
     pub must_see: Option<Duration>,
     pub session: Option<u64>,
-    /// What became of its submissions.
+    /// The record of its submissions.
     pub attempts: SubmissionHistory,
-    /// What it takes to keep it.
+    /// Memory that it takes while it waits.
     pub bytes: usize,
+    /// It has its final answer, or its client has left.
     pub finished: bool,
-    /// The submission that is out was called off.
+    /// Cancellation of the submission in flight was requested.
     pub cancel_requested: bool,
 }
 
 impl Txn {
-    /// A txn that has just arrived and is held.
+    /// A txn that has just arrived and waits for a member.
     pub fn new(
         kind: usize,
         group: usize,
@@ -200,6 +215,7 @@
     }
 }
 
+/// The router of one front: takes input events and decides where and when txns are submitted.
 #[derive(Debug)]
 pub struct Router {
     pub(crate) rng: Rand64,
@@ -208,58 +224,60 @@
     pub(crate) cold: ColdStart,
     pub(crate) max_submissions: u32,
     pub(crate) may_cancel: bool,
-    /// Members turn away reads that they are too far behind for.
+    /// Members refuse reads that they are too far behind for.
     pub(crate) members_check_reads: bool,
-    /// Clients say how old their session's last write is; else what they say of it counts for nothing.
+    /// Clients send the age of their session's last write; if false, such an age is ignored.
     pub(crate) client_marks_trusted: bool,
-    /// A member that is gone but was never seen draining may still be used.
+    /// A member that was removed from the list without being seen draining may still be used.
     pub(crate) removal_is_advisory: bool,
     pub(crate) max_retry_after: Option<Duration>,
-    /// Txns a second that all fronts together take of each tenant within its share, and first tries seen here.
+    /// Each tenant's quota in txns per second over all fronts, and its first tries at this front.
     pub(crate) tenant_quotas: Vec<(f64, SlidingSum)>,
-    /// Worth of a txn beyond its tenant's share, as a share of its value: from 0 to 1.
+    /// What a txn over its tenant's quota is worth, as a share of its value from 0 to 1.
     pub(crate) over_quota_value: f64,
     pub(crate) probe_interval: Option<Duration>,
-    /// What no member has had is given up after this share of its time.
+    /// Share of its time after which a txn that no member can have executed is given up.
     pub(crate) unexecuted_wait_share: f64,
-    /// Mean time between txns for one member.
+    /// Mean time between two txns for one member.
     pub(crate) member_txn_interval: Duration,
     pub(crate) members: Vec<Member>,
     pub(crate) groups: Vec<Group>,
     pub(crate) txns: Vec<Option<Txn>>,
+    /// Groups for which the rules are still to run.
     pub(crate) dirty: Vec<usize>,
-    /// Who is primary of each group.
+    /// The primary of each group.
     pub(crate) primary_tracker: PrimaryTracker,
     /// Txns that wait for a member.
     pub(crate) wait_queue: WaitQueue,
-    /// Txns that the throttle has not met yet.
+    /// Txns that the rate limiter has not checked yet.
     pub(crate) rate_unchecked: Vec<usize>,
-    /// Members that are or were of late.
+    /// Number of members in use, including recently removed ones.
     pub(crate) known_members: usize,
-    /// Members that the list had as gone when it last named them, and perhaps some that are back.
+    /// Members that the server list has removed; may contain some that have returned since.
     pub(crate) removed_members: BTreeSet<usize>,
-    /// Newest commit told to each session.
+    /// The newest commit reported to each session.
     pub(crate) session_marks: Sessions,
-    /// Typical answer time by txn type, in seconds.
+    /// Latency without queueing by txn type, in seconds.
     pub(crate) base_latency: Vec<f64>,
-    /// Mean answer time by txn type of late, over all members, in seconds.
+    /// Recent mean latency by txn type over all members, in seconds.
     pub(crate) mean_latency: Vec<f64>,
-    /// Work done per warm member in the cold window.
+    /// Work completed per warm member within the window of the rule on cold members.
     pub(crate) warm_member_work: f64,
-    /// The next reminder, when this front last found that it had stood still, and since when it had.
+    /// The next timer, when the last stall of this process was found, and when that stall had begun.
     pub(crate) next_timer_at: Duration,
     pub(crate) resumed_at: Duration,
     pub(crate) stalled_from: Duration,
-    /// By txn type.
+    /// By txn type, over all groups.
     pub(crate) outcome_counts: Vec<OutcomeCounts>,
-    /// What a new group counts in.
+    /// Initial counts of a new group.
     pub(crate) empty_counts: OutcomeCounts,
+    /// Txns that have arrived, and resubmissions.
     pub(crate) arrivals: SlidingSum,
     pub(crate) resubmissions: SlidingSum,
 }
 
 impl Router {
-    /// A router that remembers nothing and was allowed nothing yet.
+    /// A router without any history, and with everything optional switched off.
     pub(crate) fn with_defaults(
         rng: Rand64,
         front_info: FrontInfo,
@@ -307,69 +325,71 @@
         }
     }
 
-    /// How many submissions a txn may have in all.
+    /// Sets how many submissions a txn may have in all.
     pub fn set_max_submissions(&mut self, limit: u32) {
         self.max_submissions = limit;
     }
 
+    /// Allows cancelling submissions that are in flight.
     pub fn allow_cancelling(&mut self) {
         self.may_cancel = true;
     }
 
+    /// Allows or forbids probes; without them, roles and positions are learnt from answers alone.
     pub fn allow_probes(&mut self, allowed: bool) {
         self.probe_interval = self.probe_interval.filter(|_| allowed);
     }
 
-    /// How far in the future a declined client can be told to come back.
+    /// Sets the longest delay after which a declined client may be told to retry. Without it none is sent.
     pub fn set_max_retry_after(&mut self, longest: Duration) {
         self.max_retry_after = Some(longest);
     }
 
-    /// What each tenant may ask of all fronts together, in txns a second, and what a txn beyond that is still
-    /// worth, as a share of its value from 0 to 1.
+    /// Sets each tenant's quota in txns per second over all fronts, and what a txn over the quota is still worth, as a
+    /// share of its value from 0 to 1.
     pub fn set_tenant_quotas(&mut self, quotas: &[f64], over_quota_value: f64) {
         self.tenant_quotas = quotas.iter().map(|&quota| (quota, self.arrivals.clone())).collect();
         self.over_quota_value = over_quota_value;
     }
 
-    /// Members hold or turn away reads that they are too far behind for.
+    /// Assumes that members delay or refuse reads that they are too far behind for.
     pub fn assume_members_check_reads(&mut self) {
         self.members_check_reads = true;
     }
 
-    /// Clients carry the age of their session's last write.
+    /// Trusts the age of a session's last write that clients send.
     pub fn trust_client_session_marks(&mut self) {
         self.client_marks_trusted = true;
     }
 
-    /// How many txns may wait for a member, and how large they may be together.
+    /// Limits how many txns may wait for a member, and how large they may be together.
     pub fn set_wait_queue_limits(&mut self, limits: WaitLimits) {
         self.wait_queue.set_limits(limits);
     }
 
-    /// How long what no member has had is held, as a share of its time.
+    /// Sets how long a txn that no member can have executed may wait, as a share of its time.
     pub fn set_unexecuted_wait_share(&mut self, share: f64) {
         self.unexecuted_wait_share = share;
     }
 
-    /// Who is primary of each group, and how sure that is.
+    /// The primary of each group, and how certain it is.
     pub fn primary_tracker(&self) -> &PrimaryTracker {
         &self.primary_tracker
     }
 
-    /// How many txns wait for a member.
+    /// Number of txns that wait for a member.
     pub fn waiting(&self) -> usize {
         self.wait_queue.total()
     }
 
-    /// Asks every member for its role and position now, though no txn waits for it.
+    /// Probes every member for its role and position now, even if no txn waits for it.
     pub fn probe_all_members(&mut self, now: Duration, host: &mut impl Host) {
         self.members.iter_mut().for_each(|member| member.next_probe_at = now);
         (0..self.groups.len()).for_each(|group| self.mark_dirty(group));
         self.run_rules(now, &[], host);
     }
 
-    /// A member is asked as soon as the rules on probes let it be.
+    /// Probes a member as soon as the rules on probes allow it.
     pub fn probe_member(&mut self, now: Duration, member: usize, host: &mut impl Host) {
         let Some(m) = self.members.get_mut(member).filter(|m| m.listed) else { return };
         m.next_probe_at = m.next_probe_at.min(now);
@@ -377,28 +397,29 @@
         self.run_rules(now, &[group], host);
     }
 
-    /// Txns a second that have come here of late.
+    /// Txns per second that have recently arrived at this front.
     pub fn arrival_rate(&mut self, now: Duration) -> f64 {
         self.arrivals.sum(now) / now.as_secs_f64().clamp(1e-3, self.arrivals.span().as_secs_f64())
     }
 
-    /// The tightest bound on the age of reads, where there is one.
+    /// The tightest staleness bound of all txn types, if there is one.
     pub fn tightest_bound(&self) -> Option<Duration> {
         let bound =
             |t: &TxnType| if let Consistency::Bounded(bound) = t.consistency { Some(bound) } else { None };
         self.types.iter().filter_map(bound).min()
     }
 
-    /// How many txns of a group wait.
+    /// Number of txns of a group that wait for a member.
     pub fn waiting_in(&self, group: usize) -> usize {
         self.wait_queue.len(group)
     }
 
-    /// Being gone from the list does not bind, only draining does.
+    /// Treats removal from the server list as advice: only draining excludes a member.
     pub fn treat_removal_as_advisory(&mut self) {
         self.removal_is_advisory = true;
     }
 
+    /// Makes room for the given group and txn.
     pub(crate) fn ensure_indices(&mut self, group: usize, txn: usize) {
         let (empty, kinds) = (&self.empty_counts, self.types.len());
         self.groups.resize_with(self.groups.len().max(group + 1), || Group {
@@ -409,7 +430,7 @@
         self.txns.resize_with(self.txns.len().max(txn + 1), || None);
     }
 
-    /// A member's index is free again; nothing of it is left behind.
+    /// Removes all state of a member, so that its index can be used again.
     pub(crate) fn remove_member(
         &mut self,
         now: Duration,
@@ -426,7 +447,7 @@
         host.release_member(member);
     }
 
-    /// Listed members that a whole list does not name; they are noted as gone.
+    /// Returns the listed members that a complete list does not name, and notes them as removed.
     pub(crate) fn note_unnamed_members(&mut self, named: Option<&[usize]>) -> Vec<usize> {
         let Some(named) = named else { return Vec::new() };
         let mut missing: Vec<bool> = self.members.iter().map(|m| m.listed).collect();
@@ -436,7 +457,7 @@
         unnamed
     }
 
-    /// Members that have been gone for so long.
+    /// Members that have been removed for at least this long.
     pub(crate) fn removed_for(&mut self, now: Duration, min_age: Duration) -> Vec<usize> {
         let members = &self.members;
         self.removed_members.retain(|&i| members[i].removed_at.is_some());
@@ -445,11 +466,12 @@
         self.removed_members.iter().copied().filter(old).collect()
     }
 
-    /// How many members there are or were of late, one at least.
+    /// Number of members in use, including recently removed ones; at least one.
     pub(crate) fn known_member_count(&self) -> f64 {
         self.known_members.max(1) as f64
     }
 
+    /// Releases a finished txn unless a submission of it is still in flight.
     pub(crate) fn release_if_done(&mut self, txn: usize, host: &mut impl Host) {
         if self.txn(txn).attempts.in_flight().is_none() {
             self.txns[txn] = None;
@@ -457,6 +479,7 @@
         }
     }
 
+    /// Marks a group for the next run of the rules.
     pub(crate) fn mark_dirty(&mut self, group: usize) {
         if !self.groups[group].dirty {
             self.groups[group].dirty = true;
@@ -464,7 +487,7 @@
         }
     }
 
-    /// Whether a write of a session is out: it may have been committed, and its answer be lost on the way.
+    /// Whether a write of a session is in flight: it may have been committed already and its answer be delayed or lost.
     pub(crate) fn has_write_in_flight(&self, group: usize, session: u64) -> bool {
         let is_session_write = |&txn: &usize| {
             let t = self.txn(txn);
@@ -473,7 +496,7 @@
         self.groups[group].members.iter().any(|&m| self.members[m].in_flight.iter().any(is_session_write))
     }
 
-    /// Has a txn that waits looked at when it is given up; where no probe brings news by then, at `next`.
+    /// Sets a timer for a waiting txn: for when it is given up or, if no probe can bring news before that, for `next`.
     pub(crate) fn set_wait_timer(&self, txn: usize, next: Duration, host: &mut impl Host) {
         if self.wait_queue.get(txn).is_some() {
             let last = self.give_up_at(self.txn(txn));
@@ -482,7 +505,7 @@
         }
     }
 
-    /// What sessions have written before `now` is not known any more: their reads must see all of it.
+    /// The record of what sessions have written before `now` is lost: their reads must see all commits up to now.
     pub fn session_marks_lost(&mut self, now: Duration) {
         self.session_marks.lost(now);
     }
@@ -495,7 +518,7 @@
         self.txns[txn].as_mut().expect("a txn that was not released")
     }
 
-    /// Orders a planned change of a group's primary: its writes wait from now on.
+    /// Starts a planned change of a group's primary: its writes wait from now on.
     pub fn order_primary_change(
         &mut self,
         now: Duration,
@@ -508,7 +531,7 @@
         Ok(plan)
     }
 
-    /// Calls a planned change off; false where none is under way.
+    /// Cancels a planned change of primary; false if there is none.
     pub fn cancel_primary_change(&mut self, now: Duration, group: usize, host: &mut impl Host) -> bool {
         let cancelled = self.primary_tracker.call_off(now, group);
         if cancelled {
@@ -517,14 +540,14 @@
         cancelled
     }
 
-    /// Where a submission to a member would go, as the record of a txn's fate knows it.
+    /// The target of a submission to a member, for the record of a txn's submissions.
     pub(crate) fn target(&self, member: usize) -> Target {
         let Member { group, zone, .. } = self.members[member];
         Target { member, group, zone, term: self.primary_tracker.term(group) }
     }
 }
 
-/// The queues of a type's first or later tries: those never sent, and those that were.
+/// The queues of a txn type's first tries or client retries: txns never submitted, and txns submitted before.
 pub(crate) fn ranks_of(kind: usize, retried: bool) -> [QueueKey; 2] {
     [false, true].map(|submitted| QueueKey { kind, retried, submitted })
 }
--- a/crates/router/tests/harness/mod.rs
+++ b/crates/router/tests/harness/mod.rs
@@ -1,10 +1,11 @@
-//! One tiny host: it writes down what the router has done and lets a story hand in its inputs.
+//! A test host: it records what the router requests, and a scenario passes the inputs to the router.
 #![allow(dead_code)] // Not every test file uses all of it.
 
 use juniperdock_router::host::*;
 use juniperdock_router::routing::Router;
 use std::time::Duration;
 
+/// One action that the router has requested.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     Sent(usize, usize),
@@ -16,6 +17,7 @@
     Subscribed,
 }
 
+/// Records all actions in order, and the retry delays of declined txns.
 #[derive(Default)]
 pub struct RecordingHost(pub Vec<Action>, pub Vec<Option<Duration>>);
 
@@ -50,7 +52,7 @@
     Duration::from_millis(n)
 }
 
-/// Txn types of the stories, by index.
+/// Txn types of the scenarios, by index.
 pub const BOUNDED: usize = 0;
 pub const LOOSE: usize = 1;
 pub const ONCE_ONLY: usize = 2;
@@ -58,6 +60,7 @@
 pub const FRESH: usize = 4;
 pub const SESSION: usize = 5;
 
+/// A router with its host and a simulated clock.
 pub struct Scenario {
     pub router: Router,
     pub host: RecordingHost,
@@ -66,11 +69,12 @@
 }
 
 impl Scenario {
-    /// One group: members 0 to 2, of which nothing is known yet.
+    /// One group with members 0 to 2, of which nothing is known yet.
     pub fn new() -> Self {
         Scenario::of(FrontInfo { index: 0, fronts: 2, zone: 0 })
     }
 
+    /// As `new`, for a given front of a fleet.
     pub fn of(front_info: FrontInfo) -> Self {
         let kind = |effect, consistency| {
             let late_value = if matches!(consistency, Consistency::Bounded(_)) { 0.0 } else { 0.5 };
@@ -97,7 +101,7 @@
         scenario
     }
 
-    /// As `new`, with member 0 as the writer and fresh reports from all.
+    /// As `new`, with member 0 as the primary and current reports from all members.
     pub fn with_primary() -> Self {
         let mut scenario = Scenario::new();
         scenario.report_all(0);
@@ -132,7 +136,7 @@
         txn
     }
 
-    /// A txn of a session whose clients do not carry what it has written.
+    /// A txn of a session whose clients do not send the age of its last write.
     pub fn arrive_in_session(&mut self, session: u64, kind: usize, left: u64) -> usize {
         self.next += 1;
         let (now, txn, session) = (self.now, self.next, Some(session));
@@ -141,7 +145,7 @@
         txn
     }
 
-    /// An answer that tells its member's role, and a position if there is one.
+    /// An answer with its member's role and, if given, its position.
     pub fn end_with_report(
         &mut self,
         txn: usize,
@@ -160,7 +164,7 @@
         self.router.submission_ended(now, txn, over, member, outcome, None, None, took, &mut self.host);
     }
 
-    /// Lets time pass; a reminder touches the group and the txn.
+    /// Advances the clock, then fires the timers of the group and of the txn.
     pub fn advance(&mut self, span: u64, txn: usize) {
         self.now += ms(span);
         self.router.timer_fired(self.now, 2, &mut self.host);
@@ -171,7 +175,7 @@
         self.host.0.contains(act)
     }
 
-    /// Where the txn was sent, in order.
+    /// The members to which the txn was sent, in order.
     pub fn sent_to(&self, txn: usize) -> Vec<usize> {
         let sent = |act: &Action| if let Action::Sent(t, m) = act { (*t == txn).then_some(*m) } else { None };
         self.host.0.iter().filter_map(sent).collect()
--- a/crates/router/tests/primary.rs
+++ b/crates/router/tests/primary.rs
@@ -1,4 +1,5 @@
-//! Stories of changing primaries: one for each way in which a write or a read could go wrong meanwhile.
+//! Scenarios of primary changes: one for each way in which a write or a read could go wrong meanwhile.
+
 mod harness;
 
 use harness::{Action, BOUNDED, LOOSE, ONCE_ONLY, REFERENCED, Scenario, ms};
@@ -30,7 +31,7 @@
     );
 }
 
-/// The primary falls silent with what it holds; after a while member 1 says that it is one.
+/// The primary stops answering; after `lasts` milliseconds member 1 reports as primary.
 fn hang_and_replace_primary(s: &mut Scenario, any: usize, lasts: u64) {
     for _ in 0..lasts / 100 {
         s.advance(100, any);
@@ -111,18 +112,18 @@
     hang_and_replace_primary(&mut s, any, 2500);
     s.now += ms(300);
     s.report(1, Role::Primary, s.now);
-    // It wakes, as sure of itself as ever: the newest of all claims.
+    // The former primary resumes and still reports as primary, with the newest of all claims.
     s.report(0, Role::Primary, s.now);
     let write = s.arrive(REFERENCED, 2000);
     assert_eq!(s.sent_to(write), [1]);
-    // Then it knows better, and follows: what it held ends in an error, what it had before proves nothing.
+    // Then it becomes a replica. Its pending write ends in an error, and its earlier positions prove nothing.
     s.end(any, 0, AttemptOutcome::Errored, 2800);
     s.report(2, Role::Replica, s.now - ms(400));
     s.report(0, Role::Replica, s.now - ms(2800));
     let read = s.arrive(BOUNDED, 1000);
     s.advance(41, read);
     assert_eq!(s.sent_to(read), [1], "no reader is proven, so the read goes to the primary");
-    // Once it is no longer shunned for its silence.
+    // Later its back-off for the silence is over.
     s.end(read, 1, AttemptOutcome::Committed, 5);
     for _ in 0..40 {
         s.advance(100, read);
@@ -154,7 +155,7 @@
     s.now += ms(100);
     s.report(1, Role::Primary, s.now);
     assert_eq!(s.sent_to(waiting), [1]);
-    // Called off, the old one takes what waits.
+    // After the change is cancelled, the old primary takes what waits.
     s.router.order_primary_change(s.now, 0, None, &mut s.host).expect("a plan");
     let waiting = s.arrive(ONCE_ONLY, 4000);
     assert!(s.router.order_primary_change(s.now, 0, None, &mut s.host).is_err());
@@ -218,7 +219,7 @@
     let members: Vec<_> = (0..3).map(|m| s.router.snapshot_member(s.now, m).expect("listed")).collect();
     let group = s.router.snapshot_group(0);
     assert_eq!((group.term, group.last_primary), (2, Some(1)));
-    // Another process, a moment later by the same clock.
+    // The next process, a moment later by the same clock.
     let mut next = Scenario::new();
     next.now = s.now + ms(50);
     (0..3).for_each(|m| next.list(m, ListedState::Up, None));
@@ -286,7 +287,7 @@
     s.report(1, Role::Primary, s.now);
     let reads: Vec<usize> = s.sent_to(read);
     assert!(reads.iter().all(|&member| member == 1), "a primary's data is current: {reads:?}");
-    // What it said of its position before it was promoted proves nothing more than it did.
+    // Its position from before the promotion proves no more than it did then.
     let other = s.arrive(BOUNDED, 1000);
     assert!(!s.sent_to(other).contains(&2));
 }
@@ -320,7 +321,7 @@
     s.now += ms(5);
     let txn = s.arrive(ONCE_ONLY, 4000);
     assert_eq!(probes(&s), before, "they have just been probed");
-    // Nothing comes in but the reminders that were asked for.
+    // The only further input is the timer that was set.
     s.now += ms(80);
     s.router.timer_fired(s.now, 2, &mut s.host);
     assert!(probes(&s) >= before + 3, "{} {}", probes(&s), before);
@@ -336,7 +337,7 @@
     let snapshot = s.router.snapshot_member(s.now, to).expect("listed");
     assert!(snapshot.work_sent > 0.0, "a submission is work sent to the member");
     assert!(s.router.snapshot_member(s.now, 77).is_none(), "no snapshot of an unknown member");
-    // The next process at once, with and without what was kept.
+    // The next process, with and without a snapshot of the given age.
     let next = |snapshot: Option<&juniperdock_router::snapshot::MemberSnapshot>, age| {
         let mut next = Scenario::new();
         next.now = s.now + ms(20);
@@ -375,7 +376,7 @@
     let all: Vec<usize> = (0..6).map(|_| s.arrive(ONCE_ONLY, 4000)).collect();
     let declined: Vec<bool> = all.iter().map(|&txn| s.recorded(&Action::Declined(txn))).collect();
     assert_eq!(declined, [true, true, false, false, false, false], "the oldest of equal value, at once");
-    // Another group has its own.
+    // Another group has its own limit.
     let (now, txn) = (s.now, 50);
     s.router.member_listed(now, 7, 1, 0, ListedState::Up, false, None);
     s.router.txn_arrived(now, txn, ONCE_ONLY, 1, ms(4000), false, None, None, None, 100, &mut s.host);
@@ -421,8 +422,8 @@
     assert!(reads.iter().all(|&txn| s.sent_to(txn) != [0]), "no read takes their capacity");
 }
 
-/// Found by the laboratory: a primary that is cut off with some fronts goes on claiming the present, of which
-/// it has not all.
+/// Found in a simulation: a primary that is partitioned off with some fronts goes on stating current positions,
+/// although it lacks commits of its successor.
 #[test]
 fn positions_stated_as_primary_prove_nothing_once_the_member_reports_as_replica() {
     let mut s = with_confirmed_primary();
@@ -430,7 +431,7 @@
     s.report(0, Role::Primary, s.now);
     let write = s.arrive(ONCE_ONLY, 2000);
     s.now += ms(50);
-    // It has learnt meanwhile that another had followed 1.2 s ago.
+    // It has learnt meanwhile that it was replaced 1.2 s ago.
     let (now, before) = (s.now, Some(s.now - ms(1200)));
     let (replica, took) = (Some(Role::Replica), ms(50));
     s.router.submission_ended(
@@ -451,7 +452,7 @@
     assert_eq!(s.sent_to(read), [0]);
 }
 
-/// As above, with a report that was made before and comes after.
+/// As above, with a report that was made earlier and arrives later.
 #[test]
 fn a_late_claim_of_a_member_that_is_not_the_recorded_primary_proves_nothing() {
     let mut s = with_confirmed_primary();
--- a/crates/router/tests/scenarios.rs
+++ b/crates/router/tests/scenarios.rs
@@ -1,4 +1,5 @@
-//! Short stories, one for each failure met and each rule kept.
+//! Scenarios of routing: one for each failure that the router handles and each rule that it keeps.
+
 mod harness;
 
 use harness::{Action, BOUNDED, FRESH, LOOSE, ONCE_ONLY, REFERENCED, SESSION, Scenario, ms};
@@ -45,7 +46,7 @@
     s.advance(41, read);
     assert_eq!(s.sent_to(read), [0], "a claim made since");
     s.end(lost, 0, AttemptOutcome::Committed, 5);
-    // Two in a row are more than chance.
+    // Two failures in a row are treated as a failed member.
     let two = [s.arrive(REFERENCED, 2000), s.arrive(ONCE_ONLY, 2000)];
     two.iter().for_each(|&txn| s.end(txn, 0, AttemptOutcome::Dropped, 5));
     let waiting = s.arrive(ONCE_ONLY, 2000);
@@ -58,7 +59,7 @@
     let (lost, once, marked) = (s.arrive(LOOSE, 4000), s.arrive(ONCE_ONLY, 4000), s.arrive(REFERENCED, 4000));
     let to = s.sent_to(lost)[0];
     for _ in 0..6 {
-        // Its member answers others all the time.
+        // Its member answers other txns all the time.
         s.now += ms(200);
         s.report_all(0);
         for other in [s.arrive(LOOSE, 1000), s.arrive(LOOSE, 1000), s.arrive(ONCE_ONLY, 1000)] {
@@ -94,8 +95,7 @@
     s.router.probe_ended(s.now, 0, AttemptOutcome::Unreachable, Default::default(), &mut s.host);
     s.list(2, ListedState::Up, None);
     assert!(s.recorded(&Action::MemberReleased(0)) && !s.recorded(&Action::MemberReleased(2)));
-    // Who comes into the place of the old primary is nobody's primary, and no proof of the old one is its
-    // own.
+    // The member that reuses the index of the former primary is not primary and has none of its proofs.
     s.list(0, ListedState::Up, None);
     let (write, read) = (s.arrive(ONCE_ONLY, 1000), s.arrive(BOUNDED, 1000));
     assert!(s.sent_to(write).is_empty() && s.sent_to(read).is_empty());
@@ -118,7 +118,7 @@
     let again = s.arrive(REFERENCED, 2000);
     s.end(again, 0, AttemptOutcome::Spoilt, 5);
     assert_eq!(s.sent_to(again), [0, 0]);
-    // Nor is a report that can't be read.
+    // The same holds for a report that cannot be read.
     s.router.probe_ended(s.now, 0, AttemptOutcome::Spoilt, Default::default(), &mut s.host);
     let (one, two) = (s.arrive(ONCE_ONLY, 2000), s.arrive(ONCE_ONLY, 2000));
     assert_eq!((s.sent_to(one), s.sent_to(two)), (vec![0], vec![0]));
@@ -232,7 +232,7 @@
     assert_eq!(read(&mut s), 1, "it has restarted since");
 }
 
-/// Reads that are answered alike, `apart` from each other.
+/// Submits and answers a number of reads, `apart` milliseconds after each other.
 fn serve(s: &mut Scenario, reads: usize, apart: u64) {
     for i in 0..reads as u64 {
         s.now += ms(apart);
@@ -244,7 +244,7 @@
     }
 }
 
-/// What a member that has just started and a warm one are sent by all of so many fronts within the window.
+/// What a member that has just started and a warm one are sent by all of the given fronts within the window.
 fn sent_to_cold_and_warm(fronts: usize, apart: u64) -> (usize, usize) {
     let mut sum = (0, 0);
     for index in 0..fronts {
@@ -264,7 +264,7 @@
 fn many_small_or_few_large_fronts_stay_within_the_cold_budget() {
     for (fronts, apart) in [(120, 300), (2, 7)] {
         let (cold, warm) = sent_to_cold_and_warm(fronts, apart);
-        // The multiple is 2.5, the share a third at the most within 1.5 s of the start.
+        // The multiple is 2.5, and the share is at most a third within 1.5 s of the start.
         assert!(warm > 100 && cold * 100 <= warm * 83, "{fronts} fronts: {cold} cold, {warm} warm");
     }
 }
@@ -275,7 +275,8 @@
     assert!(cold > 0 && cold * 2 < warm, "{cold} cold, {warm} warm");
 }
 
-/// Member 1 ends so many probes in one way, a second after they were sent or at once, and is back.
+/// What member 1 and a warm member are sent after `probes` probes of member 1 have ended with `ending`, each after
+/// `took` milliseconds, and member 1 answers again.
 fn sent_after_return(outcome: AttemptOutcome, probes: usize, took: u64) -> (usize, usize) {
     let mut sum = (0, 0);
     for index in 0..40 {
@@ -303,7 +304,7 @@
 fn a_restarted_member_is_treated_as_cold_before_the_list_shows_it() {
     let (back, warm) = sent_after_return(AttemptOutcome::Unreachable, 2, 1);
     assert!(warm > 100 && back * 100 <= warm * 83, "{back} to the restarted member, {warm} to a warm one");
-    // A link that was cut and a member that errs or is asked once too early are no restarts.
+    // A partitioned link, a single refused probe and errors are not taken for a restart.
     for (outcome, probes, took) in [
         (AttemptOutcome::Unreachable, 2, 250),
         (AttemptOutcome::Unreachable, 1, 1),
@@ -485,7 +486,7 @@
     assert!((1..=2).contains(&at_writer), "half of the primary's limit is reserved for writes");
 }
 
-/// A member answers a read, and says how far it has the log; the other reader is kept busy meanwhile.
+/// A member answers a read and reports its position; reads that go to the other reader are answered after that.
 fn answer_with_lag(s: &mut Scenario, member: usize, by: u64) {
     let mut reads = Vec::new();
     let read = loop {
@@ -534,7 +535,7 @@
     answer_with_lag(&mut s, 2, 20);
     let probes = |s: &Scenario| s.host.0.iter().filter(|act| matches!(act, Action::Probed(_))).count();
     let before = probes(&s);
-    // Every proof is a second old by now; nobody is asked for one, and the one that lags gets nothing.
+    // Every proof is a second old by now. No member is probed, and the lagging one receives nothing.
     s.now += ms(1000);
     for _ in 0..12 {
         let read = s.arrive(BOUNDED, 900);
@@ -542,7 +543,7 @@
         s.end(read, 2, AttemptOutcome::Committed, 5);
     }
     assert_eq!(probes(&s), before, "the read replaces a probe");
-    // A lag of two seconds is believed for twice as long, then the member has its trial.
+    // A lag of two seconds counts for twice as long, then the member is tried again.
     s.now += ms(4000);
     let later: Vec<usize> = (0..8)
         .flat_map(|_| {
@@ -608,7 +609,7 @@
         let (now, who) = (s.now, Some(tenant));
         s.router.txn_arrived(now, txn, ONCE_ONLY, 0, ms(3000), false, who, None, None, 0, &mut s.host);
     };
-    // The second has a share of nothing, and has asked for more already.
+    // The second tenant has a quota of zero and has sent txns already.
     for txn in 300..400 {
         arrive(&mut s, txn, 1);
         s.router.client_left(s.now, txn, &mut s.host);
@@ -646,8 +647,8 @@
 fn txns_over_quota_are_declined_first_while_answers_are_late() {
     let mut s = Scenario::of(FrontInfo { index: 0, fronts: 4, zone: 0 });
     s.report_all(0);
-    // Without a limit on what declined txns count, the throttle shuts for both here and stays shut.
-    // 40 txns a second in all for each tenant, so 10 here; the second asks for eight times as many.
+    // Without a limit on how much declined txns count, the rate limiter would decline for both tenants here for good.
+    // Each tenant's quota is 40 txns per second, so 10 at this front; the second tenant sends eight times as many.
     s.router.set_tenant_quotas(&[40.0, 40.0], 0.2);
     let mut declined = [0, 0];
     let mut sent = [0, 0];
@@ -701,7 +702,7 @@
     assert!(s.sent_to(old).is_empty(), "the oldest waits until a place is free");
 }
 
-/// Teaches the story that loose reads take four seconds.
+/// A scenario whose router has measured that loose reads take four seconds.
 fn with_slow_loose_reads() -> Scenario {
     let mut s = Scenario::with_primary();
     for _ in 0..500 {
@@ -875,7 +876,7 @@
         let write = s.arrive(ONCE_ONLY, 5000);
         s.now += ms(1500);
         if !stalled {
-            // Its reminders came in time all the while.
+            // Its timers fire in time all the while.
             s.now -= ms(1500);
             for _ in 0..15 {
                 s.now += ms(100);
@@ -956,7 +957,7 @@
     let read = s.arrive(FRESH, 2000);
     assert_eq!(s.sent_to(read), [0]);
     assert_eq!(s.router.valid_until(read), s.now + ms(2000), "until its expiry");
-    // Its connection is still to come up when the primary says that it is none any more.
+    // Its connection is still being opened when the member reports that it is no longer primary.
     s.now += ms(10);
     s.report(0, Role::Replica, s.now - ms(30));
     assert!(s.router.valid_until(read).is_zero(), "it may lack what was committed before the read came");
@@ -998,7 +999,7 @@
         }
         s.host.0.iter().filter(|act| matches!(act, Action::Probed(_))).count()
     };
-    // Two seconds; twice a poll's pace is one in 75 ms for each of three members.
+    // Over two seconds, at twice the periodic rate: one probe in 75 ms for each of three members.
     assert!(probes(2) >= 50, "{}", probes(2));
     assert!(probes(400) <= 20, "{}", probes(400));
 }
@@ -1009,7 +1010,7 @@
     let mut declined = [0, 0];
     for i in 0..600 {
         s.report_all(0);
-        // Bounded reads are late, loose ones are not.
+        // Bounded reads are late, loose reads are not.
         for (kind, took) in [(BOUNDED, 395), (LOOSE, 5)] {
             let txn = s.arrive(kind, 900);
             if let Some(&at) = s.sent_to(txn).first() {
@@ -1024,7 +1025,7 @@
     assert!(declined[LOOSE] * 10 < declined[BOUNDED], "{declined:?}");
 }
 
-/// Where a txn is sent to, if it is.
+/// The member to which a txn was sent last, if any.
 fn last_sent_to(s: &Scenario, txn: usize) -> Option<usize> {
     s.host
         .0
@@ -1035,7 +1036,7 @@
 
 #[test]
 fn a_commit_from_before_this_start_constrains_the_reads_of_its_session() {
-    // The mark was known: the time of its commit, which is from before this front's start, can't be said here.
+    // A store recognised the mark, so the commit is older than this process and its time cannot be expressed here.
     for position in [None, Some(ms(900))] {
         let mut s = Scenario::with_primary();
         let write = s.arrive_in_session(7, REFERENCED, 2000);
@@ -1045,7 +1046,7 @@
         let to = last_sent_to(&s, other).expect("a submission at once");
         assert_ne!(to, 0, "another session has written nothing");
         s.end_with_report(other, to, AttemptOutcome::Committed, Role::Replica, None);
-        // The replicas were at 1000 when they reported: that proves a commit at 900, and none whose time is not told.
+        // The replicas reported position 1000, which proves a commit at 900 but none of unknown time.
         for _ in 0..20 {
             let read = s.arrive_in_session(7, SESSION, 2000);
             let to = last_sent_to(&s, read).expect("a submission at once");
@@ -1067,12 +1068,12 @@
     let write = s.arrive_in_session(7, ONCE_ONLY, 2000);
     assert_eq!(last_sent_to(&s, write), Some(0));
     s.now += ms(20);
-    // It may be committed by now, and its answer be lost on the way: the replicas have reported before.
+    // The write may be committed by now with its answer still on the way, and the replicas reported before that.
     let (read, other) = (s.arrive_in_session(7, SESSION, 2000), s.arrive_in_session(8, SESSION, 2000));
     assert_eq!(last_sent_to(&s, read), Some(0));
     assert_ne!(last_sent_to(&s, other), Some(0), "another session has written nothing");
     s.end_with_report(read, 0, AttemptOutcome::Committed, Role::Primary, None);
-    // Its connection is reset. What may have run binds as of then.
+    // Its connection is reset. A write that may have run counts as committed then.
     s.now += ms(20);
     s.end(write, 0, AttemptOutcome::Dropped, 40);
     let read = s.arrive_in_session(7, SESSION, 2000);
@@ -1107,7 +1108,7 @@
     assert_ne!(last_sent_to(&s, read), Some(0), "a replica that has reported since has all of it");
 }
 
-/// Where members may not be probed: the writes there are.
+/// A scenario where members may not be probed.
 fn without_probes() -> Scenario {
     let mut s = Scenario::new();
     s.router.allow_probes(false);
@@ -1157,7 +1158,7 @@
     assert_eq!(attempts(&s), 3, "all have just reported that they are replicas");
     s.advance(1, write);
     assert_eq!(attempts(&s), 4, "one may have become primary");
-    // Only what is read at any member, and writes, go out while there is none.
+    // While there is no primary, fresh and bounded reads are not submitted.
     let (fresh, bounded) = (s.arrive(FRESH, 2000), s.arrive(BOUNDED, 2000));
     assert_eq!((last_sent_to(&s, fresh), last_sent_to(&s, bounded)), (None, None));
 }
@@ -1171,7 +1172,7 @@
         if fails {
             let read = s.arrive(LOOSE, 2000);
             let first = last_sent_to(&s, read).expect("any member takes it");
-            // It may go to any; it is the named one's failure that counts.
+            // This read may go to any member; only a failure of the listed primary counts.
             s.end_with_report(read, first, AttemptOutcome::Committed, Role::Replica, None);
             let write = s.arrive(ONCE_ONLY, 2000);
             assert_eq!(last_sent_to(&s, write), Some(1));
