--- a/crates/router/src/routing.rs
+++ b/crates/router/src/routing.rs
@@ -421,7 +421,7 @@
             *mean_latency += 0.02 * (secs - *mean_latency);
         }
         let mean_latency = Duration::from_secs_f64(*mean_latency);
-        let (least, m) = (self.per_front_limit(MIN_CONCURRENCY), &mut self.members[member]);
+        let (min_limit, m) = (self.per_front_limit(MIN_CONCURRENCY), &mut self.members[member]);
         // A fast error must not look like low load: it counts as an answer at the SLA time.
         let errored = matches!(outcome, Errored | Dropped);
         let counted = if errored { secs.max(sla) } else { secs };
@@ -429,7 +429,7 @@
             m.slowness += 0.2 * (counted / work - m.slowness);
             if m.slowness * work > LIMIT_CUT_SLA_SHARE * sla {
                 if now > m.limit_cut_at + mean_latency {
-                    (m.concurrency_limit, m.limit_cut_at) = ((m.concurrency_limit * 0.9).max(least), now);
+                    (m.concurrency_limit, m.limit_cut_at) = ((m.concurrency_limit * 0.9).max(min_limit), now);
                 }
             } else if outcome == Committed {
                 m.concurrency_limit += 1.0 / m.concurrency_limit;
@@ -447,7 +447,7 @@
             }
             // A member that refuses at once looks idle, so it is avoided for longer each time, even as primary.
             Full => {
-                m.concurrency_limit = (m.concurrency_limit * 0.7).max(least);
+                m.concurrency_limit = (m.concurrency_limit * 0.7).max(min_limit);
                 m.consecutive_fulls = (m.consecutive_fulls + 1).min(8);
                 m.avoid_until =
                     m.avoid_until.max(now + BACKOFF_MIN / 8 * 2u32.pow(m.consecutive_fulls.min(4)));
@@ -583,10 +583,11 @@
             FinalAnswer::Decline => {
                 let needs_primary =
                     matches!(self.types[kind].consistency, Consistency::Write | Consistency::Fresh);
-                let left = self.primary_tracker.expected_wait(now, group).filter(|_| needs_primary);
-                let left = left.map(|left| left.mul_f64(1.0 + HALF * self.rng.rand_float()));
-                let wait = left.unwrap_or(self.types[kind].sla / 2);
-                host.decline(txn, self.max_retry_after.map(|most| most.min(wait)));
+                let expected_wait = self.primary_tracker.expected_wait(now, group).filter(|_| needs_primary);
+                let expected_wait =
+                    expected_wait.map(|wait| wait.mul_f64(1.0 + HALF * self.rng.rand_float()));
+                let wait = expected_wait.unwrap_or(self.types[kind].sla / 2);
+                host.decline(txn, self.max_retry_after.map(|max| max.min(wait)));
             }
             FinalAnswer::Unknown | FinalAnswer::Committed => host.answer_unknown(txn),
         }
@@ -654,9 +655,9 @@
             let silent = now.saturating_sub(last_sign).as_secs_f64() > SILENCE_LATENCIES * slowest;
             if silent {
                 fired = true;
-                let (least, m) = (self.per_front_limit(MIN_CONCURRENCY), &mut self.members[member]);
+                let (min_limit, m) = (self.per_front_limit(MIN_CONCURRENCY), &mut self.members[member]);
                 (m.silence_noted_at, m.consecutive_failures, m.concurrency_limit) =
-                    (now, m.consecutive_failures + 1, least);
+                    (now, m.consecutive_failures + 1, min_limit);
                 let avoid_until = now + backoff(m.consecutive_failures);
                 (m.avoid_until, m.probe_failures, m.next_probe_at) =
                     (avoid_until, m.probe_failures.max(1), now);
@@ -670,13 +671,13 @@
                 let overtaken = has_budget
                     && sent < self.members[member].newest_answered_sent_at
                     && now < self.give_up_at(t);
-                let out_for = (now - sent).as_secs_f64() / self.mean_latency[t.kind];
+                let age = (now - sent).as_secs_f64() / self.mean_latency[t.kind];
                 let can_resubmit = match self.types[t.kind].effect {
-                    Effect::Repeatable => silent || overtaken && out_for > SILENCE_LATENCIES,
+                    Effect::Repeatable => silent || overtaken && age > SILENCE_LATENCIES,
                     Effect::Referenced { .. } => {
                         let mark_known =
                             t.attempts.resendable_until().is_some_and(|last| now < last.min(t.expiry));
-                        (overtaken && out_for > LOST_LATENCIES || superseded) && mark_known
+                        (overtaken && age > LOST_LATENCIES || superseded) && mark_known
                     }
                     Effect::OnceOnly => false,
                 };
@@ -730,9 +731,9 @@
                     .any(|&m| self.is_available_reader(now, m) && self.is_proven_current(now, kind, None, m))
         };
         let waiting = self.waiting_ranks(group);
-        let fleet_share = interval.mul_f64(self.front_info.fronts as f64 / ON_DEMAND_PROBE_FRONTS);
-        let min_gap =
-            (interval / 2).max(fleet_share.min(self.member_txn_interval.div_f64(ON_DEMAND_PROBES_PER_TXN)));
+        let fleet_interval = interval.mul_f64(self.front_info.fronts as f64 / ON_DEMAND_PROBE_FRONTS);
+        let min_gap = (interval / 2)
+            .max(fleet_interval.min(self.member_txn_interval.div_f64(ON_DEMAND_PROBES_PER_TXN)));
         let needed = no_primary && !waiting.is_empty()
             || waiting.iter().any(unproven) && !self.awaits_report(now, group);
         let wanted = |&i: &usize| {
@@ -971,8 +972,8 @@
     }
 
     /// Whether a submission that has been in flight for this long is considered lost.
-    fn considered_lost(&self, out_for: Duration, kind: usize) -> bool {
-        out_for.as_secs_f64() > LOST_LATENCIES * self.mean_latency[kind]
+    fn considered_lost(&self, age: Duration, kind: usize) -> bool {
+        age.as_secs_f64() > LOST_LATENCIES * self.mean_latency[kind]
     }
 
     /// Whether a member has a free place within the given share of its concurrency limit.
