--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -1,26 +1,25 @@
 //! Hosts router instances on the simulator's line protocol: reads batches of events on standard input, writes
 //! one reply per batch on standard output. Words and ids are translated here one to one; nothing is chosen.
+mod adapter;
+mod membership;
+mod message;
 
-mod fellows;
-mod line;
-mod world;
-
+use adapter::Adapter;
 use std::io::{self, BufRead, BufReader, BufWriter, Write};
 use std::process::ExitCode;
-use world::World;
 
 fn main() -> ExitCode {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let fellows = match words.iter().map(String::as_str).collect::<Vec<_>>()[..] {
+    let args: Vec<String> = std::env::args().skip(1).collect();
+    let membership = match args.iter().map(String::as_str).collect::<Vec<_>>()[..] {
         [] => false,
         ["--fellows"] => true,
         _ => {
-            eprintln!("juniperdock-simhost: expected no word or --fellows, found {words:?}");
+            eprintln!("juniperdock-simhost: expected no word or --fellows, found {args:?}");
             return ExitCode::FAILURE;
         }
     };
     match run(
-        fellows,
+        membership,
         BufReader::with_capacity(1 << 20, io::stdin().lock()),
         BufWriter::new(io::stdout().lock()),
     ) {
@@ -33,40 +32,43 @@
 }
 
 /// Plays batches until the input ends; the error names the line it met.
-fn run(fellows: bool, mut input: impl BufRead, mut output: impl Write) -> Result<(), String> {
-    let mut world = World::new(fellows);
+fn run(membership: bool, mut input: impl BufRead, mut output: impl Write) -> Result<(), String> {
+    let mut adapter = Adapter::new(membership);
     let mut text = Vec::new();
-    let mut number = 0u64;
+    let mut line_number = 0u64;
     let mut in_batch = false;
     loop {
         text.clear();
-        if input.read_until(b'\n', &mut text).map_err(|e| format!("reading after line {number}: {e}"))? == 0 {
+        if input.read_until(b'\n', &mut text).map_err(|e| format!("reading after line {line_number}: {e}"))?
+            == 0
+        {
             break;
         }
-        number += 1;
-        let line = std::str::from_utf8(&text).map_err(|_| format!("line {number}: expected UTF-8 text"))?;
+        line_number += 1;
+        let line =
+            std::str::from_utf8(&text).map_err(|_| format!("line {line_number}: expected UTF-8 text"))?;
         let line = line.trim_end_matches(['\n', '\r']);
         if line.is_empty() && !in_batch {
             continue;
         }
-        let at = |why: String| format!("line {number}: {why}");
+        let with_line = |why: String| format!("line {line_number}: {why}");
         if line.starts_with("ROUND ") == in_batch {
-            return Err(at(format!(
+            return Err(with_line(format!(
                 "expected {}, found {line:?}",
                 if in_batch { "an event or COMMIT" } else { "ROUND" }
             )));
         }
-        in_batch = !world.event(line).map_err(at)?;
+        in_batch = !adapter.process(line).map_err(with_line)?;
         if !in_batch {
             output
-                .write_all(world.reply().as_bytes())
+                .write_all(adapter.reply().as_bytes())
                 .and_then(|()| output.flush())
-                .map_err(|e| format!("writing the reply after line {number}: {e}"))?;
-            world.clear_reply();
+                .map_err(|e| format!("writing the reply after line {line_number}: {e}"))?;
+            adapter.clear_reply();
         }
     }
     if in_batch {
-        return Err(format!("line {number}: the input ended inside a batch, expected COMMIT"));
+        return Err(format!("line {line_number}: the input ended inside a batch, expected COMMIT"));
     }
     Ok(())
 }
--- a/crates/sim-adapter/src/line.rs
+++ b/crates/sim-adapter/src/message.rs
@@ -1,35 +1,34 @@
 //! One line of the wire: a name, then `name=value` parts in any order.
-
 use juniperdock_deployment as deployment;
 use std::str::FromStr;
 use std::time::Duration;
 
 #[derive(Clone, Copy)]
-pub struct Line<'a> {
+pub struct Message<'a> {
     pub name: &'a str,
     rest: &'a str,
 }
 
-impl<'a> Line<'a> {
+impl<'a> Message<'a> {
     pub fn new(text: &'a str) -> Self {
         let (name, rest) = text.split_once(' ').unwrap_or((text, ""));
-        Line { name, rest }
+        Message { name, rest }
     }
 
-    pub fn parts(&self) -> impl Iterator<Item = (&'a str, &'a str)> {
+    pub fn fields(&self) -> impl Iterator<Item = (&'a str, &'a str)> {
         self.rest.split(' ').filter_map(|part| part.split_once('='))
     }
 
     pub fn text(&self, field: &str) -> Option<&'a str> {
-        self.parts().find(|&(name, _)| name == field).map(|(_, value)| value)
+        self.fields().find(|&(name, _)| name == field).map(|(_, value)| value)
     }
 
-    pub fn opt<T: FromStr>(&self, field: &str) -> Result<Option<T>, String> {
+    pub fn optional<T: FromStr>(&self, field: &str) -> Result<Option<T>, String> {
         self.text(field).map(|v| parse(self.name, field, v)).transpose()
     }
 
-    pub fn need<T: FromStr>(&self, field: &str) -> Result<T, String> {
-        self.opt(field)?.ok_or_else(|| format!("{}: expected a field {field}", self.name))
+    pub fn required<T: FromStr>(&self, field: &str) -> Result<T, String> {
+        self.optional(field)?.ok_or_else(|| format!("{}: expected a field {field}", self.name))
     }
 
     pub fn flag(&self, field: &str) -> Result<bool, String> {
@@ -42,8 +41,8 @@
 
     /// Milliseconds, exact to the microsecond.
     pub fn millis(&self, field: &str) -> Result<Option<i64>, String> {
-        self.opt::<f64>(field)?
-            .map(|ms| deployment::micros(ms).ok_or_else(|| bad(self.name, field, &ms)))
+        self.optional::<f64>(field)?
+            .map(|ms| deployment::micros(ms).ok_or_else(|| invalid_value(self.name, field, &ms)))
             .transpose()
     }
 
@@ -53,9 +52,9 @@
 }
 
 fn parse<T: FromStr>(name: &str, field: &str, value: &str) -> Result<T, String> {
-    value.parse().map_err(|_| bad(name, field, &value))
+    value.parse().map_err(|_| invalid_value(name, field, &value))
 }
 
-fn bad(name: &str, field: &str, value: &dyn std::fmt::Debug) -> String {
+fn invalid_value(name: &str, field: &str, value: &dyn std::fmt::Debug) -> String {
     format!("{name}: expected a value of another form in {field}, found {value:?}")
 }
--- a/crates/sim-adapter/tests/wire.rs
+++ b/crates/sim-adapter/tests/wire.rs
@@ -1,16 +1,15 @@
 //! The adapter as its caller sees it: batches in, replies out, plain words on bad input.
-
 use std::io::{BufRead, BufReader, Write};
 use std::process::{Command, Output, Stdio};
 
 const BORN: &str = "BORN Front=3 Entropy=7 Balancers=1 Bounds.MayProbe=true Bounds.TryLimit=4 \
     Guarantees.WarmUp=1000.0 LoadInfo.Via=on_probe New.Setting=1 Services.count=1 Services.0.Effect=side_effect \
     Services.0.Objective=300.0 Specifics.ReadLevel=update Specifics.Zero=500.0";
-const LISTED: &str = "ROSTER List=0 Hosts=1\n\
+const SERVER_LIST: &str = "ROSTER List=0 Hosts=1\n\
     ROW Cell=9 IsPrimary=1 Store=10.0.0.1:80 RegionPart=0 Units=1 Health=up\n\
     UPDATE Revision=1 How=Persisted Front=3 List=0";
 
-fn play(input: &str) -> Output {
+fn run(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_juniperdock-simhost"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -26,9 +25,9 @@
 }
 
 #[test]
-fn a_write_is_held_then_placed_with_its_id_unchanged() {
-    let output = play(&format!(
-        "ROUND Time=1000.0 turn=1\n{BORN}\n{LISTED}\n\
+fn a_write_waits_and_is_then_placed_with_its_id_unchanged() {
+    let output = run(&format!(
+        "ROUND Time=1000.0 turn=1\n{BORN}\n{SERVER_LIST}\n\
          JOB_IN Shard=9 Left=900.0 Class=0 Corr=4503599627370495 Front=3\nCOMMIT\n\
          ROUND turn=2 Time=1010.0\n\
          HEALTH_RESULT Front=3 Verdict=OK Store=10.0.0.1:80 CostTime=1 Stats=x1:1,zz:4,x0:0.505\nCOMMIT\n"
@@ -41,16 +40,17 @@
 }
 
 #[test]
-fn a_killed_instance_may_be_born_again_in_the_same_batch() {
-    let output =
-        play(&format!("ROUND Time=1.0 turn=1\n{BORN}\n{LISTED}\nRETIRE Front=3\n{BORN}\n{LISTED}\nCOMMIT\n"));
+fn a_killed_instance_may_be_created_again_in_the_same_batch() {
+    let output = run(&format!(
+        "ROUND Time=1.0 turn=1\n{BORN}\n{SERVER_LIST}\nRETIRE Front=3\n{BORN}\n{SERVER_LIST}\nCOMMIT\n"
+    ));
     assert!(output.status.success(), "{}", text(&output.stderr));
 }
 
 #[test]
-fn bad_input_is_named_by_line_and_gets_no_partial_reply() {
+fn bad_input_is_reported_with_its_line_and_gets_no_partial_reply() {
     let start = format!("ROUND Time=1.0 turn=1\n{BORN}\n");
-    for (rest, said) in [
+    for (rest, message) in [
         ("NEWS Front=3\n", "line 3: expected a known message"),
         ("TICK_DUE Front=8 Handle=1\n", "line 3: expected an instance that was born"),
         ("TICK_DUE Front=3 Handle=x\n", "line 3: TICK_DUE: expected a value of another form in Handle"),
@@ -59,55 +59,58 @@
         ("ROSTER List=0 Hosts=2\nCOMMIT\n", "line 4: expected 2 more ROW"),
         ("", "line 2: the input ended inside a batch"),
     ] {
-        let output = play(&format!("{start}{rest}"));
+        let output = run(&format!("{start}{rest}"));
         let stderr = text(&output.stderr);
-        assert!(stderr.contains(said), "{stderr}");
+        assert!(stderr.contains(message), "{stderr}");
         assert!(output.stdout.is_empty() && !output.status.success());
     }
 }
 
 #[test]
-fn a_siblings_message_of_another_form_is_passed_over() {
+fn a_malformed_memo_is_ignored() {
     let memo = |payload: &str| format!("MEMO Front=3 From=1 Payload={payload}\n");
-    let odd = ["-", "00", &"ff".repeat(9), &"00".repeat(9), &"09".repeat(40)].map(memo).concat();
-    let output = play(&format!("ROUND Time=1.0 turn=1\n{BORN}\n{LISTED}\n{odd}COMMIT\n"));
+    let malformed = ["-", "00", &"ff".repeat(9), &"00".repeat(9), &"09".repeat(40)].map(memo).concat();
+    let output = run(&format!("ROUND Time=1.0 turn=1\n{BORN}\n{SERVER_LIST}\n{malformed}COMMIT\n"));
     assert!(output.status.success() && !text(&output.stdout).contains("BROKEN"), "{}", text(&output.stderr));
 }
 
 #[test]
-fn instances_know_each_other_where_they_are_let_and_told_to() {
-    for (word, allowed) in [("--fellows", true), ("--fellows", false), ("", true)] {
+fn instances_have_a_membership_only_if_flag_and_settings_enable_it() {
+    for (arg, allowed) in [("--fellows", true), ("--fellows", false), ("", true)] {
         let mut child = Command::new(env!("CARGO_BIN_EXE_juniperdock-simhost"))
-            .args(Some(word).filter(|word| !word.is_empty()))
+            .args(Some(arg).filter(|arg| !arg.is_empty()))
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .spawn()
             .expect("the adapter starts");
         let (mut input, output) = (child.stdin.take().expect("a pipe"), child.stdout.take().expect("a pipe"));
         let mut lines = BufReader::new(output).lines();
-        let born = |front: usize| {
-            let born = BORN
+        let create = |front: usize| {
+            let instance = BORN
                 .replace("Front=3 ", &format!("Front={front} Me={front} "))
                 .replace("Balancers=1", "Balancers=3");
             format!(
-                "{born} Bounds.Peers={}\n{}\n",
+                "{instance} Bounds.Peers={}\n{}\n",
                 u8::from(allowed),
-                LISTED.replace("Front=3", &format!("Front={front}"))
+                SERVER_LIST.replace("Front=3", &format!("Front={front}"))
             )
         };
-        let (mut events, mut said) = ((0..3).map(born).collect::<String>(), Vec::new());
+        let (mut events, mut remarks) = ((0..3).map(create).collect::<String>(), Vec::new());
         let mut due: Vec<(f64, String)> = Vec::new();
-        let mut gone = false;
+        let mut retired = false;
         for turn in 1..=160 {
             let now = 1000.0 + 50.0 * f64::from(turn);
-            let (over, later) = due.into_iter().partition(|(at, _): &(f64, String)| *at <= now);
+            let (due_now, later) = due.into_iter().partition(|(at, _): &(f64, String)| *at <= now);
             due = later;
             events.extend(
-                over.into_iter().map(|(_, event)| event).filter(|event| !gone || !event.contains("Front=1 ")),
+                due_now
+                    .into_iter()
+                    .map(|(_, event)| event)
+                    .filter(|event| !retired || !event.contains("Front=1 ")),
             );
             if turn == 60 {
                 events += "RETIRE Front=1\n";
-                gone = true;
+                retired = true;
             }
             write!(input, "ROUND Time={now} turn={turn}\n{events}COMMIT\n").expect("it reads");
             events.clear();
@@ -131,25 +134,26 @@
                             format!("TICK_DUE Front={} Handle={}\n", field("Front"), field("Handle")),
                         ));
                     }
-                    Some("REMARK") => said.push(line.clone()),
+                    Some("REMARK") => remarks.push(line.clone()),
                     _ => {}
                 }
             }
         }
         drop(input);
         assert!(child.wait().expect("it ends").success());
-        let heard = |front: usize, what: &str| said.contains(&format!("REMARK Front={front} Msg={what}"));
-        let on = !word.is_empty() && allowed;
-        assert!((0..3).all(|front| heard(front, "standing whole") == on), "{word} {allowed}: {said:?}");
+        let remarked =
+            |front: usize, what: &str| remarks.contains(&format!("REMARK Front={front} Msg={what}"));
+        let on = !arg.is_empty() && allowed;
+        assert!((0..3).all(|front| remarked(front, "standing whole") == on), "{arg} {allowed}: {remarks:?}");
         assert!(
-            [0, 2].iter().all(|&front| heard(front, "fellow down 1") == on),
-            "{word} {allowed}: {said:?}"
+            [0, 2].iter().all(|&front| remarked(front, "fellow down 1") == on),
+            "{arg} {allowed}: {remarks:?}"
         );
     }
 }
 
 #[test]
-fn whose_sessions_are_remembered_here_is_not_told_by_an_age_that_comes_all_the_same() {
+fn an_age_of_the_last_write_counts_only_if_clients_send_session_marks() {
     for (marks, reads_at) in [("client", "10.0.0.2:80"), ("router", "10.0.0.1:80")] {
         let born = BORN
             .replace("Services.count=1", "Services.count=2 Services.1.Effect=pure Services.1.Objective=300.0")
@@ -157,7 +161,7 @@
                 "ReadLevel=update",
                 &format!("ReadLevel=update,own_writes Specifics.SessionMarks={marks}"),
             );
-        let output = play(&format!(
+        let output = run(&format!(
             "ROUND Time=1000.0 turn=1\n{born}\nROSTER List=0 Hosts=2\n\
              ROW Cell=9 IsPrimary=1 Store=10.0.0.1:80 RegionPart=0 Units=1 Health=up\n\
              ROW Cell=9 IsPrimary=0 Store=10.0.0.2:80 RegionPart=0 Units=1 Health=up\n\
@@ -178,11 +182,11 @@
 }
 
 #[test]
-fn where_there_are_no_reports_nobody_is_probed_and_a_write_finds_its_primary() {
+fn without_reports_no_member_is_probed_and_a_write_finds_its_primary() {
     for (via, probes) in [("on_probe", true), ("inline", true), ("off", false)] {
         let born = BORN.replace("Via=on_probe", &format!("Via={via}"));
-        let output = play(&format!(
-            "ROUND Time=1000.0 turn=1\n{born}\n{LISTED}\n\
+        let output = run(&format!(
+            "ROUND Time=1000.0 turn=1\n{born}\n{SERVER_LIST}\n\
              JOB_IN Shard=9 Left=900.0 Class=0 Corr=1 Front=3\nCOMMIT\n"
         ));
         let replies = text(&output.stdout);
