--- a/crates/sim-adapter/src/adapter.rs
+++ b/crates/sim-adapter/src/adapter.rs
@@ -1,4 +1,5 @@
-//! The instances of this process, the lists they share, and the reply being written.
+//! The instances of this process, the server lists that they share, and the reply being written.
+
 use crate::membership::{self, MEMBERSHIP_TIMER, MembershipActions};
 use crate::message::Message;
 use juniperdock_deployment::{self as deployment, Indices, Origin};
@@ -10,7 +11,7 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::Duration;
 
-/// One row of a shared list, as it came.
+/// One entry of a shared server list, as received.
 struct Entry {
     store: String,
     cell: u64,
@@ -20,11 +21,11 @@
     started_at: Option<i64>,
 }
 
-/// Ids of one instance and the indices that stand for them.
+/// The simulator's ids of one instance and their indices.
 struct Ids {
     front: u64,
     origin: Origin,
-    /// How many txn types there are.
+    /// Number of txn types.
     txn_types: usize,
     stores: Indices<String>,
     cells: Indices<u64>,
@@ -51,7 +52,7 @@
         Ok(at)
     }
 
-    /// 4 x position in ms + role; 0 for a position that is not told.
+    /// Decodes the field `Stand`: 4 x position in ms + role, with position 0 for a position that was not reported.
     fn parse_stand(&self, stand: i64) -> (Option<Role>, Option<Duration>) {
         let role = match stand % 4 {
             1 => Some(Role::Primary),
@@ -62,15 +63,16 @@
     }
 }
 
+/// One router instance of this process.
 struct Instance {
     router: Router,
     ids: Ids,
-    /// Its part among the fronts, and when that is to be looked at next.
+    /// Its membership, and when that is due next.
     membership: Option<Membership>,
     membership_due: Duration,
 }
 
-/// Writes the router's calls as actions.
+/// Writes the router's requests as actions for the simulator.
 struct RouterActions<'a> {
     ids: &'a mut Ids,
     out: &'a mut String,
@@ -89,7 +91,7 @@
 
 impl Host for RouterActions<'_> {
     fn send(&mut self, txn: usize, member: usize, _until: Duration) {
-        // What is sent here leaves at once, and lasts until its client gives up.
+        // The simulator sends at once, and the submission stays valid until its client gives up.
         let (front, id) = (self.ids.front, self.ids.txn_ids[txn]);
         let store = self.ids.stores.id(member);
         writeln!(self.out, "PLACE Front={front} Corr={id} Store={store} GiveUpAfter=0")
@@ -145,34 +147,37 @@
     }
 }
 
+/// All instances and the state of the protocol.
 #[derive(Default)]
 pub struct Adapter {
     clock: i64,
     turn: u64,
     lists: Vec<Vec<Entry>>,
-    /// The list being read, and how many rows are still to come.
+    /// The list that is being read, and how many entries are still missing.
     partial_list: Option<(usize, usize)>,
     instances: HashMap<u64, Instance>,
     out: String,
-    /// Instances know each other, where the settings let them speak.
+    /// Instances have a membership, if their settings allow it.
     membership: bool,
 }
 
 impl Adapter {
-    /// A world without instances; `fellows`: those to be born know each other, where the settings let them.
+    /// An adapter without instances. `membership`: new instances get a membership if their settings allow it.
     pub fn new(membership: bool) -> Adapter {
         Adapter { membership, ..Adapter::default() }
     }
 
+    /// The reply so far.
     pub fn reply(&self) -> &str {
         &self.out
     }
 
+    /// Starts a new reply.
     pub fn clear_reply(&mut self) {
         self.out.clear();
     }
 
-    /// Takes in one line; true once it has closed the batch.
+    /// Processes one line; true if it ends the batch.
     pub fn process(&mut self, text: &str) -> Result<bool, String> {
         let message = Message::new(text);
         if self.partial_list.is_some() != (message.name == "ROW") {
@@ -338,18 +343,18 @@
                 let bytes = membership::parse_hex(payload)
                     .ok_or_else(|| format!("MEMO: expected hex digits, found {payload:?}"))?;
                 let from: usize = message.required("From")?;
-                // One that is refused is counted by the membership.
+                // The membership counts refused datagrams itself.
                 self.with_membership(front, |membership, now, actions| {
                     let _ = membership.handle_datagram(now, from, &bytes, actions);
                 });
                 Ok(())
             }
-            // Only streamed txn types have a start of their answer; nothing is decided on it.
+            // Only streamed txn types report the start of an answer, and no decision depends on it.
             _ => Ok(()),
         }
     }
 
-    /// Calls an instance's membership, if it has one.
+    /// Calls an instance's membership, if it has one, and sets its next timer.
     fn with_membership(
         &mut self,
         front: u64,
@@ -369,7 +374,7 @@
         }
     }
 
-    /// Calls the router of an instance; should it panic, the simulator is told.
+    /// Calls an instance's router; a panic is reported to the simulator.
     fn with_router(
         &mut self,
         front: u64,
@@ -393,6 +398,7 @@
     format!("expected an instance that was born, found Front={front}")
 }
 
+/// Translates the field `Verdict`.
 fn parse_outcome(message: &Message) -> Result<AttemptOutcome, String> {
     Ok(match message.text("Verdict").unwrap_or_default() {
         "OK" => AttemptOutcome::Committed,
@@ -408,12 +414,13 @@
     })
 }
 
+/// Translates the field `Stats`.
 fn parse_report(message: &Message, ids: &Ids) -> Result<Report, String> {
     let fields = message.text("Stats").unwrap_or("").split(',').filter_map(|part| part.split_once(':'));
     deployment::report(fields, &ids.origin).map_err(|why| format!("{}: {why}", message.name))
 }
 
-/// Reads what an instance is handed at its start.
+/// Creates an instance from its settings.
 fn new_instance(message: &Message, clock: i64, membership_enabled: bool) -> Result<Instance, String> {
     let (router, consistencies) =
         deployment::open(message.required("Entropy")?, &|path| message.text(path).map(str::to_owned))
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! Hosts router instances on the simulator's line protocol: reads batches of events on standard input, writes
-//! one reply per batch on standard output. Words and ids are translated here one to one; nothing is chosen.
+//! Hosts router instances on the simulator's line protocol: reads batches of events from standard input and writes one
+//! reply per batch to standard output. Names and ids are only translated here; no decision is made.
+
 mod adapter;
 mod membership;
 mod message;
@@ -31,7 +32,7 @@
     }
 }
 
-/// Plays batches until the input ends; the error names the line it met.
+/// Processes batches until the input ends. An error contains the number of the line at which it occurred.
 fn run(membership: bool, mut input: impl BufRead, mut output: impl Write) -> Result<(), String> {
     let mut adapter = Adapter::new(membership);
     let mut text = Vec::new();
--- a/crates/sim-adapter/src/membership.rs
+++ b/crates/sim-adapter/src/membership.rs
@@ -1,16 +1,17 @@
-//! What instances send each other, where the simulator lets them: the program's membership over SHARE and MEMO.
+//! The membership of the instances, if the simulator enables it: they exchange datagrams through SHARE and MEMO.
+
 use juniperdock_membership::{Event, Host, Keys, Membership, NEWEST_VERSION, Timing, incarnation_at};
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Handle of reminders that are no router's.
+/// Handle of the membership's timers; the router never uses it.
 pub const MEMBERSHIP_TIMER: u64 = 1 << 52 | 1;
-/// As the operators' file has it where it does not say.
+/// The default of the operator configuration.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// Any time; lives count from it by the simulator's clock.
+/// An arbitrary wall-clock time for the start of the simulator's clock; incarnations are derived from it.
 const UNIX_START: Duration = Duration::from_secs(1_790_000_000);
 
-/// Writes what a membership wants sent as actions.
+/// Writes the datagrams and events of a membership as actions for the simulator.
 pub struct MembershipActions<'a> {
     pub front: u64,
     pub out: &'a mut String,
@@ -35,9 +36,9 @@
     }
 }
 
-/// An instance's part, born at a time of the simulator's clock in microseconds.
+/// Creates an instance's membership. `clock` is the simulator's time in microseconds.
 pub fn new_membership(index: usize, cluster_size: usize, clock: i64, seed: u64) -> Membership {
-    // All of one simulator are one fleet: nobody else reaches them.
+    // All instances of one simulator are one fleet, and nobody else can reach them, so a fixed key is enough.
     let keys = Keys::parse(&["5a".repeat(32)]).expect("a good key");
     let incarnation = incarnation_at(UNIX_START + Duration::from_micros(clock.max(0) as u64));
     Membership::new(
@@ -51,7 +52,7 @@
     )
 }
 
-/// The bytes of hex digits; `-` for none.
+/// Decodes hex digits; `-` stands for no bytes.
 pub fn parse_hex(payload: &str) -> Option<Vec<u8>> {
     let digits = if payload == "-" { "" } else { payload };
     let valid = digits.len().is_multiple_of(2) && digits.bytes().all(|b| b.is_ascii_hexdigit());
--- a/crates/sim-adapter/tests/wire.rs
+++ b/crates/sim-adapter/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The adapter as its caller sees it: batches in, replies out, plain words on bad input.
+//! The adapter as the simulator sees it: batches in, replies out, and errors on bad input.
+
 use std::io::{BufRead, BufReader, Write};
 use std::process::{Command, Output, Stdio};
 
