--- a/crates/sim-adapter/src/adapter.rs
+++ b/crates/sim-adapter/src/adapter.rs
@@ -80,7 +80,7 @@
 
 impl RouterActions<'_> {
     fn write_action(&mut self, action: std::fmt::Arguments<'_>) {
-        self.out.write_fmt(action).expect("a String takes all");
+        self.out.write_fmt(action).expect("writing to a String never fails");
         self.out.push('\n');
     }
 }
@@ -95,7 +95,7 @@
         let (front, id) = (self.ids.front, self.ids.txn_ids[txn]);
         let store = self.ids.stores.id(member);
         writeln!(self.out, "PLACE Front={front} Corr={id} Store={store} GiveUpAfter=0")
-            .expect("a String takes all");
+            .expect("writing to a String never fails");
     }
 
     fn cancel(&mut self, txn: usize, submission: u32) {
@@ -132,7 +132,7 @@
 
     fn probe(&mut self, member: usize) {
         let (front, store) = (self.ids.front, self.ids.stores.id(member));
-        writeln!(self.out, "PROBE Front={front} Store={store}").expect("a String takes all");
+        writeln!(self.out, "PROBE Front={front} Store={store}").expect("writing to a String never fails");
     }
 
     fn set_timer(&mut self, at: Duration, handle: u64) {
@@ -192,7 +192,7 @@
                 self.turn = message.required("turn")?;
             }
             "COMMIT" => {
-                writeln!(self.out, "READY turn={}", self.turn).expect("a String takes all");
+                writeln!(self.out, "READY turn={}", self.turn).expect("writing to a String never fails");
                 return Ok(true);
             }
             "ROSTER" => {
@@ -388,14 +388,14 @@
             let why = panic.downcast_ref::<String>().map(String::as_str);
             let why = why.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("a panic without text");
             let why = why.replace(['\n', '\r'], " ");
-            writeln!(self.out, "BROKEN Front={front} Msg={why}").expect("a String takes all");
+            writeln!(self.out, "BROKEN Front={front} Msg={why}").expect("writing to a String never fails");
         }
         Ok(())
     }
 }
 
 fn unknown_instance(front: u64) -> String {
-    format!("expected an instance that was born, found Front={front}")
+    format!("expected the Front of an existing instance, found Front={front}")
 }
 
 /// Translates the field `Verdict`.
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -15,7 +15,7 @@
         [] => false,
         ["--fellows"] => true,
         _ => {
-            eprintln!("juniperdock-simhost: expected no word or --fellows, found {args:?}");
+            eprintln!("juniperdock-simhost: expected no argument or --fellows, found {args:?}");
             return ExitCode::FAILURE;
         }
     };
--- a/crates/sim-adapter/src/membership.rs
+++ b/crates/sim-adapter/src/membership.rs
@@ -19,9 +19,10 @@
 
 impl Host for MembershipActions<'_> {
     fn send(&mut self, to: usize, datagram: &[u8]) {
-        write!(self.out, "SHARE Front={} Peer={to} Payload=", self.front).expect("a String takes all");
+        write!(self.out, "SHARE Front={} Peer={to} Payload=", self.front)
+            .expect("writing to a String never fails");
         for byte in datagram {
-            write!(self.out, "{byte:02x}").expect("a String takes all");
+            write!(self.out, "{byte:02x}").expect("writing to a String never fails");
         }
         self.out.push('\n');
     }
@@ -32,14 +33,15 @@
             Event::Down(other) => format!("fellow down {other}"),
             _ => return,
         };
-        writeln!(self.out, "REMARK Front={} Msg={text}", self.front).expect("a String takes all");
+        writeln!(self.out, "REMARK Front={} Msg={text}", self.front)
+            .expect("writing to a String never fails");
     }
 }
 
 /// Creates an instance's membership. `clock` is the simulator's time in microseconds.
 pub fn new_membership(index: usize, cluster_size: usize, clock: i64, seed: u64) -> Membership {
     // All instances of one simulator are one fleet, and nobody else can reach them, so a fixed key is enough.
-    let keys = Keys::parse(&["5a".repeat(32)]).expect("a good key");
+    let keys = Keys::parse(&["5a".repeat(32)]).expect("a valid key");
     let incarnation = incarnation_at(UNIX_START + Duration::from_micros(clock.max(0) as u64));
     Membership::new(
         index,
--- a/crates/sim-adapter/src/message.rs
+++ b/crates/sim-adapter/src/message.rs
@@ -65,5 +65,5 @@
 }
 
 fn invalid_value(name: &str, field: &str, value: &dyn std::fmt::Debug) -> String {
-    format!("{name}: expected a value of another form in {field}, found {value:?}")
+    format!("{name}: expected a valid value in {field}, found {value:?}")
 }
--- a/crates/sim-adapter/tests/wire.rs
+++ b/crates/sim-adapter/tests/wire.rs
@@ -53,8 +53,8 @@
     let start = format!("ROUND Time=1.0 turn=1\n{BORN}\n");
     for (rest, message) in [
         ("NEWS Front=3\n", "line 3: expected a known message"),
-        ("TICK_DUE Front=8 Handle=1\n", "line 3: expected an instance that was born"),
-        ("TICK_DUE Front=3 Handle=x\n", "line 3: TICK_DUE: expected a value of another form in Handle"),
+        ("TICK_DUE Front=8 Handle=1\n", "line 3: expected the Front of an existing instance"),
+        ("TICK_DUE Front=3 Handle=x\n", "line 3: TICK_DUE: expected a valid value in Handle"),
         ("JOB_IN Front=3 Corr=1 Class=0 Shard=9\n", "line 3: JOB_IN: expected a field Left"),
         ("JOB_IN Front=3 Corr=1 Class=1 Shard=9 Left=9\n", "line 3: JOB_IN: expected a Class below 1"),
         ("ROSTER List=0 Hosts=2\nCOMMIT\n", "line 4: expected 2 more ROW"),
