--- a/crates/router/src/host.rs
+++ b/crates/router/src/host.rs
@@ -14,7 +14,7 @@
     fn send(&mut self, txn: usize, member: usize, until: Duration);
     /// Cancels one submission of a txn; its end is still reported.
     fn cancel(&mut self, txn: usize, submission: u32);
-    /// Final answer: the txn was not executed, and a retry is harmless.
+    /// Final answer: declined; a retry is harmless.
     fn decline(&mut self, txn: usize, retry_after: Option<Duration>);
     /// Final answer: the txn was given up, and whether it took effect is unknown.
     fn answer_unknown(&mut self, txn: usize);
@@ -66,7 +66,7 @@
     pub share: f64,
     /// Time after which it has its full capacity.
     pub warm_up: Duration,
-    /// Multiple of its current capacity that it may be sent within `window`.
+    /// Multiple of its current capacity that it may be sent as work within `window` before it is overloaded.
     pub multiple: f64,
     pub window: Duration,
 }
--- a/crates/router/src/snapshot.rs
+++ b/crates/router/src/snapshot.rs
@@ -8,6 +8,7 @@
 /// The state of one member that is worth keeping.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MemberSnapshot {
+    /// The server list has marked it as draining.
     pub draining: bool,
     /// End of its warm-up.
     pub warm_at: Duration,
@@ -20,6 +21,7 @@
     pub slowness: f64,
     /// End of its back-off.
     pub avoid_until: Duration,
+    /// What it has claimed about its role.
     pub claims: ClaimsSnapshot,
 }
 
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -419,7 +419,7 @@
         self.removal_is_advisory = true;
     }
 
-    /// Makes room for the given group and txn.
+    /// Creates the entries for the given group and txn.
     pub(crate) fn ensure_indices(&mut self, group: usize, txn: usize) {
         let (empty, kinds) = (&self.empty_counts, self.types.len());
         self.groups.resize_with(self.groups.len().max(group + 1), || Group {
--- a/crates/router/tests/scenarios.rs
+++ b/crates/router/tests/scenarios.rs
@@ -275,7 +275,7 @@
     assert!(cold > 0 && cold * 2 < warm, "{cold} cold, {warm} warm");
 }
 
-/// What member 1 and a warm member are sent after `probes` probes of member 1 have ended with `ending`, each after
+/// What member 1 and a warm member are sent after `probes` probes of member 1 have ended with `outcome`, each after
 /// `took` milliseconds, and member 1 answers again.
 fn sent_after_return(outcome: AttemptOutcome, probes: usize, took: u64) -> (usize, usize) {
     let mut sum = (0, 0);
