--- a/crates/router/tests/scenarios.rs
+++ b/crates/router/tests/scenarios.rs
@@ -56,7 +56,8 @@
 #[test]
 fn a_lost_submission_is_cancelled_in_time_for_another_attempt() {
     let mut s = Scenario::with_primary();
-    let (lost, once, marked) = (s.arrive(LOOSE, 4000), s.arrive(ONCE_ONLY, 4000), s.arrive(REFERENCED, 4000));
+    let (lost, once_only, referenced) =
+        (s.arrive(LOOSE, 4000), s.arrive(ONCE_ONLY, 4000), s.arrive(REFERENCED, 4000));
     let to = s.sent_to(lost)[0];
     for _ in 0..6 {
         // Its member answers other txns all the time.
@@ -67,9 +68,9 @@
             s.end(other, member, AttemptOutcome::Committed, 50);
         }
     }
-    assert!(s.recorded(&Action::Cancelled(lost, 0)) && !s.recorded(&Action::Cancelled(once, 0)));
+    assert!(s.recorded(&Action::Cancelled(lost, 0)) && !s.recorded(&Action::Cancelled(once_only, 0)));
     assert!(
-        !s.recorded(&Action::Cancelled(marked, 0)),
+        !s.recorded(&Action::Cancelled(referenced, 0)),
         "a write is waited for longer, because only the primary can take it"
     );
     s.end(lost, to, AttemptOutcome::Cancelled, 1200);
@@ -1119,21 +1120,21 @@
 fn without_probes_a_write_finds_the_primary_by_trial() {
     let mut s = without_probes();
     let write = s.arrive(ONCE_ONLY, 2000);
-    let mut submitted = vec![last_sent_to(&s, write).expect("a first attempt")];
+    let mut attempted = vec![last_sent_to(&s, write).expect("a first attempt")];
     for _ in 0..2 {
         s.now += ms(1);
         s.end_with_report(
             write,
-            submitted[submitted.len() - 1],
+            attempted[attempted.len() - 1],
             AttemptOutcome::Misplaced,
             Role::Replica,
             None,
         );
-        submitted.push(last_sent_to(&s, write).expect("an attempt at the next member"));
+        attempted.push(last_sent_to(&s, write).expect("an attempt at the next member"));
     }
-    let found = submitted[2];
-    submitted.sort_unstable();
-    assert_eq!(submitted, [0, 1, 2], "each member once");
+    let found = attempted[2];
+    attempted.sort_unstable();
+    assert_eq!(attempted, [0, 1, 2], "each member once");
     s.end_with_report(write, found, AttemptOutcome::Committed, Role::Primary, None);
     for _ in 0..3 {
         let next = s.arrive(REFERENCED, 2000);
