--- a/crates/front/src/acceptor.rs
+++ b/crates/front/src/acceptor.rs
@@ -1,7 +1,7 @@
 //! Takes clients in: those that the listener has, and those that another process hands over.
 
 use crate::client;
-use crate::clients::{MIN_REST, SharedClients};
+use crate::clients::{MIN_IDLE, SharedClients};
 use juniperdock_connection::{BufferLimits, Door, Link, spawn};
 use std::net::TcpStream;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
                 return;
             }
         };
-        let (slot, has_slot) = self.take_slot(link.bell());
+        let (slot, has_slot) = self.allocate_slot(link.bell());
         let shared = self.clone();
         if let Err(why) = spawn("client", client::CONNECTION_STACK_BYTES, move || {
             client::run(link, slot, has_slot, open, skipping, shared)
@@ -40,8 +40,8 @@
         self.acceptor_running.store(true, Ordering::Release);
         while !self.stop_accepting.load(Ordering::Acquire) {
             while self.present() >= self.max_clients + self.refusal_slots {
-                self.slots().ask_to_leave(self.clock.now(), MIN_REST);
-                self.pause();
+                self.slots().ask_to_leave(self.clock.now(), MIN_IDLE);
+                self.pause_accepting();
             }
             match door.next() {
                 Ok(Some(stream)) => self.clone().admit(stream, &[], false, false),
@@ -53,7 +53,7 @@
                 Err(why) => {
                     // Out of descriptors in spite of the budget: once more when some may be free.
                     slog::warn!(self.log, "a client was not taken in"; "why" => %why);
-                    self.pause();
+                    self.pause_accepting();
                 }
             }
         }
--- a/crates/front/src/client.rs
+++ b/crates/front/src/client.rs
@@ -3,8 +3,10 @@
 
 mod drain;
 
-use crate::clients::{ClientTransfer, Rest, SharedClients, TAKEN, TransferResult, UNDER_WAY};
-use crate::counters::{Count, Counters};
+use crate::clients::{
+    ClientTransfer, IdleAction, SharedClients, TRANSFER_ACCEPTED, TRANSFER_PENDING, TransferResult,
+};
+use crate::counters::{Counter, Counters};
 use crate::mailbox::Mailbox;
 use crate::messages::{Answer, Arrival, DispatcherMessage};
 use crate::request_log::{CloseReason, RequestEvent};
@@ -58,11 +60,11 @@
     /// There was room for it; else its first txn is declined, and it is to come again.
     has_slot: bool,
     link: Link,
-    mail: Receiver<(u64, Answer)>,
+    answers: Receiver<(u64, Answer)>,
     mailbox: Mailbox<(u64, Answer)>,
     open: bool,
     /// It has had no txn here.
-    fresh: bool,
+    no_txn_yet: bool,
     pipeline: Pipeline<Box<Arrival>>,
     /// Of the requests that are not answered.
     guards: HashMap<u64, RequestGuard>,
@@ -71,99 +73,99 @@
     /// After a failed extended query, all is passed by up to Sync.
     skipping: bool,
     /// Nothing more is taken, for this reason: the connection ends once all is written.
-    last: Option<CloseReason>,
+    closing: Option<CloseReason>,
     /// It ends for this reason once nothing is owed. What comes behind a request in hand is refused meanwhile.
     draining: Option<CloseReason>,
     /// Until when it is read on after the end of its sending.
-    lingers: Option<Duration>,
+    linger_until: Option<Duration>,
     /// When bytes moved last, either way, and when an answer was queued last.
-    progress: Duration,
-    answered: Duration,
+    last_progress: Duration,
+    last_answer: Duration,
     /// Until when the opening or the message that has begun must be whole.
-    due: Option<Duration>,
+    message_due: Option<Duration>,
     /// When it is to be looked at again, though nothing comes.
-    looks: Duration,
+    next_check: Duration,
     /// When it is rung next, at the latest.
-    rings: Duration,
+    timer_set_for: Duration,
     /// It is on its way to another process: nothing is read here until that is decided.
-    under_way: Option<Arc<AtomicU8>>,
+    transfer: Option<Arc<AtomicU8>>,
 }
 
 /// Serves a client until its connection ends.
 pub fn run(link: Link, slot: u64, has_slot: bool, open: bool, skipping: bool, shared: Arc<SharedClients>) {
-    let (mail, read) = channel();
-    let mailbox = Mailbox { mail, bell: link.bell() };
+    let (sender, answers) = channel();
+    let mailbox = Mailbox { sender, bell: link.bell() };
     let mut client = Client {
         shared,
         slot,
         has_slot,
         link,
-        mail: read,
+        answers: answers,
         mailbox,
         open,
-        fresh: true,
+        no_txn_yet: true,
         pipeline: Pipeline::new(PIPELINE),
         guards: HashMap::new(),
         arrival_times: ArrivalTimes::default(),
         skipping,
-        last: None,
+        closing: None,
         draining: None,
-        lingers: None,
-        progress: Duration::ZERO,
-        answered: Duration::ZERO,
-        due: None,
-        looks: Duration::ZERO,
-        rings: Duration::ZERO,
-        under_way: None,
+        linger_until: None,
+        last_progress: Duration::ZERO,
+        last_answer: Duration::ZERO,
+        message_due: None,
+        next_check: Duration::ZERO,
+        timer_set_for: Duration::ZERO,
+        transfer: None,
     };
-    client.arrival_times.received(client.link.inbound.len(), client.shared.clock.came_in());
-    let reason = catch_unwind(AssertUnwindSafe(|| client.live())).unwrap_or(CloseReason::Panicked);
+    client.arrival_times.received(client.link.inbound.len(), client.shared.clock.arrival_time());
+    let reason = catch_unwind(AssertUnwindSafe(|| client.serve())).unwrap_or(CloseReason::Panicked);
     if reason == CloseReason::Panicked {
         client.shared.counters.panics.add();
         let mut out = Vec::new();
         pg::error(&mut out, true, pg::INTERNAL, "the connection's actor failed", None);
         let _ = client.link.queue(&out).and_then(|()| client.link.pump());
     }
-    client.end(reason);
+    client.close(reason);
     client.shared.slots().taken.remove(&slot);
 }
 
 impl Client {
     /// Serves until the connection ends, and says why it did.
-    fn live(&mut self) -> CloseReason {
+    fn serve(&mut self) -> CloseReason {
         let mut busy = 0;
         loop {
-            self.shared.clock.pulse();
+            self.shared.clock.note_running();
             match self.transfer_state() {
-                Some(UNDER_WAY) => {
+                Some(TRANSFER_PENDING) => {
                     self.link.wait();
                     continue;
                 }
-                Some(TAKEN) => return CloseReason::Transferred,
-                _ => self.under_way = None,
+                Some(TRANSFER_ACCEPTED) => return CloseReason::Transferred,
+                _ => self.transfer = None,
             }
             self.drain();
             let Ok(moved) = self.exchange() else { return CloseReason::Broken };
-            if self.gone() && (!self.pipeline.is_empty() || self.link.flushed()) {
-                return self.last.unwrap_or(CloseReason::ClientLeft);
+            if self.client_gone() && (!self.pipeline.is_empty() || self.link.flushed()) {
+                return self.closing.unwrap_or(CloseReason::ClientLeft);
             }
-            if self.shared.moves(self.slot) && self.leave() {
+            if self.shared.should_transfer(self.slot) && self.try_transfer() {
                 continue;
             }
-            let read = self.work();
-            match self.settle(moved || read > 0) {
+            let read = self.process();
+            match self.close_if_settled(moved || read > 0) {
                 Ok(Some(reason)) => return reason,
                 Ok(None) => {}
                 Err(_) => return CloseReason::Broken,
             }
             if moved || read > 0 {
                 busy += 1;
-                self.give_turn(busy);
+                self.yield_turn(busy);
                 continue;
             }
             busy = 0;
-            match self.rest() {
-                Ok(true) => self.wait(),
+            match self.prepare_to_wait() {
+                Ok(true) => self.wait_for_event(),
                 Ok(false) => {}
                 Err(_) => return CloseReason::Broken,
             }
@@ -171,7 +173,7 @@
     }
 
     fn transfer_state(&self) -> Option<u8> {
-        self.under_way.as_ref().map(|state| state.load(Ordering::Acquire))
+        self.transfer.as_ref().map(|state| state.load(Ordering::Acquire))
     }
 
     /// Moves bytes both ways, takes in the answers that have come, and gives those whose time is over. True if bytes moved.
@@ -181,48 +183,52 @@
             slog::debug!(self.shared.log, "a client is gone"; "why" => %why);
         }
         let moved = moved?;
-        while let Ok((ticket, answer)) = self.mail.try_recv() {
-            self.answer(ticket, answer);
+        while let Ok((request_id, answer)) = self.answers.try_recv() {
+            self.answer(request_id, answer);
         }
-        self.guard();
+        self.answer_overdue();
         Ok(moved)
     }
 
     /// Takes the messages that are there, begins what may begin, and queues the answers whose turn it is. Gives how many
     /// messages it took.
-    fn work(&mut self) -> usize {
+    fn process(&mut self) -> usize {
         let mut read = 0;
         // Nothing is begun for a client that has left behind what it sent.
-        while self.reads() && !self.gone() && read < MAX_MESSAGES_PER_TURN && self.next() {
+        while self.accepts_more()
+            && !self.client_gone()
+            && read < MAX_MESSAGES_PER_TURN
+            && self.next_message()
+        {
             read += 1;
         }
-        if !self.gone() {
-            self.begin();
+        if !self.client_gone() {
+            self.start_requests();
         }
-        self.reply();
-        self.finish();
+        self.send_replies();
+        self.enforce_message_time();
         read
     }
 
     /// Nothing came and nothing was to be done. False if there is something to do after all, now.
-    fn rest(&mut self) -> Result<bool, Failure> {
-        match self.shared.rest(self.slot, self.is_idle(), self.progress) {
-            Rest::Until(looks) => self.looks = looks.min(self.stalls_at()),
-            Rest::Leave(reason) if self.draining.is_none() && self.last.is_none() => {
+    fn prepare_to_wait(&mut self) -> Result<bool, Failure> {
+        match self.shared.update_idle(self.slot, self.is_idle(), self.last_progress) {
+            IdleAction::CheckAt(next_check) => self.next_check = next_check.min(self.stalls_at()),
+            IdleAction::Leave(reason) if self.draining.is_none() && self.closing.is_none() => {
                 // Whatever has come in by now is still read.
                 self.draining = Some(reason);
                 self.pump()?;
                 return Ok(false);
             }
-            Rest::Leave(_) => self.looks = self.stalls_at(),
+            IdleAction::Leave(_) => self.next_check = self.stalls_at(),
         }
         // Queued since the last move; what can't go at once is waited for.
         Ok(self.link.flushed() || !self.pump()?)
     }
 
     /// One that sends at full speed takes turns with the others.
-    fn give_turn(&self, busy: u32) {
-        self.shared.clock.take_turns(busy, self.link.is_short());
+    fn yield_turn(&self, busy: u32) {
+        self.shared.clock.yield_if_busy(busy, self.link.is_short());
         may::coroutine::yield_now();
     }
 
@@ -230,52 +236,55 @@
     fn pump(&mut self) -> Result<bool, Failure> {
         let before = self.link.inbound.len();
         let moved = self.link.pump();
-        self.arrival_times.received(self.link.inbound.len() - before, self.shared.clock.came_in());
+        self.arrival_times.received(self.link.inbound.len() - before, self.shared.clock.arrival_time());
         if matches!(moved, Ok(true)) {
-            self.progress = self.shared.clock.now();
+            self.last_progress = self.shared.clock.now();
         }
         moved
     }
 
     /// More of what it sends is taken: not while it leaves much unread.
-    fn reads(&self) -> bool {
-        self.last.is_none() && self.link.unsent() + self.pipeline.answer_bytes() < pg::LONGEST
+    fn accepts_more(&self) -> bool {
+        self.closing.is_none() && self.link.unsent() + self.pipeline.answer_bytes() < pg::LONGEST
     }
 
     /// It has ended its sending. Where there is no room to read its end, the machine is asked for it.
-    fn gone(&self) -> bool {
+    fn client_gone(&self) -> bool {
         let unread = self.draining.is_some() || self.link.inbound.len() >= MAX_INBOUND;
         self.link.ended || unread && self.link.has_left()
     }
 
     /// Sets out for another process, if it is between txns.
-    fn leave(&mut self) -> bool {
+    fn try_transfer(&mut self) -> bool {
         let between =
-            self.pipeline.is_empty() && self.link.flushed() && self.last.is_none() && !self.link.ended;
+            self.pipeline.is_empty() && self.link.flushed() && self.closing.is_none() && !self.link.ended;
         let Some(descriptor) = Some(between).filter(|b| *b).and_then(|_| self.link.descriptor().ok()) else {
             return false;
         };
-        let moves = self.shared.transfer_to.lock().unwrap_or_else(PoisonError::into_inner);
-        let Some(mover) = moves.as_ref() else { return false };
-        let state = Arc::new(AtomicU8::new(UNDER_WAY));
+        let transfer_to = self.shared.transfer_to.lock().unwrap_or_else(PoisonError::into_inner);
+        let Some(transfers) = transfer_to.as_ref() else { return false };
+        let state = Arc::new(AtomicU8::new(TRANSFER_PENDING));
         let result = TransferResult { state: state.clone(), bell: self.link.bell() };
         let unread = self.link.inbound.iter().copied().collect();
         let (number, open, skipping) = (self.slot, self.open, self.skipping);
-        if mover.send(ClientTransfer { number, descriptor, unread, open, skipping, result }).is_err() {
+        if transfers.send(ClientTransfer { number, descriptor, unread, open, skipping, result }).is_err() {
             return false;
         }
-        self.under_way = Some(state);
+        self.transfer = Some(state);
         true
     }
 
     /// Waits, until the next of its times at the longest. One alarm is out at a time: most txns end long
     /// before theirs.
-    fn wait(&mut self) {
+    fn wait_for_event(&mut self) {
         let answer_due = self.pipeline.next_due(self.shared.grace);
-        let next = [answer_due, self.due, self.lingers].into_iter().flatten().fold(self.looks, Duration::min);
-        let rung = self.rings > self.shared.clock.now() && self.rings <= next;
+        let next = [answer_due, self.message_due, self.linger_until]
+            .into_iter()
+            .flatten()
+            .fold(self.next_check, Duration::min);
+        let rung = self.timer_set_for > self.shared.clock.now() && self.timer_set_for <= next;
         if next < Duration::MAX && !rung {
-            self.rings = next;
+            self.timer_set_for = next;
             let bell = self.link.bell();
             self.shared.clock.run_at(next, move || bell.ring());
         }
@@ -284,105 +293,105 @@
 
     /// Sees to it that what a client has begun gets to its end: a place is not kept by saying nothing, nor by
     /// a message without an end.
-    fn finish(&mut self) {
-        let waits = self.reads() && (!self.open || !self.link.inbound.is_empty());
+    fn enforce_message_time(&mut self) {
+        let waits = self.accepts_more() && (!self.open || !self.link.inbound.is_empty());
         if !waits {
-            self.due = None;
+            self.message_due = None;
             return;
         }
         let now = self.shared.clock.now();
-        if now >= *self.due.get_or_insert(now + MAX_MESSAGE_TIME) {
+        if now >= *self.message_due.get_or_insert(now + MAX_MESSAGE_TIME) {
             self.shared.counters.clients_unfinished.add();
             let mut out = Vec::new();
             pg::error(&mut out, true, pg::PROTOCOL_VIOLATION, "expected a whole message by now", None);
             self.pipeline.push_answer(out);
-            self.reply();
-            self.last = Some(CloseReason::ProtocolViolation);
+            self.send_replies();
+            self.closing = Some(CloseReason::ProtocolViolation);
         }
     }
 
     /// The last guard of an answer in time, should the desk or a member's actor be late. What waits for a write
     /// before it never ran.
-    fn guard(&mut self) {
+    fn answer_overdue(&mut self) {
         let now = self.shared.clock.now();
         while let Some(overdue) = self.pipeline.overdue(now, self.shared.grace) {
             match overdue {
-                Overdue::Started(ticket) => {
-                    self.shared.request_log.request(ticket, RequestEvent::Overdue);
+                Overdue::Started(request_id) => {
+                    self.shared.request_log.request(request_id, RequestEvent::Overdue);
                     self.shared.counters.guard_acts.add();
-                    let _ = self.shared.dispatcher.send(DispatcherMessage::Left(ticket));
-                    self.answer(ticket, Answer::Unknown("out of time; it may have run"));
+                    let _ = self.shared.dispatcher.send(DispatcherMessage::ClientLeft(request_id));
+                    self.answer(request_id, Answer::Unknown("out of time; it may have run"));
                 }
-                Overdue::Waiting(ticket) => self.answer(ticket, Answer::Declined(None)),
+                Overdue::Waiting(request_id) => self.answer(request_id, Answer::Declined(None)),
             }
         }
     }
 
     /// Hands to the desk what may begin by now.
-    fn begin(&mut self) {
+    fn start_requests(&mut self) {
         while let Some(Start { payload: mut arrival, write_answered }) = self.pipeline.start() {
             if let Some(answered) = write_answered {
                 let ago = self.shared.clock.now().saturating_sub(answered).max(MIN_WRITE_AGE);
-                let told = arrival.wrote_ago.filter(|told| !told.is_zero());
-                arrival.wrote_ago = Some(told.map_or(ago, |told| told.min(ago)));
+                let reported = arrival.wrote_ago.filter(|reported| !reported.is_zero());
+                arrival.wrote_ago = Some(reported.map_or(ago, |reported| reported.min(ago)));
             }
-            self.shared.request_log.request(arrival.ticket, RequestEvent::Started);
-            let _ = self.shared.dispatcher.send(DispatcherMessage::Arrived(arrival));
+            self.shared.request_log.request(arrival.request_id, RequestEvent::Started);
+            let _ = self.shared.dispatcher.send(DispatcherMessage::RequestArrived(arrival));
         }
     }
 
     /// Sends the answers whose turn it is.
-    fn reply(&mut self) {
+    fn send_replies(&mut self) {
         while self.link.unsent() < pg::LONGEST
             && let Some(reply) = self.pipeline.next_reply()
         {
             match reply {
-                Reply::Answer(answer) => self.say(&answer),
+                Reply::Answer(answer) => self.queue_bytes(&answer),
                 Reply::Refused => {
                     self.shared.counters.declined.add();
                     let mut out = Vec::new();
                     pg::error(&mut out, false, pg::TOO_MANY, TOO_MANY_AT_ONCE, None);
                     pg::ready(&mut out);
-                    self.say(&out);
+                    self.queue_bytes(&out);
                 }
             }
         }
     }
 
     /// Notes the answer of a txn, unless it has one already.
-    fn answer(&mut self, ticket: u64, answer: Answer) {
+    fn answer(&mut self, request_id: u64, answer: Answer) {
         let name = answer.name();
         let (count, out) = encode(&self.shared.counters, answer);
-        if self.pipeline.answer(self.shared.clock.now(), ticket, out) {
-            if !self.guards.remove(&ticket).is_none_or(|guard| guard.answer()) {
+        if self.pipeline.answer(self.shared.clock.now(), request_id, out) {
+            if !self.guards.remove(&request_id).is_none_or(|guard| guard.answer()) {
                 self.shared.counters.invariants.count(Violation::AnsweredTwice);
             }
-            self.shared.request_log.request(ticket, RequestEvent::Answered { answer: name });
+            self.shared.request_log.request(request_id, RequestEvent::Answered { answer: name });
             count.add();
         }
     }
 
-    fn say(&mut self, bytes: &[u8]) {
-        self.answered = self.shared.clock.now();
+    fn queue_bytes(&mut self, bytes: &[u8]) {
+        self.last_answer = self.shared.clock.now();
         // Bounded by what is taken: nothing more is while much is unsent.
         let _ = self.link.queue(bytes);
     }
 
     /// Takes one message, if a whole one is there.
-    fn next(&mut self) -> bool {
+    fn next_message(&mut self) -> bool {
         let mut out = Vec::new();
-        let taken = if self.open { self.message(&mut out) } else { self.opening(&mut out) };
+        let taken = if self.open { self.read_message(&mut out) } else { self.read_startup(&mut out) };
         let went_on = match taken {
             Ok(length) => {
                 self.link.inbound.drain(..length);
                 self.arrival_times.consume(length);
-                self.due = self.due.filter(|_| length == 0);
+                self.message_due = self.message_due.filter(|_| length == 0);
                 length > 0
             }
             Err(why) => {
                 self.shared.counters.bad_messages.add();
                 pg::error(&mut out, true, pg::PROTOCOL_VIOLATION, &why, None);
-                self.last = Some(CloseReason::ProtocolViolation);
+                self.closing = Some(CloseReason::ProtocolViolation);
                 true
             }
         };
@@ -392,7 +401,7 @@
         went_on
     }
 
-    fn opening(&mut self, out: &mut Vec<u8>) -> Result<usize, String> {
+    fn read_startup(&mut self, out: &mut Vec<u8>) -> Result<usize, String> {
         Ok(match pg::opening(self.link.inbound.make_contiguous())? {
             None => 0,
             Some((pg::Opening::Encryption, length)) => {
@@ -400,7 +409,7 @@
                 length
             }
             Some((pg::Opening::Cancel, length)) => {
-                self.last = Some(CloseReason::Terminated);
+                self.closing = Some(CloseReason::Terminated);
                 length
             }
             Some((pg::Opening::Startup, length)) => {
@@ -414,7 +423,7 @@
         })
     }
 
-    fn message(&mut self, out: &mut Vec<u8>) -> Result<usize, String> {
+    fn read_message(&mut self, out: &mut Vec<u8>) -> Result<usize, String> {
         let Some((kind, body, length)) = pg::message(self.link.inbound.make_contiguous(), pg::LONGEST)?
         else {
             return Ok(0);
@@ -422,13 +431,15 @@
         match kind {
             b'Q' => {
                 let text: Arc<str> = pg::statement(body)?.into();
-                let at =
-                    self.arrival_times.arrival_of_next(length).unwrap_or_else(|| self.shared.clock.came_in());
+                let at = self
+                    .arrival_times
+                    .arrival_of_next(length)
+                    .unwrap_or_else(|| self.shared.clock.arrival_time());
                 self.skipping = false;
                 let alone = self.link.inbound.len() == length;
                 self.statement(text, at, alone, out);
             }
-            b'X' => self.last = Some(CloseReason::Terminated),
+            b'X' => self.closing = Some(CloseReason::Terminated),
             b'S' => {
                 self.skipping = false;
                 pg::ready(out);
@@ -457,15 +468,15 @@
                 let fatal = alone && self.pipeline.is_empty();
                 pg::error(out, fatal, refusal.code, refusal.text, None);
                 if fatal {
-                    self.last = self.last.or(self.draining);
+                    self.closing = self.closing.or(self.draining);
                     return;
                 }
             }
             pg::Verb::Txn => match self.arrival(text, at) {
                 Ok(arrival) => {
                     // It may have left right behind it, long ago if this front had no turn: then none begins.
-                    self.link.ended |= self.pump().is_err() || self.gone();
-                    self.push(arrival);
+                    self.link.ended |= self.pump().is_err() || self.client_gone();
+                    self.accept_request(arrival);
                     return;
                 }
                 Err(why) => {
@@ -478,22 +489,22 @@
     }
 
     /// Takes a txn in hand, to begin as soon as it may.
-    fn push(&mut self, arrival: Arrival) {
-        self.fresh = false;
-        self.shared.busy(self.slot);
+    fn accept_request(&mut self, arrival: Arrival) {
+        self.no_txn_yet = false;
+        self.shared.mark_busy(self.slot);
         self.shared.counters.txns.add();
         let request = Request {
-            id: arrival.ticket,
+            id: arrival.request_id,
             deadline: arrival.expiry,
             session: arrival.session,
-            writes: self.shared.writes.get(arrival.kind).copied().unwrap_or(true),
+            writes: self.shared.writes.get(arrival.txn_type).copied().unwrap_or(true),
             bytes: arrival.statement.len() + REQUEST_OVERHEAD,
         };
-        self.shared.request_log.of_client(self.slot, request.id);
+        self.shared.request_log.client_request(self.slot, request.id);
         // One that is over the limits is refused in its turn.
-        let (ticket, guard) = (request.id, arrival.guard.clone());
+        let (request_id, guard) = (request.id, arrival.guard.clone());
         if self.pipeline.push(request, Box::new(arrival)).is_ok() {
-            self.guards.insert(ticket, guard);
+            self.guards.insert(request_id, guard);
         } else {
             self.shared.request_log.request(request.id, RequestEvent::OverLimits);
         }
@@ -514,7 +525,7 @@
         };
         need("id")?;
         let class = need("c")?;
-        let kind = self
+        let txn_type = self
             .shared
             .txn_types
             .known(class)
@@ -522,7 +533,7 @@
         let left = need("d")?;
         // No client waits for longer than an hour.
         let ms = number("d", left)?.min(3_600_000);
-        let cell = number("cluster", need("cluster")?)?;
+        let group = number("cluster", need("cluster")?)?;
         let clock = &self.shared.clock;
         let unix = clock.origin().start / 1000 + clock.now().as_millis() as i64;
         let wrote_ago = match field("after") {
@@ -537,21 +548,21 @@
             key.hash(&mut hasher);
             hasher.finish()
         });
-        let ticket = self.shared.next_request_id.fetch_add(1, Ordering::Relaxed);
+        let request_id = self.shared.next_request_id.fetch_add(1, Ordering::Relaxed);
         let (retried, expiry) = (field("r") == Some("1"), at + Duration::from_millis(ms));
         let waits = expiry.saturating_sub(self.shared.clock.now());
         let received =
-            RequestEvent::Received { id: field("id").unwrap_or_default(), class: kind, left: waits };
-        self.shared.request_log.request(ticket, received);
+            RequestEvent::Received { id: field("id").unwrap_or_default(), class: txn_type, left: waits };
+        self.shared.request_log.request(request_id, received);
         let (left, client) = (pg::place(&statement, left), self.mailbox.clone());
         let watch = self.link.peer_watch();
         let invariants = self.shared.counters.invariants.clone();
         let guard = RequestGuard::new(expiry, Box::new(Presence(watch)), invariants);
         Ok(Arrival {
-            ticket,
+            request_id,
             at,
-            kind,
-            cell,
+            txn_type,
+            group,
             expiry,
             retried,
             session,
@@ -565,7 +576,7 @@
 }
 
 /// An answer as it goes to a client, and the counter that it belongs to.
-fn encode(counters: &Counters, answer: Answer) -> (&Count, Vec<u8>) {
+fn encode(counters: &Counters, answer: Answer) -> (&Counter, Vec<u8>) {
     let mut out = Vec::new();
     let count = match answer {
         Answer::Committed(row) => {
--- a/crates/front/src/client/drain.rs
+++ b/crates/front/src/client/drain.rs
@@ -2,7 +2,7 @@
 //! and no answer is cut off.
 
 use super::{Client, MAX_INBOUND};
-use crate::clients::MIN_REST;
+use crate::clients::MIN_IDLE;
 use crate::messages::{Answer, DispatcherMessage};
 use crate::request_log::{CloseReason, RequestEvent};
 use juniperdock_connection::Failure;
@@ -13,7 +13,7 @@
 
 /// How long a connection is read on after its last answer; shorter where its descriptor is needed.
 const LINGER: Duration = Duration::from_secs(1);
-const SHORT_LINGER: Duration = MIN_REST;
+const SHORT_LINGER: Duration = MIN_IDLE;
 
 /// A client that has taken no byte of its answer for so long does not read.
 const MAX_STALL: Duration = Duration::from_secs(3);
@@ -33,15 +33,18 @@
 impl Client {
     /// Begins to drain as the process ends, and limits what is read while it drains.
     pub(super) fn drain(&mut self) {
-        let last_call = self.shared.answer_all_now.load(Ordering::Relaxed);
-        if self.draining.is_none() && self.last.is_none() && self.shared.shuts_down(self.slot, self.fresh) {
+        let answer_all_now = self.shared.answer_all_now.load(Ordering::Relaxed);
+        if self.draining.is_none()
+            && self.closing.is_none()
+            && self.shared.should_drain(self.slot, self.no_txn_yet)
+        {
             self.draining = Some(CloseReason::ShuttingDown);
-            if !last_call {
+            if !answer_all_now {
                 // Whatever has come in by now is still read.
                 return;
             }
         }
-        if self.draining.is_some() && last_call {
+        if self.draining.is_some() && answer_all_now {
             self.answer_all();
         }
         let limit = if self.draining.is_some() { self.drain_limit() } else { MAX_INBOUND };
@@ -52,7 +55,7 @@
     /// that has begun still lacks. The rest is unread when the connection ends, and its client sends it elsewhere.
     fn drain_limit(&mut self) -> usize {
         let inbound = &mut self.link.inbound;
-        if self.last.is_some() || self.pipeline.requests() > 0 {
+        if self.closing.is_some() || self.pipeline.requests() > 0 {
             MAX_INBOUND
         } else if inbound.is_empty() {
             0
@@ -79,19 +82,19 @@
 
     /// Ends the connection once nothing is owed on it any more; gives why, when it is over. `active`: bytes moved or
     /// messages were taken just now.
-    pub(super) fn settle(&mut self, active: bool) -> Result<Option<CloseReason>, Failure> {
+    pub(super) fn close_if_settled(&mut self, active: bool) -> Result<Option<CloseReason>, Failure> {
         if self.draining.is_some() {
             // What is queued goes out before anything else is read.
             self.link.flush()?;
         }
-        let debt = self.debt();
-        if debt.is_none() {
-            self.last = self.last.or(self.draining);
-        } else if !active && debt.unanswered == 0 && debt.unsent == 0 && self.makes_room() {
+        let outstanding = self.outstanding();
+        if outstanding.is_none() {
+            self.closing = self.closing.or(self.draining);
+        } else if !active && outstanding.unanswered == 0 && outstanding.unsent == 0 && self.makes_room() {
             self.refuse_half_read();
         }
         let done = self.pipeline.is_empty() && self.link.flushed();
-        let ended = self.last.filter(|_| done && (self.is_quiet() || self.linger()));
+        let ended = self.closing.filter(|_| done && (self.can_close_at_once() || self.linger()));
         if ended.is_none() && self.draining.is_some() && self.does_not_read() {
             return Ok(Some(CloseReason::NotReading));
         }
@@ -100,16 +103,16 @@
 
     /// It ends because other clients need its place.
     fn makes_room(&self) -> bool {
-        matches!(self.draining, Some(CloseReason::MadeRoom | CloseReason::Idle)) && self.last.is_none()
+        matches!(self.draining, Some(CloseReason::MadeRoom | CloseReason::Idle)) && self.closing.is_none()
     }
 
     /// It was idle for so long that its last answer was read: its place is free at once. What comes in just now is
     /// unread, and its client sends it again.
-    fn is_quiet(&self) -> bool {
-        let rested = self.answered + MIN_REST <= self.shared.clock.now();
-        matches!(self.last, Some(CloseReason::MadeRoom | CloseReason::Idle))
+    fn can_close_at_once(&self) -> bool {
+        let rested = self.last_answer + MIN_IDLE <= self.shared.clock.now();
+        matches!(self.closing, Some(CloseReason::MadeRoom | CloseReason::Idle))
             && rested
-            && self.lingers.is_none()
+            && self.linger_until.is_none()
     }
 
     /// Nothing is in hand for it, and it has what it was owed, or takes none of it.
@@ -118,25 +121,25 @@
     }
 
     fn does_not_read(&self) -> bool {
-        !self.link.flushed() && self.progress + MAX_STALL <= self.shared.clock.now()
+        !self.link.flushed() && self.last_progress + MAX_STALL <= self.shared.clock.now()
     }
 
     /// When it has taken none of its answer for too long, unless it does by then.
     pub(super) fn stalls_at(&self) -> Duration {
-        let at = self.progress + MAX_STALL;
+        let at = self.last_progress + MAX_STALL;
         if self.link.flushed() || at <= self.shared.clock.now() { Duration::MAX } else { at }
     }
 
     /// The process is about to exit: what is unanswered gets its final answer now.
     fn answer_all(&mut self) {
-        for ticket in self.pipeline.started().collect::<Vec<_>>() {
-            let _ = self.shared.dispatcher.send(DispatcherMessage::Left(ticket));
-            self.answer(ticket, Answer::Unknown("this process ends; it may have run"));
+        for request_id in self.pipeline.started().collect::<Vec<_>>() {
+            let _ = self.shared.dispatcher.send(DispatcherMessage::ClientLeft(request_id));
+            self.answer(request_id, Answer::Unknown("this process ends; it may have run"));
         }
-        for ticket in self.pipeline.waiting().collect::<Vec<_>>() {
-            self.answer(ticket, Answer::Declined(None));
+        for request_id in self.pipeline.waiting().collect::<Vec<_>>() {
+            self.answer(request_id, Answer::Declined(None));
         }
-        if self.last.is_none() && !self.link.inbound.is_empty() {
+        if self.closing.is_none() && !self.link.inbound.is_empty() {
             self.refuse_half_read();
         }
     }
@@ -146,29 +149,29 @@
         let mut out = Vec::new();
         pg::error(&mut out, true, CONNECTION_ENDS.code, CONNECTION_ENDS.text, None);
         self.pipeline.push_answer(out);
-        self.reply();
+        self.send_replies();
         self.link.inbound.clear();
-        self.last = self.draining;
+        self.closing = self.draining;
     }
 
     /// Ends the sending, then reads on for a while: to close over bytes that came in unread would reset the connection and
     /// could take the last answer from the client. True once it may close.
     fn linger(&mut self) -> bool {
         let now = self.shared.clock.now();
-        if self.lingers.is_none() {
+        if self.linger_until.is_none() {
             self.link.close();
-            self.shared.ends(self.slot);
+            self.shared.mark_closing(self.slot);
         }
-        let makes_room = matches!(self.last, Some(CloseReason::MadeRoom | CloseReason::Idle));
+        let makes_room = matches!(self.closing, Some(CloseReason::MadeRoom | CloseReason::Idle));
         let span = if makes_room { SHORT_LINGER } else { LINGER };
-        let until = *self.lingers.get_or_insert(now + span);
+        let until = *self.linger_until.get_or_insert(now + span);
         self.link.inbound.clear();
         now >= until || self.link.ended
     }
 
     /// What is owed to the client now.
-    fn debt(&self) -> Outstanding {
-        let half_read = if self.last.is_some() { 0 } else { self.link.inbound.len() };
+    fn outstanding(&self) -> Outstanding {
+        let half_read = if self.closing.is_some() { 0 } else { self.link.inbound.len() };
         Outstanding {
             unanswered: self.pipeline.requests(),
             unsent: self.link.unsent() + self.pipeline.answer_bytes(),
@@ -177,17 +180,17 @@
     }
 
     /// The end of the connection, whoever ends it: nothing more is done for what it still holds.
-    pub(super) fn end(&mut self, reason: CloseReason) {
-        let debt = self.debt();
-        self.shared.request_log.client_closed(self.slot, reason, debt);
-        debt.record_violations(ended_by(reason), &self.shared.counters.invariants);
-        (0..debt.unanswered).for_each(|_| self.shared.counters.left.add());
+    pub(super) fn close(&mut self, reason: CloseReason) {
+        let outstanding = self.outstanding();
+        self.shared.request_log.client_closed(self.slot, reason, outstanding);
+        outstanding.record_violations(ended_by(reason), &self.shared.counters.invariants);
+        (0..outstanding.unanswered).for_each(|_| self.shared.counters.left.add());
         for guard in self.guards.values() {
             guard.abandon();
         }
-        for ticket in self.pipeline.started() {
-            self.shared.request_log.request(ticket, RequestEvent::Abandoned);
-            let _ = self.shared.dispatcher.send(DispatcherMessage::Left(ticket));
+        for request_id in self.pipeline.started() {
+            self.shared.request_log.request(request_id, RequestEvent::Abandoned);
+            let _ = self.shared.dispatcher.send(DispatcherMessage::ClientLeft(request_id));
         }
     }
 }
--- a/crates/front/src/clients.rs
+++ b/crates/front/src/clients.rs
@@ -15,11 +15,11 @@
 use std::time::Duration;
 
 /// How long the door stays shut when a client can't be taken in.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(2);
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(2);
 /// A client between txns for less than this is not asked to leave, nor one that came less long ago.
-pub(crate) const MIN_REST: Duration = Duration::from_millis(250);
+pub(crate) const MIN_IDLE: Duration = Duration::from_millis(250);
 /// A connection without a txn may be closed after this.
-const LONG_REST: Duration = Duration::from_secs(2);
+const LONG_IDLE: Duration = Duration::from_secs(2);
 
 /// What all clients' actors share.
 pub struct SharedClients {
@@ -80,18 +80,18 @@
 }
 
 /// Which clients between txns move to another process: none, those that have rested, all.
-const STAY: u8 = 0;
-const RESTED: u8 = 1;
-const ALL: u8 = 2;
+const TRANSFER_NONE: u8 = 0;
+const TRANSFER_IDLE: u8 = 1;
+const TRANSFER_ALL: u8 = 2;
 
-pub(crate) const UNDER_WAY: u8 = 0;
-const KEPT: u8 = 1;
-pub(crate) const TAKEN: u8 = 2;
+pub(crate) const TRANSFER_PENDING: u8 = 0;
+const TRANSFER_REFUSED: u8 = 1;
+pub(crate) const TRANSFER_ACCEPTED: u8 = 2;
 
 impl TransferResult {
     /// It is the other process's, or it is served here again.
     pub fn complete(&self, taken: bool) {
-        self.state.store(if taken { TAKEN } else { KEPT }, Ordering::Release);
+        self.state.store(if taken { TRANSFER_ACCEPTED } else { TRANSFER_REFUSED }, Ordering::Release);
         self.bell.ring();
     }
 }
@@ -111,12 +111,12 @@
     pub(crate) open: bool,
     asked_to_leave: bool,
     /// Its sending has ended.
-    ends: bool,
+    closing: bool,
 }
 
 impl ClientSlot {
-    fn rested(&self, now: Duration) -> bool {
-        self.idle_since.is_some_and(|since| since + MIN_REST <= now)
+    fn idle_for_min(&self, now: Duration) -> bool {
+        self.idle_since.is_some_and(|since| since + MIN_IDLE <= now)
     }
 }
 
@@ -128,8 +128,8 @@
             let rested = |since| since + least <= now;
             !slot.asked_to_leave && slot.idle_since.is_some_and(rested)
         };
-        let leaves = self.taken.values_mut().filter(idle).min_by_key(|slot| (slot.open, slot.idle_since));
-        if let Some(slot) = leaves {
+        let closes = self.taken.values_mut().filter(idle).min_by_key(|slot| (slot.open, slot.idle_since));
+        if let Some(slot) = closes {
             slot.asked_to_leave = true;
             slot.bell.ring();
             return true;
@@ -139,9 +139,9 @@
 }
 
 /// What a client that has nothing to do is told.
-pub(crate) enum Rest {
+pub(crate) enum IdleAction {
     /// To look again then, if nothing comes before.
-    Until(Duration),
+    CheckAt(Duration),
     /// To end its connection, for this reason.
     Leave(CloseReason),
 }
@@ -157,51 +157,51 @@
     }
 
     /// From now on clients that have rested between txns are sent there.
-    pub fn start_transfer(&self, mover: std::sync::mpsc::Sender<ClientTransfer>) {
-        *self.transfer_to.lock().unwrap_or_else(PoisonError::into_inner) = Some(mover);
-        self.transfer_mode.store(RESTED, Ordering::Release);
+    pub fn start_transfer(&self, transfers: std::sync::mpsc::Sender<ClientTransfer>) {
+        *self.transfer_to.lock().unwrap_or_else(PoisonError::into_inner) = Some(transfers);
+        self.transfer_mode.store(TRANSFER_IDLE, Ordering::Release);
         let now = self.clock.now();
-        self.slots().taken.values().filter(|slot| slot.rested(now)).for_each(|slot| slot.bell.ring());
+        self.slots().taken.values().filter(|slot| slot.idle_for_min(now)).for_each(|slot| slot.bell.ring());
     }
 
     /// From now on all clients between txns are.
     pub fn transfer_all(&self) {
-        self.transfer_mode.store(ALL, Ordering::Release);
+        self.transfer_mode.store(TRANSFER_ALL, Ordering::Release);
         self.slots().taken.values().for_each(|slot| slot.bell.ring());
     }
 
     /// Whether this client is to set out.
-    pub(crate) fn moves(&self, id: u64) -> bool {
+    pub(crate) fn should_transfer(&self, id: u64) -> bool {
         match self.transfer_mode.load(Ordering::Acquire) {
-            RESTED => {
+            TRANSFER_IDLE => {
                 let now = self.clock.now();
-                self.slots().taken.get(&id).is_some_and(|slot| slot.rested(now))
+                self.slots().taken.get(&id).is_some_and(|slot| slot.idle_for_min(now))
             }
-            moving => moving == ALL,
+            moving => moving == TRANSFER_ALL,
         }
     }
 
     /// Tells the actor that speaks with the other fronts, where there is one; from any thread.
-    pub fn send_to_membership(&self, mail: MembershipMessage) {
-        if let Some(fellows) = self.membership.clone() {
-            self.clock.run_at(Duration::ZERO, move || fellows.send(mail));
+    pub fn send_to_membership(&self, message: MembershipMessage) {
+        if let Some(membership) = self.membership.clone() {
+            self.clock.run_at(Duration::ZERO, move || membership.send(message));
         }
     }
 
     /// Clients stay.
     pub fn stop_transfer(&self) {
-        self.transfer_mode.store(STAY, Ordering::Release);
+        self.transfer_mode.store(TRANSFER_NONE, Ordering::Release);
         *self.transfer_to.lock().unwrap_or_else(PoisonError::into_inner) = None;
     }
 
     /// Whether a client's connection is to end. A fresh one has a while for its first request.
-    pub(crate) fn shuts_down(&self, id: u64, fresh: bool) -> bool {
+    pub(crate) fn should_drain(&self, id: u64, fresh: bool) -> bool {
         if !self.closing.load(Ordering::Relaxed) {
             return false;
         }
         let now = self.clock.now();
         let since = self.slots().taken.get(&id).and_then(|slot| slot.idle_since);
-        !(fresh && since.is_some_and(|since| now < since + MIN_REST))
+        !(fresh && since.is_some_and(|since| now < since + MIN_IDLE))
     }
 
     /// Has all that is unanswered answered, as the process is about to exit.
@@ -226,56 +226,56 @@
 
     /// ClientSlots a client. Where all slots are taken, the client longest between txns is asked to leave; where
     /// none is between txns, the new one gets none of its own: `false`.
-    pub(crate) fn take_slot(&self, bell: Bell) -> (u64, bool) {
+    pub(crate) fn allocate_slot(&self, bell: Bell) -> (u64, bool) {
         let now = self.clock.now();
         let mut slots = self.slots();
-        let found = slots.taken.len() < self.max_clients || slots.ask_to_leave(now, MIN_REST);
+        let found = slots.taken.len() < self.max_clients || slots.ask_to_leave(now, MIN_IDLE);
         slots.next += 1;
         let id = slots.next;
         slots.taken.insert(
             id,
-            ClientSlot { bell, idle_since: Some(now), open: false, asked_to_leave: false, ends: false },
+            ClientSlot { bell, idle_since: Some(now), open: false, asked_to_leave: false, closing: false },
         );
         (id, found)
     }
 
     /// Notes whether a client is idle: nothing is in hand for it. It rests from when bytes moved last, at the earliest.
-    pub(crate) fn rest(&self, id: u64, idle: bool, progress: Duration) -> Rest {
+    pub(crate) fn update_idle(&self, id: u64, idle: bool, progress: Duration) -> IdleAction {
         let now = self.clock.now();
         let mut slots = self.slots();
         let present = slots.taken.len();
-        let Some(slot) = slots.taken.get_mut(&id) else { return Rest::Until(Duration::MAX) };
+        let Some(slot) = slots.taken.get_mut(&id) else { return IdleAction::CheckAt(Duration::MAX) };
         let since = slot.idle_since.unwrap_or(now).max(progress);
         // One that ends already stays as it is.
-        slot.idle_since = if slot.ends { slot.idle_since } else { idle.then_some(since) };
+        slot.idle_since = if slot.closing { slot.idle_since } else { idle.then_some(since) };
         if slot.asked_to_leave {
-            return Rest::Leave(CloseReason::MadeRoom);
+            return IdleAction::Leave(CloseReason::MadeRoom);
         }
-        let leaves = present > self.close_idle_above && since + MIN_REST <= now
-            || present > self.close_long_idle_above && since + LONG_REST <= now;
-        if idle && leaves {
-            return Rest::Leave(CloseReason::Idle);
+        let closes = present > self.close_idle_above && since + MIN_IDLE <= now
+            || present > self.close_long_idle_above && since + LONG_IDLE <= now;
+        if idle && closes {
+            return IdleAction::Leave(CloseReason::Idle);
         }
-        let next = [since + MIN_REST, since + LONG_REST].into_iter().find(|&at| at > now);
-        Rest::Until(if idle { next.unwrap_or(now + LONG_REST) } else { Duration::MAX })
+        let next = [since + MIN_IDLE, since + LONG_IDLE].into_iter().find(|&at| at > now);
+        IdleAction::CheckAt(if idle { next.unwrap_or(now + LONG_IDLE) } else { Duration::MAX })
     }
 
     /// Notes that a client has something in hand again: nobody asks it to leave from here on.
-    pub(crate) fn busy(&self, id: u64) {
+    pub(crate) fn mark_busy(&self, id: u64) {
         if let Some(slot) = self.slots().taken.get_mut(&id) {
             slot.idle_since = None;
         }
     }
 
     /// Notes that a client's connection ends: it is the first to go where there is no room.
-    pub(crate) fn ends(&self, id: u64) {
+    pub(crate) fn mark_closing(&self, id: u64) {
         if let Some(slot) = self.slots().taken.get_mut(&id) {
-            (slot.idle_since, slot.ends) = (Some(Duration::ZERO), true);
+            (slot.idle_since, slot.closing) = (Some(Duration::ZERO), true);
         }
     }
 
     /// Comes back a little later.
-    pub(crate) fn pause(&self) {
-        self.clock.pause(ACCEPT_PAUSE);
+    pub(crate) fn pause_accepting(&self) {
+        self.clock.pause(ACCEPT_RETRY_PAUSE);
     }
 }
--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -16,51 +16,51 @@
 use std::time::{Duration, Instant, SystemTime};
 
 /// Alarms ring at most this much late for being sorted.
-const TICK: Duration = Duration::from_micros(250);
+const TIMER_TICK: Duration = Duration::from_micros(250);
 /// Both clocks are read within this span at the start, or so often.
-const MAX_BETWEEN_READS: Duration = Duration::from_millis(1);
+const MAX_READ_SPAN: Duration = Duration::from_millis(1);
 const MAX_READS: u32 = 5;
 /// The worker is known to run at least this often.
-pub const PULSE: Duration = Duration::from_millis(20);
+pub const WATCHDOG_PERIOD: Duration = Duration::from_millis(20);
 
 /// When the worker last ran, and its latest standstill: its start, and how many beats its end lasts. Times in
 /// microseconds.
 #[derive(Default)]
-struct Runs {
-    last: AtomicU64,
-    stood_from: AtomicU64,
-    ending: AtomicU64,
-    beaten: AtomicU64,
+struct WorkerActivity {
+    last_run: AtomicU64,
+    stalled_from: AtomicU64,
+    recovery_ticks: AtomicU64,
+    last_tick: AtomicU64,
     /// How long the latest standstill was, until it is asked for.
-    untold: AtomicU64,
+    unreported_stall: AtomicU64,
 }
 
 /// After so many turns in which an actor has not waited it gives way to all others.
-const BUSY: u32 = 8;
+const YIELD_AFTER_TURNS: u32 = 8;
 
 /// How long an actor waits before it tries again what the machine was short for.
 pub const SHORTAGE_PAUSE: Duration = Duration::from_millis(2);
 
 /// What an alarm does, on the worker; it must not wait.
-type Ring = Box<dyn FnOnce() + Send>;
+type Callback = Box<dyn FnOnce() + Send>;
 
 /// An alarm that was set; it may be cancelled.
 pub struct TimerHandle(TimerKey);
 
 /// Alarms still to ring, and when the one that rings them looks next; only an earlier one sets the timer anew.
-struct Alarms {
-    wheel: TimerWheel<Ring>,
-    looks: Duration,
+struct Timers {
+    wheel: TimerWheel<Callback>,
+    next_check: Duration,
 }
 
-struct Bells {
-    alarms: Mutex<Alarms>,
+struct TimerQueue {
+    timers: Mutex<Timers>,
     timer: TimerSetter,
 }
 
-impl Bells {
-    fn alarms(&self) -> MutexGuard<'_, Alarms> {
-        self.alarms.lock().unwrap_or_else(PoisonError::into_inner)
+impl TimerQueue {
+    fn timers(&self) -> MutexGuard<'_, Timers> {
+        self.timers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -69,8 +69,8 @@
     begun: Instant,
     /// Unix time at the start, in microseconds, as far as is known.
     start_unix: Arc<AtomicI64>,
-    bells: Arc<Bells>,
-    runs: Arc<Runs>,
+    queue: Arc<TimerQueue>,
+    activity: Arc<WorkerActivity>,
     /// What servers say of the time.
     servers: Arc<Mutex<ServerClock>>,
 }
@@ -81,16 +81,16 @@
     ///
     /// # Errors
     /// Where there is no timer to be had.
-    pub fn start(patience: Duration) -> Result<(Clock, impl FnOnce() + Send), String> {
-        let timer = Timer::open(patience).map_err(|e| format!("a timer: {e}"))?;
-        let (begun, unix) = read_both();
+    pub fn start(max_wait: Duration) -> Result<(Clock, impl FnOnce() + Send), String> {
+        let timer = Timer::open(max_wait).map_err(|e| format!("a timer: {e}"))?;
+        let (begun, unix) = read_both_clocks();
         let start_unix = Arc::new(AtomicI64::new(unix.as_micros() as i64));
-        let alarms = Alarms { wheel: TimerWheel::new(TICK), looks: Duration::ZERO };
-        let bells = Arc::new(Bells { alarms: Mutex::new(alarms), timer: timer.setter() });
-        let (runs, servers) = (Arc::default(), Arc::default());
-        let clock = Clock { begun, start_unix, bells, runs, servers };
-        let its = clock.clone();
-        Ok((clock, move || ring(&its, &timer)))
+        let timers = Timers { wheel: TimerWheel::new(TIMER_TICK), next_check: Duration::ZERO };
+        let queue = Arc::new(TimerQueue { timers: Mutex::new(timers), timer: timer.setter() });
+        let (activity, servers) = (Arc::default(), Arc::default());
+        let clock = Clock { begun, start_unix, queue, activity, servers };
+        let its_clock = clock.clone();
+        Ok((clock, move || run_timers(&its_clock, &timer)))
     }
 
     /// Since the start, by the monotonic clock.
@@ -106,8 +106,8 @@
 
     /// Judges a position that a server told. Where it proves that this process is behind, the origin is moved: positions
     /// that were dated by the one before lie too late by so much, and whoever keeps some has to drop them.
-    pub fn judge(&self, told: PositionSample) -> Verdict {
-        let verdict = self.servers().judge(told);
+    pub fn judge(&self, sample: PositionSample) -> Verdict {
+        let verdict = self.servers().judge(sample);
         if let Verdict::Behind(by) = verdict {
             self.start_unix.fetch_add(by.as_micros() as i64, Ordering::Relaxed);
         }
@@ -124,146 +124,146 @@
     }
 
     /// Notes that the worker runs now.
-    pub fn pulse(&self) {
+    pub fn note_running(&self) {
         let now = self.now().as_micros() as u64;
-        let last = self.runs.last.swap(now, Ordering::Relaxed);
-        if last > 0 && now.saturating_sub(last) > 2 * PULSE.as_micros() as u64 {
-            self.runs.stood_from.store(last, Ordering::Relaxed);
-            self.runs.ending.store(2, Ordering::Relaxed);
-            self.runs.untold.store(now - last, Ordering::Relaxed);
+        let last = self.activity.last_run.swap(now, Ordering::Relaxed);
+        if last > 0 && now.saturating_sub(last) > 2 * WATCHDOG_PERIOD.as_micros() as u64 {
+            self.activity.stalled_from.store(last, Ordering::Relaxed);
+            self.activity.recovery_ticks.store(2, Ordering::Relaxed);
+            self.activity.unreported_stall.store(now - last, Ordering::Relaxed);
         }
     }
 
     /// A standstill that nobody has asked for yet.
-    pub fn take_standstill(&self) -> Option<Duration> {
-        let untold = self.runs.untold.swap(0, Ordering::Relaxed);
-        (untold > 0).then(|| Duration::from_micros(untold))
+    pub fn take_stall(&self) -> Option<Duration> {
+        let unreported_stall = self.activity.unreported_stall.swap(0, Ordering::Relaxed);
+        (unreported_stall > 0).then(|| Duration::from_micros(unreported_stall))
     }
 
     /// Notes a beat. After two of them, a while apart, all that had come in before has been read.
-    pub fn note_beat(&self) {
-        self.pulse();
+    pub fn note_tick(&self) {
+        self.note_running();
         let now = self.now().as_micros() as u64;
-        if now >= self.runs.beaten.load(Ordering::Relaxed) + PULSE.as_micros() as u64 / 2 {
-            self.runs.beaten.store(now, Ordering::Relaxed);
-            let ending = self.runs.ending.load(Ordering::Relaxed);
-            self.runs.ending.store(ending.saturating_sub(1), Ordering::Relaxed);
+        if now >= self.activity.last_tick.load(Ordering::Relaxed) + WATCHDOG_PERIOD.as_micros() as u64 / 2 {
+            self.activity.last_tick.store(now, Ordering::Relaxed);
+            let recovery_ticks = self.activity.recovery_ticks.load(Ordering::Relaxed);
+            self.activity.recovery_ticks.store(recovery_ticks.saturating_sub(1), Ordering::Relaxed);
         }
     }
 
     /// The earliest time at which bytes that are read now may have come in: right after a standstill of this
     /// front they may have waited since it began.
-    pub fn came_in(&self) -> Duration {
-        if !self.stood_still() {
+    pub fn arrival_time(&self) -> Duration {
+        if !self.recently_stalled() {
             return self.now();
         }
-        Duration::from_micros(self.runs.stood_from.load(Ordering::Relaxed))
+        Duration::from_micros(self.activity.stalled_from.load(Ordering::Relaxed))
     }
 
     /// Whether the worker stood still just now: what came in meanwhile may not have been read yet.
-    pub fn stood_still(&self) -> bool {
-        self.runs.ending.load(Ordering::Relaxed) > 0
+    pub fn recently_stalled(&self) -> bool {
+        self.activity.recovery_ticks.load(Ordering::Relaxed) > 0
     }
 
     /// Calls `ring` on the worker once that time has come; `ring` must not wait. The way for all other threads to wake an
     /// actor, too: at a time that is over it is called at once.
-    pub fn run_at(&self, at: Duration, ring: impl FnOnce() + Send + 'static) -> TimerHandle {
-        let mut alarms = self.bells.alarms();
-        let key = alarms.wheel.schedule(at, Box::new(ring));
-        if at < alarms.looks {
-            alarms.looks = at;
-            self.bells.timer.set(at.saturating_sub(self.now()));
+    pub fn run_at(&self, at: Duration, callback: impl FnOnce() + Send + 'static) -> TimerHandle {
+        let mut timers = self.queue.timers();
+        let key = timers.wheel.schedule(at, Box::new(callback));
+        if at < timers.next_check {
+            timers.next_check = at;
+            self.queue.timer.set(at.saturating_sub(self.now()));
         }
         TimerHandle(key)
     }
 
     /// Posts from a thread that is not the worker's.
-    pub fn post<T: Send + 'static>(&self, to: &Sender<T>, mail: T) {
+    pub fn post<T: Send + 'static>(&self, to: &Sender<T>, message: T) {
         let to = to.clone();
         self.run_at(Duration::ZERO, move || {
             // Whoever has ended needs no mail.
-            let _ = to.send(mail);
+            let _ = to.send(message);
         });
     }
 
     /// Has the dispatcher told once a pulse that the worker runs.
-    pub fn start_watchdog(&self, desk: Sender<DispatcherMessage>) {
-        let (clock, due) = (self.clone(), self.now() + PULSE);
+    pub fn start_watchdog(&self, dispatcher: Sender<DispatcherMessage>) {
+        let (clock, due) = (self.clone(), self.now() + WATCHDOG_PERIOD);
         self.run_at(due, move || {
-            let _ = desk.send(DispatcherMessage::Beat { posted: due });
-            clock.start_watchdog(desk);
+            let _ = dispatcher.send(DispatcherMessage::WatchdogTick { posted: due });
+            clock.start_watchdog(dispatcher);
         });
     }
 
     /// Waits until all others have had their turn, those too that wait for their sockets. `may` looks at sockets and
     /// takes up what other threads have woken only once nothing else is ready to run: who just yields in a loop is
     /// always ready, and keeps them all waiting.
-    pub fn give_way(&self) {
+    pub fn yield_to_others(&self) {
         self.pause(Duration::ZERO);
     }
 
     /// Waits for so long. The calling coroutine hears of nothing meanwhile.
     pub fn pause(&self, span: Duration) {
-        let (again, waited) = channel();
+        let (wake, woken) = channel();
         self.run_at(self.now() + span, move || {
-            let _ = again.send(());
+            let _ = wake.send(());
         });
-        let _ = waited.recv();
+        let _ = woken.recv();
     }
 
     /// What an actor does that has moved bytes for so many turns in a row: it lets others have theirs, and waits for a
     /// moment where the machine is short.
-    pub fn take_turns(&self, busy: u32, is_short: bool) {
+    pub fn yield_if_busy(&self, busy: u32, is_short: bool) {
         if is_short {
             self.pause(SHORTAGE_PAUSE);
-        } else if busy.is_multiple_of(BUSY) {
-            self.give_way();
+        } else if busy.is_multiple_of(YIELD_AFTER_TURNS) {
+            self.yield_to_others();
         }
     }
 
     /// An alarm that has not rung does not.
-    pub fn cancel(&self, alarm: &TimerHandle) {
-        let ring = self.bells.alarms().wheel.cancel(alarm.0);
+    pub fn cancel(&self, handle: &TimerHandle) {
+        let callback = self.queue.timers().wheel.cancel(handle.0);
         // Dropped without the lock.
-        drop(ring);
+        drop(callback);
     }
 }
 
 /// The monotonic clock and, after it, the Unix time. Where the process is held up in between, the origin is too late and
 /// data seems older than it is, never younger; so that this is not by much, both are read again.
-fn read_both() -> (Instant, Duration) {
+fn read_both_clocks() -> (Instant, Duration) {
     let mut tries = 0;
     loop {
         let begun = Instant::now();
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         tries += 1;
-        if begun.elapsed() <= MAX_BETWEEN_READS || tries == MAX_READS {
+        if begun.elapsed() <= MAX_READ_SPAN || tries == MAX_READS {
             return (begun, unix);
         }
     }
 }
 
 /// Rings what is due, then waits for the next.
-fn ring(clock: &Clock, timer: &Timer) -> ! {
+fn run_timers(clock: &Clock, timer: &Timer) -> ! {
     loop {
-        while let Some(ring) = next_due(clock) {
+        while let Some(callback) = next_due_callback(clock) {
             // Without the lock: who is woken may set the next one.
-            ring();
+            callback();
         }
         timer.wait();
     }
 }
 
 /// The next alarm that is due; where there is none, the timer is set to when one may be.
-fn next_due(clock: &Clock) -> Option<Ring> {
-    let mut alarms = clock.bells.alarms();
+fn next_due_callback(clock: &Clock) -> Option<Callback> {
+    let mut timers = clock.queue.timers();
     let now = clock.now();
-    let due = alarms.wheel.pop_due(now);
+    let due = timers.wheel.pop_due(now);
     // While it rings, nobody else has to set the timer.
-    alarms.looks =
-        if due.is_some() { Duration::ZERO } else { alarms.wheel.next_due().unwrap_or(Duration::MAX) };
+    timers.next_check =
+        if due.is_some() { Duration::ZERO } else { timers.wheel.next_due().unwrap_or(Duration::MAX) };
     if due.is_none() {
-        clock.bells.timer.set(alarms.looks.saturating_sub(now));
+        clock.queue.timer.set(timers.next_check.saturating_sub(now));
     }
     due
 }
--- a/crates/front/src/connect.rs
+++ b/crates/front/src/connect.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// A connection that is wanted.
-pub struct Wanted {
+pub struct ConnectRequest {
     pub to: SocketAddr,
     /// By the time of [`Clock::now`]; given up then.
     pub until: Duration,
@@ -18,7 +18,7 @@
 
 /// Why there is none.
 #[derive(Debug)]
-pub enum NoConnection {
+pub enum ConnectFailure {
     /// It is not wanted any more.
     Cancelled,
     /// The other side said nothing for so long.
@@ -31,76 +31,76 @@
     Failed(io::Error),
 }
 
-impl fmt::Display for NoConnection {
+impl fmt::Display for ConnectFailure {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            NoConnection::Cancelled => write!(f, "not wanted any more"),
-            NoConnection::TimedOut => write!(f, "no answer in time"),
-            NoConnection::TooLate => write!(f, "its time was over before"),
-            NoConnection::LocalShortage(error) => write!(f, "this machine is short: {error}"),
-            NoConnection::Failed(error) => write!(f, "{error}"),
+            ConnectFailure::Cancelled => write!(f, "not wanted any more"),
+            ConnectFailure::TimedOut => write!(f, "no answer in time"),
+            ConnectFailure::TooLate => write!(f, "its time was over before"),
+            ConnectFailure::LocalShortage(error) => write!(f, "this machine is short: {error}"),
+            ConnectFailure::Failed(error) => write!(f, "{error}"),
         }
     }
 }
 
-/// Connects. `begun` gets the bell that ends the wait, so that whoever cancels can ring it; the bell rings by itself at
+/// Connects. `on_started` gets the bell that ends the wait, so that whoever cancels can ring it; the bell rings by itself at
 /// `until`, then too where the connection is up before. `cancelled` is asked each time that the coroutine wakes.
 ///
 /// # Errors
 /// Where no connection is up by then, or it is cancelled.
 pub fn connect(
     clock: &Clock,
-    wanted: &Wanted,
-    begun: &dyn Fn(Bell),
+    request: &ConnectRequest,
+    on_started: &dyn Fn(Bell),
     cancelled: &dyn Fn() -> bool,
-) -> Result<Link, NoConnection> {
+) -> Result<Link, ConnectFailure> {
     let mut shortage = None;
     while !cancelled() {
-        let left = wanted.until.saturating_sub(clock.now());
+        let left = request.until.saturating_sub(clock.now());
         if left.is_zero() {
-            return Err(shortage.map_or(NoConnection::TooLate, NoConnection::LocalShortage));
+            return Err(shortage.map_or(ConnectFailure::TooLate, ConnectFailure::LocalShortage));
         }
-        let attempt = Connecting::begin(wanted.to)
-            .map_err(NoConnection::from)
-            .and_then(|connecting| await_handshake(clock, connecting, wanted, begun, cancelled));
+        let attempt = Connecting::begin(request.to)
+            .map_err(ConnectFailure::from)
+            .and_then(|connecting| await_handshake(clock, connecting, request, on_started, cancelled));
         match attempt {
-            Err(NoConnection::LocalShortage(error)) => {
+            Err(ConnectFailure::LocalShortage(error)) => {
                 shortage = Some(error);
                 clock.pause(SHORTAGE_PAUSE.min(left));
             }
             ended => return ended,
         }
     }
-    Err(NoConnection::Cancelled)
+    Err(ConnectFailure::Cancelled)
 }
 
 fn await_handshake(
     clock: &Clock,
     connecting: Connecting,
-    wanted: &Wanted,
-    begun: &dyn Fn(Bell),
+    request: &ConnectRequest,
+    on_started: &dyn Fn(Bell),
     cancelled: &dyn Fn() -> bool,
-) -> Result<Link, NoConnection> {
+) -> Result<Link, ConnectFailure> {
     let bell = connecting.bell();
-    begun(bell.clone());
-    clock.run_at(wanted.until, move || bell.ring());
+    on_started(bell.clone());
+    clock.run_at(request.until, move || bell.ring());
     while !connecting.is_up()? {
         if cancelled() {
-            return Err(NoConnection::Cancelled);
+            return Err(ConnectFailure::Cancelled);
         }
-        if clock.now() >= wanted.until {
-            return Err(NoConnection::TimedOut);
+        if clock.now() >= request.until {
+            return Err(ConnectFailure::TimedOut);
         }
         connecting.wait();
     }
-    Ok(connecting.into_link(wanted.limits))
+    Ok(connecting.into_link(request.limits))
 }
 
-impl From<ConnectError> for NoConnection {
-    fn from(error: ConnectError) -> NoConnection {
+impl From<ConnectError> for ConnectFailure {
+    fn from(error: ConnectError) -> ConnectFailure {
         match error {
-            ConnectError::LocalShortage(error) => NoConnection::LocalShortage(error),
-            ConnectError::Failed(error) => NoConnection::Failed(error),
+            ConnectError::LocalShortage(error) => ConnectFailure::LocalShortage(error),
+            ConnectError::Failed(error) => ConnectFailure::Failed(error),
         }
     }
 }
--- a/crates/front/src/counters.rs
+++ b/crates/front/src/counters.rs
@@ -9,7 +9,7 @@
     ($($name:ident),+ $(,)?) => {
         #[derive(Debug, Default)]
         pub struct Counters {
-            $(pub $name: Count,)+
+            $(pub $name: Counter,)+
             /// What must never happen.
             pub invariants: Arc<Invariants>,
         }
@@ -24,9 +24,9 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Count(AtomicU64);
+pub struct Counter(AtomicU64);
 
-impl Count {
+impl Counter {
     pub fn add(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
@@ -35,7 +35,7 @@
         self.0.fetch_add(u64::from(counts), Ordering::Relaxed);
     }
 
-    pub fn at_least(&self, amount: u64) {
+    pub fn record_max(&self, amount: u64) {
         self.0.fetch_max(amount, Ordering::Relaxed);
     }
 
--- a/crates/front/src/discovery_client.rs
+++ b/crates/front/src/discovery_client.rs
@@ -2,7 +2,7 @@
 //! another address, the watch there is opened before the old one is dropped.
 
 use crate::clock::Clock;
-use crate::connect::{Wanted, connect};
+use crate::connect::{ConnectRequest, connect};
 use crate::counters::Counters;
 use crate::messages::{DiscoveryMessage, DispatcherMessage, WatchEnd};
 use juniperdock_connection::{Bell, BufferLimits, spawn};
@@ -17,16 +17,16 @@
 
 /// Without a sign of life for this long the watch is opened anew: an empty line, which comes every 2 s, is overdue.
 /// Whatever the list has to tell counts as told 6 s after a silence began: two more watches can be opened by then.
-const SILENCE: Duration = Duration::from_millis(3500);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(3500);
 
 /// The agent is on this machine and answers at once. A new watch that has told nothing for this long, be it that it
 /// never came up, is given up for the next. After a change of address what it has counts as told after 4 s.
-const FIRST: Duration = Duration::from_millis(1500);
-const CONNECT: Duration = Duration::from_millis(500);
-const BUFFERS: BufferLimits = BufferLimits { inbound: MAX_UNREAD, outbound: MAX_UNREAD };
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(1500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+const BUFFER_LIMITS: BufferLimits = BufferLimits { inbound: MAX_UNREAD, outbound: MAX_UNREAD };
 
 /// A watch that is open or being opened.
-struct Open {
+struct WatchHandle {
     number: u64,
     bell: Option<Bell>,
     stop: Arc<AtomicBool>,
@@ -37,14 +37,14 @@
     versions: Versions,
     backoff: Backoff,
     clock: Clock,
-    desk: Sender<DispatcherMessage>,
+    dispatcher: Sender<DispatcherMessage>,
     counters: Arc<Counters>,
     log: slog::Logger,
     stack: usize,
-    mail: Sender<DiscoveryMessage>,
-    read: Receiver<DiscoveryMessage>,
+    sender: Sender<DiscoveryMessage>,
+    messages: Receiver<DiscoveryMessage>,
     /// In the order in which they were opened; only the last counts once it has told something.
-    watches: Vec<Open>,
+    watches: Vec<WatchHandle>,
     opened: u64,
     /// That no watch could be kept has been logged since the last list.
     logged: bool,
@@ -56,23 +56,23 @@
         version: Option<u64>,
         seed: u64,
         clock: Clock,
-        desk: Sender<DispatcherMessage>,
+        dispatcher: Sender<DispatcherMessage>,
         counters: Arc<Counters>,
         log: slog::Logger,
         stack: usize,
     ) -> DiscoveryClient {
-        let (mail, read) = channel();
+        let (sender, messages) = channel();
         DiscoveryClient {
             address,
             versions: Versions::new(version),
             backoff: Backoff::new(seed),
             clock,
-            desk,
+            dispatcher,
             counters,
             log,
             stack,
-            mail,
-            read,
+            sender,
+            messages,
             watches: Vec::new(),
             opened: 0,
             logged: false,
@@ -80,12 +80,12 @@
     }
 
     pub fn sender(&self) -> Sender<DiscoveryMessage> {
-        self.mail.clone()
+        self.sender.clone()
     }
 
     pub fn run(mut self) {
-        while let Ok(mail) = self.read.recv() {
-            match mail {
+        while let Ok(message) = self.messages.recv() {
+            match message {
                 DiscoveryMessage::OpenWatch => self.open(),
                 DiscoveryMessage::SetAddress(address) => {
                     if address != self.address {
@@ -94,13 +94,13 @@
                         self.open();
                     }
                 }
-                DiscoveryMessage::Up(number, bell) => {
+                DiscoveryMessage::WakerReady(number, bell) => {
                     if let Some(watch) = self.watches.iter_mut().find(|watch| watch.number == number) {
                         watch.bell = Some(bell);
                     }
                 }
-                DiscoveryMessage::Told(number, list) => self.told(number, list),
-                DiscoveryMessage::Over(number, why) => self.over(number, &why),
+                DiscoveryMessage::ListReceived(number, list) => self.list_received(number, list),
+                DiscoveryMessage::WatchEnded(number, why) => self.watch_ended(number, &why),
             }
         }
     }
@@ -108,24 +108,29 @@
     fn open(&mut self) {
         self.opened += 1;
         let (number, stop) = (self.opened, Arc::new(AtomicBool::new(false)));
-        self.watches.push(Open { number, bell: None, stop: stop.clone() });
-        let watch =
-            Watch { number, address: self.address, clock: self.clock.clone(), list: self.mail.clone(), stop };
-        let (version, counters, list) = (self.versions.known(), self.counters.clone(), self.mail.clone());
+        self.watches.push(WatchHandle { number, bell: None, stop: stop.clone() });
+        let watch = Watch {
+            number,
+            address: self.address,
+            clock: self.clock.clone(),
+            list: self.sender.clone(),
+            stop,
+        };
+        let (version, counters, list) = (self.versions.known(), self.counters.clone(), self.sender.clone());
         let started = spawn("watch", self.stack, move || {
             let why = catch_unwind(AssertUnwindSafe(|| watch.run(version))).unwrap_or_else(|_| {
                 counters.panics.add();
                 WatchEnd::Failed("its actor failed".to_owned())
             });
-            let _ = list.send(DiscoveryMessage::Over(number, why));
+            let _ = list.send(DiscoveryMessage::WatchEnded(number, why));
         });
         if let Err(why) = started {
-            let _ = self.mail.send(DiscoveryMessage::Over(number, WatchEnd::Failed(why)));
+            let _ = self.sender.send(DiscoveryMessage::WatchEnded(number, WatchEnd::Failed(why)));
         }
     }
 
     /// Passes on what counts of a list. Nothing is believed of a watch that a later one has taken over from.
-    fn told(&mut self, number: u64, list: ServerList) {
+    fn list_received(&mut self, number: u64, list: ServerList) {
         let Some(at) = self.watches.iter().position(|watch| watch.number == number) else { return };
         for old in self.watches.drain(..at) {
             old.stop.store(true, Ordering::Relaxed);
@@ -134,12 +139,12 @@
         self.backoff.reset();
         if let Some(list) = self.versions.accept(number, list) {
             self.logged = false;
-            let _ = self.desk.send(DispatcherMessage::List(list));
+            let _ = self.dispatcher.send(DispatcherMessage::List(list));
         }
     }
 
     /// One that was taken over from may end; the desk hears of the last one's end, and asks for the next.
-    fn over(&mut self, number: u64, why: &WatchEnd) {
+    fn watch_ended(&mut self, number: u64, why: &WatchEnd) {
         let last = self.watches.last().is_some_and(|watch| watch.number == number);
         self.watches.retain(|watch| watch.number != number);
         if !last {
@@ -153,12 +158,12 @@
             WatchEnd::Failed(_) => Duration::ZERO,
         };
         if wait.is_zero() {
-            let _ = self.desk.send(DispatcherMessage::ListLost);
+            let _ = self.dispatcher.send(DispatcherMessage::DiscoveryLost);
             return;
         }
-        let desk = self.desk.clone();
+        let dispatcher = self.dispatcher.clone();
         self.clock.run_at(self.clock.now() + wait, move || {
-            let _ = desk.send(DispatcherMessage::ListLost);
+            let _ = dispatcher.send(DispatcherMessage::DiscoveryLost);
         });
     }
 }
@@ -178,9 +183,10 @@
         let failed = |why: String| WatchEnd::Failed(why);
         let (request, begun) = (watch_request(&self.address.to_string(), after), self.clock.now());
         let up = |bell| {
-            let _ = self.list.send(DiscoveryMessage::Up(self.number, bell));
+            let _ = self.list.send(DiscoveryMessage::WakerReady(self.number, bell));
         };
-        let wanted = Wanted { to: self.address, until: begun + CONNECT, limits: BUFFERS };
+        let wanted =
+            ConnectRequest { to: self.address, until: begun + CONNECT_TIMEOUT, limits: BUFFER_LIMITS };
         let stopped = || self.stop.load(Ordering::Relaxed);
         let mut link = match connect(&self.clock, &wanted, &up, &stopped) {
             Ok(link) => link,
@@ -189,7 +195,7 @@
         if let Err(why) = link.queue(request.as_bytes()) {
             return failed(why.to_string());
         }
-        let (mut answer, mut signs, mut silent) = (Answer::default(), 0, begun + FIRST);
+        let (mut answer, mut signs, mut silent) = (Answer::default(), 0, begun + FIRST_LIST_TIMEOUT);
         let bell = link.bell();
         self.clock.run_at(silent, move || bell.ring());
         for busy in 1u32.. {
@@ -200,7 +206,7 @@
             match answer.take(&mut link.inbound) {
                 Ok(lists) => {
                     for list in lists {
-                        let _ = self.list.send(DiscoveryMessage::Told(self.number, list));
+                        let _ = self.list.send(DiscoveryMessage::ListReceived(self.number, list));
                     }
                 }
                 Err(why) if why.is_overload() => return WatchEnd::Overloaded,
@@ -208,7 +214,7 @@
             }
             let now = self.clock.now();
             if answer.signs > signs {
-                (signs, silent) = (answer.signs, now + SILENCE);
+                (signs, silent) = (answer.signs, now + SILENCE_TIMEOUT);
                 let bell = link.bell();
                 self.clock.run_at(silent, move || bell.ring());
             }
@@ -216,7 +222,7 @@
                 Err(why) => return failed(why.to_string()),
                 Ok(_) if link.ended || answer.over() => return failed("the watch ended".to_owned()),
                 Ok(_) if now >= silent => return failed("the watch fell silent".to_owned()),
-                Ok(true) => self.clock.take_turns(busy, link.is_short()),
+                Ok(true) => self.clock.yield_if_busy(busy, link.is_short()),
                 Ok(false) => link.wait(),
             }
         }
--- a/crates/front/src/dispatcher.rs
+++ b/crates/front/src/dispatcher.rs
@@ -4,13 +4,13 @@
 mod host;
 mod snapshot;
 
-use crate::clock::{Clock, PULSE};
+use crate::clock::{Clock, WATCHDOG_PERIOD};
 use crate::counters::Counters;
 use crate::messages::{
-    Answer, Arrival, DiscoveryMessage, DispatcherMessage, End, Job, MemberMessage, MembershipMessage,
+    Answer, Arrival, AttemptEnd, DiscoveryMessage, DispatcherMessage, Job, MemberMessage, MembershipMessage,
 };
 use crate::request_log::{RequestEvent, RequestLog};
-use crate::worker_watchdog::WorkerWatch;
+use crate::worker_watchdog::WorkerWatchdog;
 use host::{OpenRequest, RouterHost};
 use juniperdock_deployment::{Indices, span};
 use juniperdock_fleet_tasks as fleet_tasks;
@@ -42,30 +42,30 @@
 
 pub struct Dispatcher {
     router: Router,
-    make: MakeRouter,
+    make_router: MakeRouter,
     host: RouterHost,
     zones: Indices<String>,
     /// The txn types by name.
-    kinds: Vec<String>,
-    held: Option<(WaitLimits, f64)>,
+    txn_types: Vec<String>,
+    wait_limits: Option<(WaitLimits, f64)>,
     /// Posts to the actor that speaks with the other fronts.
-    circle: Option<Box<dyn Fn(MembershipMessage) + Send>>,
+    membership: Option<Box<dyn Fn(MembershipMessage) + Send>>,
     /// How far ahead this process's time was when the servers were listed.
-    listed_ahead: Duration,
+    clock_ahead_when_listed: Duration,
     /// Groups whose change was ordered of all fronts, by which order, and what was last told of it.
-    watched: Vec<(u64, u64, fleet_tasks::HoldStep)>,
+    fleet_changes: Vec<(u64, u64, fleet_tasks::HoldStep)>,
     log: slog::Logger,
 }
 
 impl Dispatcher {
     pub fn new(
-        make: MakeRouter,
-        kinds: Vec<String>,
+        make_router: MakeRouter,
+        txn_types: Vec<String>,
         zones: Vec<String>,
         clock: Clock,
-        desk: Sender<DispatcherMessage>,
+        dispatcher: Sender<DispatcherMessage>,
         discovery: Sender<DiscoveryMessage>,
-        hire: SpawnMember,
+        spawn_member: SpawnMember,
         probes: ProbeQueue,
         counters: Arc<Counters>,
         log: slog::Logger,
@@ -75,95 +75,97 @@
         zones.into_iter().for_each(|zone| {
             known.index(zone);
         });
-        let (txns, tickets, free, members) = (Vec::new(), HashMap::new(), Vec::new(), Vec::new());
-        let (ids, its_log) = (Indices::default(), log.clone());
+        let (txns, by_request_id, free, members) = (Vec::new(), HashMap::new(), Vec::new(), Vec::new());
+        let (ids, host_log) = (Indices::default(), log.clone());
         let host = RouterHost {
             txns,
             unwritten: Vec::new(),
-            tickets,
+            by_request_id,
             free,
             ids,
             servers: ServerTable::default(),
             members,
-            cells: Indices::default(),
-            hire,
-            log: its_log,
+            groups: Indices::default(),
+            spawn_member,
+            log: host_log,
             request_log,
             origin: clock.origin(),
             clock,
-            desk,
+            dispatcher,
             discovery,
             wanted_probes: Vec::new(),
             probes,
             probes_due: None,
             counters,
-            care: None,
+            observer: None,
         };
-        let (circle, watched) = (None, Vec::new());
+        let (membership, fleet_changes) = (None, Vec::new());
         Ok(Dispatcher {
-            router: make()?,
-            make,
+            router: make_router()?,
+            make_router,
             host,
             zones: known,
-            kinds,
-            held: None,
-            circle,
-            listed_ahead: Duration::ZERO,
-            watched,
+            txn_types,
+            wait_limits: None,
+            membership,
+            clock_ahead_when_listed: Duration::ZERO,
+            fleet_changes,
             log,
         })
     }
 
-    pub fn run(mut self, mail: &Receiver<DispatcherMessage>) {
+    pub fn run(mut self, messages: &Receiver<DispatcherMessage>) {
         // Of the thread that this coroutine runs on.
-        let mut worker = WorkerWatch::new(self.host.request_log.is_enabled());
-        while let Ok(mail) = mail.recv() {
-            if let DispatcherMessage::Beat { posted } = mail {
-                self.beat(posted, &mut worker);
+        let mut watchdog = WorkerWatchdog::new(self.host.request_log.is_enabled());
+        while let Ok(message) = messages.recv() {
+            if let DispatcherMessage::WatchdogTick { posted } = message {
+                self.watchdog_tick(posted, &mut watchdog);
                 continue;
             }
-            self.host.clock.pulse();
-            if catch_unwind(AssertUnwindSafe(|| self.take(mail))).is_err() {
+            self.host.clock.note_running();
+            if catch_unwind(AssertUnwindSafe(|| self.handle(message))).is_err() {
                 self.host.counters.panics.add();
-                if let Err(why) = self.start_anew() {
+                if let Err(why) = self.restart_router() {
                     slog::crit!(self.log, "the desk can't go on"; "why" => why);
                     std::process::exit(1);
                 }
             }
             self.start_probes();
-            self.refresh();
-            self.watch();
+            self.refresh_permits();
+            self.report_changes();
         }
     }
 
     /// The worker runs; where it did not for a while, that is counted, and whether it slept.
-    fn beat(&mut self, posted: Duration, worker: &mut WorkerWatch) {
+    fn watchdog_tick(&mut self, posted: Duration, watchdog: &mut WorkerWatchdog) {
         let RouterHost { clock, counters, request_log, .. } = &self.host;
-        clock.note_beat();
-        if let Some(spell) = clock.take_standstill() {
+        clock.note_tick();
+        if let Some(spell) = clock.take_stall() {
             counters.worker_standstills.add();
-            request_log.held_up(spell);
+            request_log.worker_stalled(spell);
         }
-        if let Some(delay) = worker.beat(posted, clock.now()) {
+        if let Some(delay) = watchdog.tick(posted, clock.now()) {
             counters.worker_idle_delays.add_if(delay.is_idle());
-            request_log.beat_delayed(delay);
+            request_log.tick_delayed(delay);
         }
     }
 
     /// The front that has ordered a change of all hears how far it is here.
-    fn watch(&mut self) {
-        let Some(circle) = self.circle.as_ref().filter(|_| !self.watched.is_empty()) else { return };
-        let (tenure, cells) = (self.router.primary_tracker(), &self.host.cells);
-        self.watched.retain_mut(|(group, order, told)| {
-            let plan = cells.known(group).and_then(|at| tenure.plan(at));
+    fn report_changes(&mut self) {
+        let Some(membership) = self.membership.as_ref().filter(|_| !self.fleet_changes.is_empty()) else {
+            return;
+        };
+        let (tracker, groups) = (self.router.primary_tracker(), &self.host.groups);
+        self.fleet_changes.retain_mut(|(group, order, reported)| {
+            let plan = groups.known(group).and_then(|at| tracker.plan(at));
             let step = match plan.map(|plan| plan.step) {
                 Some(Step::Emptying) => fleet_tasks::HoldStep::Emptying,
                 Some(Step::Awaiting) => fleet_tasks::HoldStep::Awaiting,
                 Some(Step::Done) => fleet_tasks::HoldStep::Done,
                 Some(Step::Undone(_)) | None => fleet_tasks::HoldStep::Undone,
             };
-            if std::mem::replace(told, step) != step {
-                circle(MembershipMessage::ChangeProgress { group: *group, order: *order, step });
+            if std::mem::replace(reported, step) != step {
+                membership(MembershipMessage::ChangeProgress { group: *group, order: *order, step });
             }
             plan.is_some_and(|plan| !plan.ended())
         });
@@ -171,23 +173,31 @@
 
     /// A change that was ordered of all fronts begins here, or is called off. A new order takes the place of an
     /// earlier one whose owner was lost.
-    fn plan(&mut self, now: Duration, group: u64, order: u64, successor: Option<&str>, off: bool) {
-        let earlier = self.watched.iter().position(|(its, by, _)| *its == group && (*by != order) != off);
-        if let Some(earlier) = earlier.filter(|_| !off) {
-            self.watched.remove(earlier);
-            let _ = self.change(now, group, None, true);
+    fn planned_change(
+        &mut self,
+        now: Duration,
+        group: u64,
+        order: u64,
+        successor: Option<&str>,
+        cancel: bool,
+    ) {
+        let earlier =
+            self.fleet_changes.iter().position(|(its, by, _)| *its == group && (*by != order) != cancel);
+        if let Some(earlier) = earlier.filter(|_| !cancel) {
+            self.fleet_changes.remove(earlier);
+            let _ = self.change_primary(now, group, None, true);
         }
-        if off && earlier.is_none() {
+        if cancel && earlier.is_none() {
             return;
         }
-        match self.change(now, group, successor, off) {
-            Ok(_) if !off => self.watched.push((group, order, fleet_tasks::HoldStep::Asked)),
+        match self.change_primary(now, group, successor, cancel) {
+            Ok(_) if !cancel => self.fleet_changes.push((group, order, fleet_tasks::HoldStep::Asked)),
             Ok(_) => {}
             Err(why) => {
                 slog::info!(self.log, "a change for all fronts can't be had here"; "group" => group, "why" => why);
-                let tells = self.circle.iter().filter(|_| !off);
-                tells.for_each(|circle| {
-                    circle(MembershipMessage::ChangeProgress {
+                let replies = self.membership.iter().filter(|_| !cancel);
+                replies.for_each(|membership| {
+                    membership(MembershipMessage::ChangeProgress {
                         group,
                         order,
                         step: fleet_tasks::HoldStep::Refused,
@@ -198,25 +208,25 @@
     }
 
     /// Members that this front asks for all are asked, and what they said is told.
-    fn care(
+    fn observe_health(
         &mut self,
         now: Duration,
-        whole: bool,
-        present: usize,
-        asks: [fleet_tasks::ProbeRole; fleet_tasks::SHARDS as usize],
+        has_majority: bool,
+        present_fronts: usize,
+        shard_roles: [fleet_tasks::ProbeRole; fleet_tasks::SHARDS as usize],
     ) {
-        let rate = self.router.arrival_rate(now) * present as f64;
-        let Some(care) = &mut self.host.care else { return };
-        care.update_view(whole, asks, rate);
-        let (every, due) = (care.probe_interval(), care.due_probes(now));
-        let parts: Vec<usize> = care.probed_shards().map(|(shard, _)| shard).collect();
+        let rate = self.router.arrival_rate(now) * present_fronts as f64;
+        let Some(observer) = &mut self.host.observer else { return };
+        observer.update_view(has_majority, shard_roles, rate);
+        let (every, due) = (observer.probe_interval(), observer.due_probes(now));
+        let parts: Vec<usize> = observer.probed_shards().map(|(shard, _)| shard).collect();
         let mut pieces = Vec::new();
         for shard in parts {
-            pieces.extend(care.take_updates(shard).into_iter().map(|piece| (shard, piece)));
+            pieces.extend(observer.take_updates(shard).into_iter().map(|piece| (shard, piece)));
         }
         due.into_iter().for_each(|member| self.router.probe_member(now, member, &mut self.host));
-        if let Some(circle) = &self.circle {
-            circle(MembershipMessage::Observations { every, pieces });
+        if let Some(membership) = &self.membership {
+            membership(MembershipMessage::Observations { every, pieces });
         }
     }
 
@@ -226,35 +236,35 @@
         self.host.counters.clock_advanced.add();
         self.host.origin.start += by.as_micros() as i64;
         slog::warn!(self.log, "the wall clock was behind the servers'"; "by_ms" => by.as_millis() as u64);
-        let waiting = self.host.take_waiting();
-        if let Err(why) = self.start_anew() {
+        let waiting = self.host.remove_unattempted();
+        if let Err(why) = self.restart_router() {
             slog::crit!(self.log, "the desk can't go on"; "why" => why);
             std::process::exit(1);
         }
-        waiting.into_iter().for_each(|held| self.take_up(now, held.arrival));
+        waiting.into_iter().for_each(|request| self.start_request(now, request.arrival));
     }
 
     /// After a panic nothing the router knew can be trusted: all in hand is rolled back, and a new router
     /// starts from the list as it stands.
-    fn start_anew(&mut self) -> Result<(), String> {
+    fn restart_router(&mut self) -> Result<(), String> {
         for txn in 0..self.host.txns.len() {
             self.host.answer(txn, Answer::Unknown("what was known is given up; it may have run"));
             self.host.release_txn(txn);
         }
-        self.router = (self.make)()?;
+        self.router = (self.make_router)()?;
         self.router.session_marks_lost(self.host.clock.now());
-        self.hold();
+        self.apply_wait_limits();
         let now = self.host.clock.now();
-        let named = self.list_again(now);
+        let named = self.relist_servers(now);
         self.router.list_completed(now, Some(&named), &mut self.host);
         Ok(())
     }
 
     /// Tells the router of all servers as the list has them; gives which.
-    fn list_again(&mut self, now: Duration) -> Vec<usize> {
+    fn relist_servers(&mut self, now: Duration) -> Vec<usize> {
         let known: Vec<(usize, KnownServer)> =
             self.host.servers.known().map(|(member, known)| (member, *known)).collect();
-        known.iter().for_each(|(member, known)| self.listed(now, *member, known));
+        known.iter().for_each(|(member, known)| self.report_listed(now, *member, known));
         known.iter().map(|(member, _)| *member).collect()
     }
 
@@ -262,32 +272,32 @@
     /// than they seemed.
     fn follow_servers_time(&mut self, now: Duration) {
         let ahead = self.host.clock.ahead();
-        if ahead.abs_diff(self.listed_ahead) >= MIN_CLOCK_CHANGE {
-            self.listed_ahead = ahead;
+        if ahead.abs_diff(self.clock_ahead_when_listed) >= MIN_CLOCK_CHANGE {
+            self.clock_ahead_when_listed = ahead;
             slog::warn!(self.log, "the wall clock is ahead of the servers'"; "by_ms" => ahead.as_millis() as u64);
-            self.list_again(now);
+            self.relist_servers(now);
         }
     }
 
     /// Limits that were laid down since the start count for every router.
-    fn hold(&mut self) {
-        if let Some((most, share)) = self.held {
+    fn apply_wait_limits(&mut self) {
+        if let Some((most, share)) = self.wait_limits {
             self.router.set_wait_queue_limits(most);
             self.router.set_unexecuted_wait_share(share);
         }
     }
 
     /// What is still to be written sees what has come in since it was decided.
-    fn refresh(&mut self) {
+    fn refresh_permits(&mut self) {
         let (txns, router) = (&self.host.txns, &self.router);
         self.host.unwritten.retain(|&txn| match &txns[txn] {
-            Some(OpenRequest { out: Some((_, permit)), .. }) if !permit.is_consumed() => {
+            Some(OpenRequest { in_flight: Some((_, permit)), .. }) if !permit.is_consumed() => {
                 permit.set_valid_until(router.valid_until(txn));
                 true
             }
             _ => false,
         });
-        let (tenure, counters) = (router.primary_tracker(), &self.host.counters);
+        let (tracker, counters) = (router.primary_tracker(), &self.host.counters);
         for (phase, count) in Phase::ALL.into_iter().zip([
             &counters.groups_vacant,
             &counters.groups_settling,
@@ -295,96 +305,101 @@
             &counters.groups_doubted,
             &counters.groups_handing_over,
         ]) {
-            count.set(tenure.in_phase(phase));
+            count.set(tracker.in_phase(phase));
         }
         counters.waiting.set(router.waiting());
     }
 
-    fn take(&mut self, mail: DispatcherMessage) {
+    fn handle(&mut self, message: DispatcherMessage) {
         let now = self.host.clock.now();
-        match mail {
-            DispatcherMessage::Beat { .. } => {}
-            DispatcherMessage::Turn(tell) => drop(tell.send(())),
-            DispatcherMessage::Short => {
-                (0..self.host.members.len()).for_each(|member| self.host.tell(member, MemberMessage::Spare));
+        match message {
+            DispatcherMessage::WatchdogTick { .. } => {}
+            DispatcherMessage::Barrier(reply) => drop(reply.send(())),
+            DispatcherMessage::ConnectionsShort => {
+                (0..self.host.members.len())
+                    .for_each(|member| self.host.send_to_member(member, MemberMessage::CloseIdle));
             }
-            DispatcherMessage::Arrived(arrival) => self.arrived(now, arrival),
-            DispatcherMessage::Left(ticket) => {
-                if let Some(&txn) = self.host.tickets.get(&ticket) {
-                    if let Some(held) = self.host.txns[txn].as_mut() {
-                        held.answered = true;
+            DispatcherMessage::RequestArrived(arrival) => self.request_arrived(now, arrival),
+            DispatcherMessage::ClientLeft(request_id) => {
+                if let Some(&txn) = self.host.by_request_id.get(&request_id) {
+                    if let Some(request) = self.host.txns[txn].as_mut() {
+                        request.answered = true;
                     }
                     self.router.client_left(now, txn, &mut self.host);
                 }
             }
-            DispatcherMessage::Ended(end) => self.ended(now, *end),
-            DispatcherMessage::Probed { member, ending, report } => {
-                if ending != AttemptOutcome::Committed {
+            DispatcherMessage::AttemptEnded(end) => self.attempt_ended(now, *end),
+            DispatcherMessage::Probed { member, outcome, report } => {
+                if outcome != AttemptOutcome::Committed {
                     self.host.counters.probes_failed.add();
                 }
                 self.host.probes.ended(member);
-                let fact = self.host.fact(report).filter(|_| ending == AttemptOutcome::Committed);
-                if let Some(care) =
-                    self.host.care.as_mut().filter(|_| fact.is_some() || ending != AttemptOutcome::Committed)
+                let observation =
+                    self.host.observation(report).filter(|_| outcome == AttemptOutcome::Committed);
+                if let Some(observer) = self
+                    .host
+                    .observer
+                    .as_mut()
+                    .filter(|_| observation.is_some() || outcome != AttemptOutcome::Committed)
                 {
-                    care.record_probe(member, fact);
+                    observer.record_probe(member, observation);
                 }
-                self.router.probe_ended(now, member, ending, report, &mut self.host);
+                self.router.probe_ended(now, member, outcome, report, &mut self.host);
                 self.follow_servers_time(now);
             }
-            DispatcherMessage::Instead { member, report } => {
+            DispatcherMessage::PeerReport { member, report } => {
                 self.router.probe_ended(now, member, AttemptOutcome::Committed, report, &mut self.host);
             }
-            DispatcherMessage::EnableFleetTasks(circle) => {
-                self.circle = Some(circle);
-                self.host.care = self.router.tightest_bound().map(HealthObserver::new);
+            DispatcherMessage::EnableFleetTasks(membership) => {
+                self.membership = Some(membership);
+                self.host.observer = self.router.tightest_bound().map(HealthObserver::new);
                 let known: Vec<usize> = self.host.servers.known().map(|(member, _)| member).collect();
-                known.into_iter().for_each(|member| self.named(member));
+                known.into_iter().for_each(|member| self.name_member(member));
             }
             DispatcherMessage::ObserveHealth { has_majority, present_fronts, shard_roles } => {
-                self.care(now, has_majority, present_fronts, shard_roles)
+                self.observe_health(now, has_majority, present_fronts, shard_roles)
             }
             DispatcherMessage::PeerObservations(piece) => {
                 let unix = self.host.unix(now);
-                if let Some(care) = &mut self.host.care {
+                if let Some(observer) = &mut self.host.observer {
                     self.host.counters.facts_in.add();
-                    if let Err(why) = care.apply_updates(now, unix, &piece) {
+                    if let Err(why) = observer.apply_updates(now, unix, &piece) {
                         slog::debug!(self.log, "facts of another front are passed over"; "why" => why);
                     }
                 }
             }
             DispatcherMessage::PlannedChange { group, order, successor, cancel } => {
-                self.plan(now, group, order, successor.as_deref(), cancel);
+                self.planned_change(now, group, order, successor.as_deref(), cancel);
             }
-            DispatcherMessage::List(list) => self.list(now, &list),
+            DispatcherMessage::List(list) => self.apply_list(now, &list),
             DispatcherMessage::ClockAdvanced(by) => self.clock_advanced(now, by),
             DispatcherMessage::ProbesDue => self.host.probes_due = None,
-            DispatcherMessage::ListLost => {
+            DispatcherMessage::DiscoveryLost => {
                 self.host.counters.lists_failed.add();
                 self.router.discovery_lost(now, &mut self.host);
             }
-            DispatcherMessage::TakeSnapshot(tell) => {
-                drop(tell.try_send(juniperdock_snapshot::encode(&self.memory(now))))
+            DispatcherMessage::TakeSnapshot(reply) => {
+                drop(reply.try_send(juniperdock_snapshot::encode(&self.take_snapshot(now))))
             }
-            DispatcherMessage::RestoreSnapshot(bytes) => match self.recall(now, &bytes) {
+            DispatcherMessage::RestoreSnapshot(bytes) => match self.restore_snapshot(now, &bytes) {
                 Ok(age) => {
                     slog::info!(self.log, "a snapshot is taken up"; "age_ms" => age.as_millis() as u64)
                 }
                 Err(why) => slog::warn!(self.log, "a snapshot is refused"; "why" => why),
             },
             DispatcherMessage::SetWaitLimits(most, share) => {
-                self.held = Some((most, share));
-                self.hold();
+                self.wait_limits = Some((most, share));
+                self.apply_wait_limits();
             }
             DispatcherMessage::TransferIdle(to) => {
                 for member in 0..self.host.members.len() {
                     let id = self.host.ids.id(member).clone();
-                    self.host.tell(member, MemberMessage::Give(id, to.clone()));
+                    self.host.send_to_member(member, MemberMessage::TransferIdle(id, to.clone()));
                 }
             }
             DispatcherMessage::AdoptConnection(id, stream) => {
                 if let Some(member) = self.host.ids.known(&id) {
-                    self.host.tell(member, MemberMessage::Took(stream));
+                    self.host.send_to_member(member, MemberMessage::Adopt(stream));
                 }
             }
             DispatcherMessage::ProbeAll => self.router.probe_all_members(now, &mut self.host),
@@ -392,12 +407,12 @@
                 drop(reply.try_send(self.status(group, max_groups)))
             }
             DispatcherMessage::ChangePrimary { group, successor, cancel, reply } => {
-                drop(reply.try_send(self.change(now, group, successor.as_deref(), cancel)));
+                drop(reply.try_send(self.change_primary(now, group, successor.as_deref(), cancel)));
             }
-            DispatcherMessage::Due { handle, at } => {
+            DispatcherMessage::TimerDue { handle, at } => {
                 let late = now.saturating_sub(at);
-                self.host.counters.held_up_most_us.at_least(late.as_micros() as u64);
-                if late > PULSE {
+                self.host.counters.held_up_most_us.record_max(late.as_micros() as u64);
+                if late > WATCHDOG_PERIOD {
                     self.host.counters.reminders_late.add();
                 }
                 self.router.timer_fired(now, handle, &mut self.host);
@@ -405,47 +420,48 @@
         }
     }
 
-    fn arrived(&mut self, now: Duration, a: Box<Arrival>) {
-        self.host.counters.held_up_most_us.at_least(now.saturating_sub(a.at).as_micros() as u64);
-        self.take_up(now, a);
+    fn request_arrived(&mut self, now: Duration, a: Box<Arrival>) {
+        self.host.counters.held_up_most_us.record_max(now.saturating_sub(a.at).as_micros() as u64);
+        self.start_request(now, a);
     }
 
     /// Hands a request to the router, if it may still be started.
-    fn take_up(&mut self, now: Duration, a: Box<Arrival>) {
+    fn start_request(&mut self, now: Duration, a: Box<Arrival>) {
         match a.guard.may_start(now) {
             Ok(()) => {}
-            Err(Withheld::OutOfTime) => return a.client.post((a.ticket, Answer::Declined(None))),
+            Err(Withheld::OutOfTime) => return a.client.post((a.request_id, Answer::Declined(None))),
             // Its client has gone, or has its answer.
             Err(Withheld::Ended | Withheld::ClientLeft) => return,
         }
-        if self.host.cells.known(&a.cell).is_none() && !self.host.cells.is_empty() {
-            a.client.post((a.ticket, Answer::RolledBack("expected a cluster that the list names")));
+        if self.host.groups.known(&a.group).is_none() && !self.host.groups.is_empty() {
+            a.client.post((a.request_id, Answer::RolledBack("expected a cluster that the list names")));
             return;
         }
-        let group = self.host.cells.index(a.cell);
+        let group = self.host.groups.index(a.group);
         let txn = self.host.free.pop().unwrap_or_else(|| {
             self.host.txns.push(None);
             self.host.txns.len() - 1
         });
-        let (kind, left) = (a.kind, a.expiry.saturating_sub(now));
+        let (txn_type, left) = (a.txn_type, a.expiry.saturating_sub(now));
         let (retried, session, wrote_ago) = (a.retried, a.session, a.wrote_ago);
         let bytes = a.statement.len() + size_of::<Arrival>();
-        self.host.tickets.insert(a.ticket, txn);
+        self.host.by_request_id.insert(a.request_id, txn);
         self.host.txns[txn] = Some(OpenRequest {
             arrival: a,
             answered: false,
-            out: None,
+            in_flight: None,
             submitted: false,
-            alarms: Vec::new(),
+            timers: Vec::new(),
         });
         let host = &mut self.host;
-        self.router.txn_arrived(now, txn, kind, group, left, retried, None, session, wrote_ago, bytes, host);
+        self.router
+            .txn_arrived(now, txn, txn_type, group, left, retried, None, session, wrote_ago, bytes, host);
         self.host.probes.used(now, group, self.router.waiting_in(group) > 0);
     }
 
-    fn ended(&mut self, now: Duration, end: End) {
+    fn attempt_ended(&mut self, now: Duration, end: AttemptEnd) {
         let count = &self.host.counters;
-        match end.ending {
+        match end.outcome {
             AttemptOutcome::Committed => count.ended_committed.add(),
             AttemptOutcome::Errored => count.ended_errored.add(),
             AttemptOutcome::Invalid => count.ended_invalid.add(),
@@ -458,27 +474,27 @@
             AttemptOutcome::Moot => count.ended_moot.add(),
             AttemptOutcome::Misplaced => count.ended_misplaced.add(),
         }
-        let event = RequestEvent::AttemptEnded { server: end.member, ending: end.ending };
-        self.host.request_log.request(end.ticket, event);
-        let Some(&txn) = self.host.tickets.get(&end.ticket) else { return };
-        if let Some(held) = self.host.txns[txn].as_mut() {
-            held.out = None;
+        let event = RequestEvent::AttemptEnded { server: end.member, ending: end.outcome };
+        self.host.request_log.request(end.request_id, event);
+        let Some(&txn) = self.host.by_request_id.get(&end.request_id) else { return };
+        if let Some(request) = self.host.txns[txn].as_mut() {
+            request.in_flight = None;
         }
         if matches!(
-            end.ending,
+            end.outcome,
             AttemptOutcome::Unreachable | AttemptOutcome::Dropped | AttemptOutcome::TimedOut
         ) {
-            self.host.care.iter_mut().for_each(|care| care.record_failure(end.member));
+            self.host.observer.iter_mut().for_each(|observer| observer.record_failure(end.member));
         }
-        let over = matches!(end.ending, AttemptOutcome::Committed | AttemptOutcome::Invalid);
-        match end.ending {
+        let over = matches!(end.outcome, AttemptOutcome::Committed | AttemptOutcome::Invalid);
+        match end.outcome {
             AttemptOutcome::Committed => self.host.answer(txn, Answer::Committed(end.row)),
             AttemptOutcome::Invalid => self.host.answer(txn, Answer::Invalid(end.row)),
             _ => {}
         }
-        let (member, ending, took) = (end.member, end.ending, end.at.saturating_sub(end.sent));
+        let (member, outcome, took) = (end.member, end.outcome, end.at.saturating_sub(end.sent));
         let (role, position, host) = (end.role, end.position, &mut self.host);
-        self.router.submission_ended(now, txn, over, member, ending, role, position, took, host);
+        self.router.submission_ended(now, txn, over, member, outcome, role, position, took, host);
         // A report is worth the same whether it was asked for or came with an answer.
         if let Some(load) = end.load {
             self.router.probe_ended(now, member, AttemptOutcome::Committed, load, &mut self.host);
@@ -487,37 +503,40 @@
 
     /// How groups stand: those in the order in which the list first named them, up to so many.
     fn status(&self, group: Option<u64>, most: usize) -> Value {
-        let (host, tenure) = (&self.host, self.router.primary_tracker());
-        let known = (0..host.cells.len()).filter(|&at| group.is_none_or(|group| *host.cells.id(at) == group));
+        let (host, tracker) = (&self.host, self.router.primary_tracker());
+        let known =
+            (0..host.groups.len()).filter(|&at| group.is_none_or(|group| *host.groups.id(at) == group));
         let groups: Vec<Value> = known
             .take(most)
             .map(|at| {
-                let plan = tenure.plan(at).filter(|plan| !plan.ended());
+                let plan = tracker.plan(at).filter(|plan| !plan.ended());
                 serde_json::json!({
-                    "group": host.cells.id(at),
-                    "phase": tenure.phase(at).name(),
-                    "term": tenure.term(at),
-                    "primary": tenure.primary(at).map(|member| host.ids.id(member)),
+                    "group": host.groups.id(at),
+                    "phase": tracker.phase(at).name(),
+                    "term": tracker.term(at),
+                    "primary": tracker.primary(at).map(|member| host.ids.id(member)),
                     "waiting": self.router.waiting_in(at),
                     "plan": plan.map(|plan| format!("{:?}: {:?}", plan.reason, plan.step)),
                 })
             })
             .collect();
-        serde_json::json!({ "groups": groups, "known": host.cells.len(), "waiting": self.router.waiting() })
+        serde_json::json!({ "groups": groups, "known": host.groups.len(), "waiting": self.router.waiting() })
     }
 
     /// Orders a change of a group's primary, or calls it off.
-    fn change(
+    fn change_primary(
         &mut self,
         now: Duration,
         group: u64,
         successor: Option<&str>,
-        off: bool,
+        cancel: bool,
     ) -> Result<String, String> {
-        let at = self.host.cells.known(&group).ok_or_else(|| format!("no list has named group {group}"))?;
-        if off {
-            let off = self.router.cancel_primary_change(now, at, &mut self.host);
-            return off.then(|| "called off".to_owned()).ok_or_else(|| "no change is under way".to_owned());
+        let at = self.host.groups.known(&group).ok_or_else(|| format!("no list has named group {group}"))?;
+        if cancel {
+            let cancel = self.router.cancel_primary_change(now, at, &mut self.host);
+            return cancel
+                .then(|| "called off".to_owned())
+                .ok_or_else(|| "no change is under way".to_owned());
         }
         let member = |name: &str| {
             self.host.ids.known(name).ok_or_else(|| format!("no list has named member {name:?}"))
@@ -528,21 +547,21 @@
     }
 
     /// Takes in a list: what it costs is what it names.
-    pub fn list(&mut self, now: Duration, list: &ServerList) {
+    pub fn apply_list(&mut self, now: Duration, list: &ServerList) {
         self.host.counters.lists.add();
         let mut named = Vec::with_capacity(list.servers.len());
         for entry in &list.servers {
-            named.push(self.take_entry(now, entry, list.full));
+            named.push(self.apply_entry(now, entry, list.full));
         }
         let gone = if list.full { self.host.servers.remove_unnamed(&named) } else { Vec::new() };
-        gone.into_iter().for_each(|member| self.host.tell(member, MemberMessage::Leave));
+        gone.into_iter().for_each(|member| self.host.send_to_member(member, MemberMessage::Removed));
         self.router.list_completed(now, list.full.then_some(&named), &mut self.host);
     }
 
     /// Takes in one entry; its actor, if it has one, hears of it. Of a whole list, what is as it was is passed over.
-    fn take_entry(&mut self, now: Duration, entry: &ServerEntry, full: bool) -> usize {
+    fn apply_entry(&mut self, now: Duration, entry: &ServerEntry, full: bool) -> usize {
         let member = self.host.ids.known(&entry.id).unwrap_or_else(|| self.host.ids.index(entry.id.clone()));
-        let group = self.host.cells.index(entry.group);
+        let group = self.host.groups.index(entry.group);
         let zone = self.zones.known(&entry.zone).unwrap_or_else(|| self.zones.index(entry.zone.clone()));
         let server = KnownServer::from_entry(entry, group, zone);
         let update = self.host.servers.update(member, server);
@@ -550,24 +569,24 @@
             self.host.members.push(None);
         }
         if update.changed {
-            self.named(member);
+            self.name_member(member);
         }
         if update.moved {
-            self.host.tell(member, MemberMessage::Address(server.address));
+            self.host.send_to_member(member, MemberMessage::Address(server.address));
         }
         if server.state == ServerState::Removed {
-            self.host.tell(member, MemberMessage::Leave);
+            self.host.send_to_member(member, MemberMessage::Removed);
         } else if update.state_changed {
-            self.host.tell(member, MemberMessage::Stay);
+            self.host.send_to_member(member, MemberMessage::Relisted);
         }
         if update.changed || !full {
-            self.listed(now, member, &server);
+            self.report_listed(now, member, &server);
         }
         member
     }
 
     /// Tells the router of a server.
-    fn listed(&mut self, now: Duration, member: usize, server: &KnownServer) {
+    fn report_listed(&mut self, now: Duration, member: usize, server: &KnownServer) {
         // A server that has just started must not seem older than it is.
         let ahead = self.host.clock.ahead().as_micros() as i64;
         let unix = self.host.origin.start + now.as_micros() as i64 - ahead;
@@ -586,29 +605,29 @@
         for member in std::mem::take(&mut self.host.wanted_probes) {
             // One that is not known any more is answered for, as the router counts it as out.
             let Some(group) = self.host.servers.get(member).map(|server| server.group) else {
-                let (ending, report) = (AttemptOutcome::Moot, Report::default());
-                let _ = self.host.desk.send(DispatcherMessage::Probed { member, ending, report });
+                let (outcome, report) = (AttemptOutcome::Moot, Report::default());
+                let _ = self.host.dispatcher.send(DispatcherMessage::Probed { member, outcome, report });
                 continue;
             };
             self.host.probes.request(now, member, group, self.router.waiting_in(group) > 0);
         }
         while let Some(member) = self.host.probes.next(now) {
             self.host.counters.probes.add();
-            self.host.tell(member, MemberMessage::Job(Job::Probe { at: now }));
+            self.host.send_to_member(member, MemberMessage::Job(Job::Probe { at: now }));
         }
         let Some(due) = self.host.probes.next_at() else { return };
         if self.host.probes_due.is_none_or(|at| due < at) {
             self.host.probes_due = Some(due);
-            let desk = self.host.desk.clone();
+            let dispatcher = self.host.dispatcher.clone();
             self.host.clock.run_at(due, move || {
-                let _ = desk.send(DispatcherMessage::ProbesDue);
+                let _ = dispatcher.send(DispatcherMessage::ProbesDue);
             });
         }
     }
 
     /// What the list calls a member is what other fronts call it.
-    fn named(&mut self, member: usize) {
+    fn name_member(&mut self, member: usize) {
         let id = self.host.ids.id(member);
-        self.host.care.iter_mut().for_each(|care| care.set_member(member, id));
+        self.host.observer.iter_mut().for_each(|observer| observer.set_member(member, id));
     }
 }
--- a/crates/front/src/dispatcher/host.rs
+++ b/crates/front/src/dispatcher/host.rs
@@ -23,11 +23,11 @@
     pub(super) arrival: Box<Arrival>,
     pub(super) answered: bool,
     /// The attempt that is out: its server, and whether it may still be written.
-    pub(super) out: Option<(usize, AttemptPermit)>,
+    pub(super) in_flight: Option<(usize, AttemptPermit)>,
     /// Whether any attempt was ever made.
     pub(super) submitted: bool,
     /// Reminders of it that have not been due.
-    pub(super) alarms: Vec<TimerHandle>,
+    pub(super) timers: Vec<TimerHandle>,
 }
 
 /// Carries out what the router wants done.
@@ -35,21 +35,21 @@
     pub(super) txns: Vec<Option<OpenRequest>>,
     /// Those whose submission may not have been written yet.
     pub(super) unwritten: Vec<usize>,
-    pub(super) tickets: HashMap<u64, usize>,
+    pub(super) by_request_id: HashMap<u64, usize>,
     pub(super) free: Vec<usize>,
     pub(super) ids: Indices<String>,
     /// What lists last said of each member, and its actor, while it has connections.
     pub(super) servers: ServerTable,
     pub(super) members: Vec<Option<Sender<MemberMessage>>>,
     /// Groups by the numbers that the list gives them.
-    pub(super) cells: Indices<u64>,
-    pub(super) hire: SpawnMember,
+    pub(super) groups: Indices<u64>,
+    pub(super) spawn_member: SpawnMember,
     pub(super) log: slog::Logger,
     pub(super) request_log: RequestLog,
     pub(super) clock: Clock,
     /// Where positions lie, as of the mail that is being taken: the clock's own may be ahead of what lies in the mailbox.
     pub(super) origin: Origin,
-    pub(super) desk: Sender<DispatcherMessage>,
+    pub(super) dispatcher: Sender<DispatcherMessage>,
     pub(super) discovery: Sender<DiscoveryMessage>,
     /// Probes that the router wants, until they may start.
     pub(super) wanted_probes: Vec<usize>,
@@ -58,7 +58,7 @@
     pub(super) probes_due: Option<Duration>,
     pub(super) counters: Arc<Counters>,
     /// Members are asked by a few fronts for all.
-    pub(super) care: Option<HealthObserver>,
+    pub(super) observer: Option<HealthObserver>,
 }
 
 impl RouterHost {
@@ -69,8 +69,8 @@
 
     /// What was told of a member, in place of a report that it makes now. A position from before this process's
     /// start can't be said here.
-    pub(super) fn instead(&self, now: Duration, member: usize) -> Option<Report> {
-        let fact = self.care.as_ref()?.fresh_observation(now, self.unix(now), member)?;
+    pub(super) fn peer_report(&self, now: Duration, member: usize) -> Option<Report> {
+        let fact = self.observer.as_ref()?.fresh_observation(now, self.unix(now), member)?;
         let position = Some(fact.position.checked_sub(span(self.origin.start))?);
         let role = fact.primary.map(|primary| if primary { Role::Primary } else { Role::Replica });
         let (queue, busy) = (fact.queue.map(f64::from), fact.busy.map(|busy| f64::from(busy) / 100.0));
@@ -78,7 +78,7 @@
     }
 
     /// What a member has said, as other fronts are told it.
-    pub(super) fn fact(&self, report: Report) -> Option<Observation> {
+    pub(super) fn observation(&self, report: Report) -> Option<Observation> {
         Some(Observation {
             position: span(self.origin.start) + report.position?,
             primary: report.role.map(|role| role == Role::Primary),
@@ -88,74 +88,75 @@
     }
 
     pub(super) fn answer(&mut self, txn: usize, answer: Answer) {
-        let Some(held) = self.txns[txn].as_mut().filter(|held| !held.answered) else { return };
-        held.answered = true;
-        held.arrival.client.post((held.arrival.ticket, answer));
+        let Some(request) = self.txns[txn].as_mut().filter(|request| !request.answered) else { return };
+        request.answered = true;
+        request.arrival.client.post((request.arrival.request_id, answer));
     }
 
     /// A member's actor ends with its last connection; a job starts another.
-    pub(super) fn tell(&mut self, member: usize, mail: MemberMessage) {
+    pub(super) fn send_to_member(&mut self, member: usize, message: MemberMessage) {
         let unsent = match &self.members[member] {
-            Some(actor) => actor.send(mail).err().map(|unsent| unsent.0),
-            None => Some(mail),
+            Some(actor) => actor.send(message).err().map(|unsent| unsent.0),
+            None => Some(message),
         };
         if unsent.is_some() {
             // With its mailbox goes the last of it.
             self.members[member] = None;
         }
-        let Some(first @ (MemberMessage::Job(_) | MemberMessage::Took(_))) = unsent else { return };
-        let (mail, read) = channel();
-        self.members[member] = Some(mail.clone());
+        let Some(first @ (MemberMessage::Job(_) | MemberMessage::Adopt(_))) = unsent else { return };
+        let (message, read) = channel();
+        self.members[member] = Some(message.clone());
         let nowhere = SocketAddr::from(([0; 4], 0));
         let address = self.servers.get(member).map_or(nowhere, |server| server.address);
-        if let Err(why) = (self.hire)(member, address, read, mail.clone()) {
+        if let Err(why) = (self.spawn_member)(member, address, read, message.clone()) {
             slog::error!(self.log, "a member has no actor"; "why" => why);
         }
-        let _ = mail.send(first);
+        let _ = message.send(first);
     }
 
     /// Takes a txn out of what is in hand; nothing comes due or is written for it any more.
-    pub(super) fn take(&mut self, txn: usize) -> Option<OpenRequest> {
-        let held = self.txns[txn].take()?;
+    pub(super) fn remove_request(&mut self, txn: usize) -> Option<OpenRequest> {
+        let request = self.txns[txn].take()?;
         // The router may have been lost in a panic: nothing is written for what has its answer.
-        held.out.iter().for_each(|(_, permit)| permit.set_valid_until(Duration::ZERO));
-        held.alarms.iter().for_each(|alarm| self.clock.cancel(alarm));
-        self.tickets.remove(&held.arrival.ticket);
+        request.in_flight.iter().for_each(|(_, permit)| permit.set_valid_until(Duration::ZERO));
+        request.timers.iter().for_each(|timer| self.clock.cancel(timer));
+        self.by_request_id.remove(&request.arrival.request_id);
         self.free.push(txn);
-        Some(held)
+        Some(request)
     }
 
     /// Takes out all that have neither an answer nor ever had an attempt: they certainly have not run.
-    pub(super) fn take_waiting(&mut self) -> Vec<OpenRequest> {
-        let waits =
-            |held: &Option<OpenRequest>| held.as_ref().is_some_and(|held| !held.answered && !held.submitted);
+    pub(super) fn remove_unattempted(&mut self) -> Vec<OpenRequest> {
+        let waits = |request: &Option<OpenRequest>| {
+            request.as_ref().is_some_and(|request| !request.answered && !request.submitted)
+        };
         let waiting: Vec<usize> = (0..self.txns.len()).filter(|&txn| waits(&self.txns[txn])).collect();
-        waiting.into_iter().filter_map(|txn| self.take(txn)).collect()
+        waiting.into_iter().filter_map(|txn| self.remove_request(txn)).collect()
     }
 }
 
 impl Host for RouterHost {
     fn send(&mut self, txn: usize, member: usize, until: Duration) {
         let at = self.clock.now();
-        let Some(held) = self.txns[txn].as_mut() else { return };
+        let Some(request) = self.txns[txn].as_mut() else { return };
         let event = RequestEvent::Assigned { server: member, valid_until: until };
-        self.request_log.request(held.arrival.ticket, event);
-        let permit = held.arrival.guard.permit(until);
+        self.request_log.request(request.arrival.request_id, event);
+        let permit = request.arrival.guard.permit(until);
         self.unwritten.push(txn);
-        held.out = Some((member, permit.clone()));
-        held.submitted = true;
-        let Arrival { ticket, expiry, .. } = *held.arrival;
-        let (statement, left) = (held.arrival.statement.clone(), held.arrival.left.clone());
-        let submit = Submit { ticket, statement, left, give_up: expiry, permit, at };
+        request.in_flight = Some((member, permit.clone()));
+        request.submitted = true;
+        let Arrival { request_id, expiry, .. } = *request.arrival;
+        let (statement, left) = (request.arrival.statement.clone(), request.arrival.left.clone());
+        let submit = Submit { request_id, statement, left, give_up: expiry, permit, at };
         self.counters.submitted.add();
-        self.tell(member, MemberMessage::Job(Job::Submit(submit)));
+        self.send_to_member(member, MemberMessage::Job(Job::Submit(submit)));
     }
 
     fn cancel(&mut self, txn: usize, _submission: u32) {
         // One submission of a txn is out at a time: the one last sent.
-        if let Some(OpenRequest { arrival, out: Some((member, _)), .. }) = &self.txns[txn] {
-            let (member, ticket) = (*member, arrival.ticket);
-            self.tell(member, MemberMessage::Cancel(ticket));
+        if let Some(OpenRequest { arrival, in_flight: Some((member, _)), .. }) = &self.txns[txn] {
+            let (member, request_id) = (*member, arrival.request_id);
+            self.send_to_member(member, MemberMessage::Cancel(request_id));
         }
     }
 
@@ -168,37 +169,37 @@
     }
 
     fn release_txn(&mut self, txn: usize) {
-        self.take(txn);
+        self.remove_request(txn);
     }
 
     fn release_member(&mut self, member: usize) {
         self.counters.members_forgotten.add();
-        self.care.iter_mut().for_each(|care| care.remove_member(member));
-        self.tell(member, MemberMessage::Leave);
+        self.observer.iter_mut().for_each(|observer| observer.remove_member(member));
+        self.send_to_member(member, MemberMessage::Removed);
         self.members[member] = None;
         self.servers.forget(member);
         self.ids.forget(member);
     }
 
     fn probe(&mut self, member: usize) {
-        if let Some(report) = self.instead(self.clock.now(), member) {
+        if let Some(report) = self.peer_report(self.clock.now(), member) {
             self.counters.probes_spared.add();
-            let _ = self.desk.send(DispatcherMessage::Instead { member, report });
+            let _ = self.dispatcher.send(DispatcherMessage::PeerReport { member, report });
             return;
         }
         self.wanted_probes.push(member);
     }
 
     fn set_timer(&mut self, at: Duration, handle: u64) {
-        let desk = self.desk.clone();
+        let dispatcher = self.dispatcher.clone();
         self.counters.reminders.add();
-        let alarm = self.clock.run_at(at, move || {
-            let _ = desk.send(DispatcherMessage::Due { handle, at });
+        let timer = self.clock.run_at(at, move || {
+            let _ = dispatcher.send(DispatcherMessage::TimerDue { handle, at });
         });
         // Those of a txn end with it: its index is used again.
         let txn = Some((handle / 2) as usize).filter(|_| !handle.is_multiple_of(2));
-        if let Some(Some(held)) = txn.and_then(|txn| self.txns.get_mut(txn)) {
-            held.alarms.push(alarm);
+        if let Some(Some(request)) = txn.and_then(|txn| self.txns.get_mut(txn)) {
+            request.timers.push(timer);
         }
     }
 
@@ -220,11 +221,11 @@
             _ if change.to.is_none() => counters.vacancies.add(),
             _ => {
                 counters.primary_changes.add();
-                counters.vacant_most_ms.at_least(vacant_ms.unwrap_or(0));
+                counters.vacant_most_ms.record_max(vacant_ms.unwrap_or(0));
             }
         }
         slog::info!(self.log, "primary";
-            "group" => self.cells.id(change.group), "term" => change.term, "from" => name(change.from),
+            "group" => self.groups.id(change.group), "term" => change.term, "from" => name(change.from),
             "to" => name(change.to), "why" => ?change.why, "vacant_ms" => vacant_ms,
             "plan" => change.plan.map(|plan| format!("{:?} {:?}", plan.reason, plan.step)));
     }
--- a/crates/front/src/dispatcher/snapshot.rs
+++ b/crates/front/src/dispatcher/snapshot.rs
@@ -9,11 +9,11 @@
 use std::time::Duration;
 
 /// The least that one time is later than another.
-const LATER: Duration = Duration::from_micros(1);
+const MIN_TIME_STEP: Duration = Duration::from_micros(1);
 
 impl Dispatcher {
     /// All that is worth keeping, in ids and times that outlast this process.
-    pub(super) fn memory(&mut self, now: Duration) -> Snapshot {
+    pub(super) fn take_snapshot(&mut self, now: Duration) -> Snapshot {
         let (host, router, start) = (&self.host, &mut self.router, self.host.origin.start);
         let unix = |at: Duration| start + at.as_micros() as i64;
         let members = host.servers.known().filter_map(|(at, _)| {
@@ -34,10 +34,10 @@
             })
         });
         let members = members.collect();
-        let groups = (0..host.cells.len()).map(|at| {
+        let groups = (0..host.groups.len()).map(|at| {
             let kept = router.snapshot_group(at);
             GroupRecord {
-                group: *host.cells.id(at),
+                group: *host.groups.id(at),
                 term: kept.term,
                 last: kept.last_primary.map(|last| host.ids.id(last).clone()),
                 began: kept.began.map(unix),
@@ -46,16 +46,16 @@
             }
         });
         let groups = groups.collect();
-        let kinds = self.kinds.iter().enumerate().map(|(kind, name)| {
+        let txn_types = self.txn_types.iter().enumerate().map(|(kind, name)| {
             let (typical, usual) = router.snapshot_type(kind);
             TxnTypeRecord { name: name.clone(), typical, usual }
         });
         let (taken, machine_time) = (unix(now), machine_time());
-        Snapshot { taken, members, groups, types: kinds.collect(), machine_time }
+        Snapshot { taken, members, groups, types: txn_types.collect(), machine_time }
     }
 
     /// Takes up what the process before this one knew of members, groups and types that are here too.
-    pub(super) fn recall(&mut self, now: Duration, bytes: &[u8]) -> Result<Duration, String> {
+    pub(super) fn restore_snapshot(&mut self, now: Duration, bytes: &[u8]) -> Result<Duration, String> {
         let mut memory = juniperdock_snapshot::decode(bytes)?;
         let start = self.host.origin.start;
         let unix = start + now.as_micros() as i64;
@@ -67,7 +67,7 @@
         let proven = |unix: i64| u64::try_from(unix - start).ok().map(Duration::from_micros);
         let (host, router) = (&mut self.host, &mut self.router);
         for group in &memory.groups {
-            let Some(at) = host.cells.known(&group.group) else { continue };
+            let Some(at) = host.groups.known(&group.group) else { continue };
             let kept = GroupSnapshot {
                 term: group.term,
                 last_primary: group.last.as_ref().and_then(|last| host.ids.known(last)),
@@ -81,7 +81,8 @@
             let Some(at) = host.ids.known(&member.id) else { continue };
             let last_served = member.served.map(since);
             // Before this process's start all times are one: what came later stays later.
-            let later = (member.stepped > member.served).then(|| last_served.unwrap_or_default() + LATER);
+            let later =
+                (member.stepped > member.served).then(|| last_served.unwrap_or_default() + MIN_TIME_STEP);
             let stepped_down = member.stepped.map(since).max(later);
             let last_observed =
                 member.heard.filter(|&heard| span(unix - heard) < MAX_SAFE_SILENCE).map(since);
@@ -99,7 +100,7 @@
             router.restore_member(now, at, &kept, worth);
         }
         for known in &memory.types {
-            if let Some(kind) = self.kinds.iter().position(|name| *name == known.name) {
+            if let Some(kind) = self.txn_types.iter().position(|name| *name == known.name) {
                 router.restore_type(kind, known.typical, known.usual, worth);
             }
         }
--- a/crates/front/src/mailbox.rs
+++ b/crates/front/src/mailbox.rs
@@ -4,20 +4,20 @@
 use may::sync::mpsc::Sender;
 
 pub struct Mailbox<T> {
-    pub mail: Sender<T>,
+    pub sender: Sender<T>,
     pub bell: Bell,
 }
 
 impl<T> Clone for Mailbox<T> {
     fn clone(&self) -> Self {
-        Mailbox { mail: self.mail.clone(), bell: self.bell.clone() }
+        Mailbox { sender: self.sender.clone(), bell: self.bell.clone() }
     }
 }
 
 impl<T> Mailbox<T> {
     /// Posts to an actor; one that has ended needs no mail any more.
-    pub fn post(&self, mail: T) {
-        let _ = self.mail.send(mail);
+    pub fn post(&self, sender: T) {
+        let _ = self.sender.send(sender);
         self.bell.ring();
     }
 }
--- a/crates/front/src/member.rs
+++ b/crates/front/src/member.rs
@@ -2,9 +2,9 @@
 //! and tells the desk how it ended.
 
 use crate::clock::Clock;
-use crate::connect::{NoConnection, Wanted, connect};
+use crate::connect::{ConnectFailure, ConnectRequest, connect};
 use crate::counters::Counters;
-use crate::messages::{DispatcherMessage, End, Job, MemberMessage};
+use crate::messages::{AttemptEnd, DispatcherMessage, Job, MemberMessage};
 use crate::request_log::{RequestEvent, RequestLog};
 use juniperdock_connection::{Bell, BufferLimits, Failure, Link, Reached, spawn};
 use juniperdock_deployment::{self as deployment, Origin};
@@ -23,13 +23,13 @@
 use std::time::Duration;
 
 /// What follows right behind an answer is read this soon after it.
-const REST: Duration = Duration::from_millis(3);
+const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(3);
 
-enum ToConnection {
+enum ConnectionMessage {
     Job(Job),
     Cancel(u64),
     /// It goes to another process, under this name.
-    Give(String, std::sync::mpsc::Sender<(String, OwnedFd)>),
+    Transfer(String, std::sync::mpsc::Sender<(String, OwnedFd)>),
     Close,
 }
 
@@ -55,15 +55,15 @@
 
 /// How often the desk has its turn before something is written right after a standstill. Once would do but for
 /// clients whose actors are woken by an alarm: those run after the desk has been waited for.
-const TURNS: u32 = 2;
+const BARRIERS_AFTER_STALL: u32 = 2;
 
 /// Idle connections that follow to another process.
-const FOLLOW: usize = 2;
+const MAX_TRANSFERRED_IDLE: usize = 2;
 
 struct Connection {
-    mail: Sender<ToConnection>,
+    mail: Sender<ConnectionMessage>,
     bell: Option<Bell>,
-    ticket: Option<u64>,
+    request_id: Option<u64>,
     idle_since: Option<Duration>,
     to: SocketAddr,
 }
@@ -72,12 +72,12 @@
     pub index: usize,
     pub address: SocketAddr,
     pub mail: Sender<MemberMessage>,
-    pub reach: PoolContext,
+    pub context: PoolContext,
     connections: HashMap<u64, Connection>,
     /// Free ones; the last used is the next used.
     idle: Vec<u64>,
     next: u64,
-    leaving: bool,
+    removed: bool,
 }
 
 impl PoolContext {
@@ -91,39 +91,39 @@
         index: usize,
         address: SocketAddr,
         mail: Sender<MemberMessage>,
-        reach: PoolContext,
+        context: PoolContext,
     ) -> MemberPool {
         let (connections, idle) = (HashMap::new(), Vec::new());
-        MemberPool { index, address, mail, reach, connections, idle, next: 0, leaving: false }
+        MemberPool { index, address, mail, context, connections, idle, next: 0, removed: false }
     }
 
     /// Ends with its last connection: a server that is not in use has no actor. Mail that lies behind the one by
     /// which it ends is taken first, as who posted does not learn that nobody read it; no other coroutine runs between.
-    pub fn run(mut self, mail: &Receiver<MemberMessage>) {
+    pub fn run(mut self, messages: &Receiver<MemberMessage>) {
         let ends = |member: &MemberPool| member.connections.is_empty();
         let mut begun = false;
         loop {
-            let next = if begun && ends(&self) { mail.try_recv().ok() } else { mail.recv().ok() };
+            let next = if begun && ends(&self) { messages.try_recv().ok() } else { messages.recv().ok() };
             let Some(mail) = next else { break };
             begun = true;
-            if catch_unwind(AssertUnwindSafe(|| self.take(mail))).is_err() {
+            if catch_unwind(AssertUnwindSafe(|| self.handle(mail))).is_err() {
                 // The pool can't be trusted any more; connections end as their jobs do.
-                self.reach.counters.panics.add();
+                self.context.counters.panics.add();
                 self.idle.clear();
                 let all = std::mem::take(&mut self.connections);
-                all.values().for_each(|c| post(c, ToConnection::Close));
+                all.values().for_each(|c| send(c, ConnectionMessage::Close));
             }
         }
-        self.reach.counters.members_ended.add();
+        self.context.counters.members_ended.add();
     }
 
-    fn take(&mut self, mail: MemberMessage) {
+    fn handle(&mut self, mail: MemberMessage) {
         match mail {
             MemberMessage::Job(job) => self.assign(job),
-            MemberMessage::Cancel(ticket) => {
-                let its = |c: &&Connection| c.ticket == Some(ticket);
+            MemberMessage::Cancel(request_id) => {
+                let its = |c: &&Connection| c.request_id == Some(request_id);
                 if let Some(c) = self.connections.values().find(its) {
-                    post(c, ToConnection::Cancel(ticket));
+                    send(c, ConnectionMessage::Cancel(request_id));
                 }
             }
             MemberMessage::Address(address) => {
@@ -132,59 +132,59 @@
                     self.close(id);
                 }
             }
-            MemberMessage::Stay => self.leaving = false,
-            MemberMessage::Leave | MemberMessage::Spare => {
-                self.leaving |= matches!(mail, MemberMessage::Leave);
+            MemberMessage::Relisted => self.removed = false,
+            MemberMessage::Removed | MemberMessage::CloseIdle => {
+                self.removed |= matches!(mail, MemberMessage::Removed);
                 std::mem::take(&mut self.idle).into_iter().for_each(|id| self.close(id));
             }
-            MemberMessage::Give(name, to) => {
+            MemberMessage::TransferIdle(name, to) => {
                 // The last used: where all followed, each upgrade would add what its start has opened.
                 let idle = std::mem::take(&mut self.idle);
-                let (old, follow) = idle.split_at(idle.len().saturating_sub(FOLLOW));
+                let (old, follow) = idle.split_at(idle.len().saturating_sub(MAX_TRANSFERRED_IDLE));
                 old.iter().for_each(|&id| self.close(id));
                 for id in follow {
                     if let Some(c) = self.connections.get(id) {
-                        post(c, ToConnection::Give(name.clone(), to.clone()));
+                        send(c, ConnectionMessage::Transfer(name.clone(), to.clone()));
                     }
                 }
             }
-            MemberMessage::Took(stream) => self.open(Begins::Took(stream), None),
-            MemberMessage::Up(id, bell) => {
+            MemberMessage::Adopt(stream) => self.open(InitialWork::Adopted(stream), None),
+            MemberMessage::WakerReady(id, bell) => {
                 if let Some(c) = self.connections.get_mut(&id) {
                     c.bell = Some(bell);
                 }
             }
             MemberMessage::Idle(id) => {
                 if let Some(c) = self.connections.get_mut(&id) {
-                    (c.ticket, c.idle_since) = (None, Some(self.reach.clock.now()));
+                    (c.request_id, c.idle_since) = (None, Some(self.context.clock.now()));
                     self.idle.push(id);
                 }
                 // One that was busy when the address changed leads to the old one.
-                if self.leaving || self.connections.get(&id).is_some_and(|c| c.to != self.address) {
+                if self.removed || self.connections.get(&id).is_some_and(|c| c.to != self.address) {
                     self.close(id);
                 }
-                self.close_old();
+                self.close_stale();
             }
-            MemberMessage::Gone(id) => self.close(id),
+            MemberMessage::Ended(id) => self.close(id),
         }
     }
 
     fn close(&mut self, id: u64) {
         self.idle.retain(|&idle| idle != id);
         if let Some(c) = self.connections.remove(&id) {
-            post(&c, ToConnection::Close);
+            send(&c, ConnectionMessage::Close);
         }
     }
 
     /// Closes those that stood idle for so long that the member may close them any moment.
-    fn close_old(&mut self) {
-        let now = self.reach.clock.now();
+    fn close_stale(&mut self) {
+        let now = self.context.clock.now();
         while let Some(&id) = self.idle.first() {
             let since = self.connections.get(&id).and_then(|c| c.idle_since);
-            if since.is_some_and(|since| since + self.reach.idle_timeout * 3 / 4 > now) {
+            if since.is_some_and(|since| since + self.context.idle_timeout * 3 / 4 > now) {
                 break;
             }
-            self.reach.counters.connections_idle_closed.add();
+            self.context.counters.connections_idle_closed.add();
             self.close(id);
         }
     }
@@ -192,78 +192,79 @@
     /// The last used one that has rested since: what a member sends right behind an answer, its end or more
     /// than belongs to it, has come in by then. Where none has, the one that has rested longest.
     fn next_idle(&mut self) -> Option<u64> {
-        let now = self.reach.clock.now();
+        let now = self.context.clock.now();
         let since = |id: &u64| self.connections.get(id).and_then(|c| c.idle_since);
-        let rested = |id: &u64| since(id).is_some_and(|since| since + REST <= now);
+        let rested = |id: &u64| since(id).is_some_and(|since| since + MIN_IDLE_BEFORE_REUSE <= now);
         let at = self.idle.iter().rposition(rested).unwrap_or(0);
         (at < self.idle.len()).then(|| self.idle.remove(at))
     }
 
     fn assign(&mut self, job: Job) {
-        self.close_old();
+        self.close_stale();
         if let Job::Submit(submit) = &job
-            && submit.permit.check(self.reach.clock.now()).is_err()
+            && submit.permit.check(self.context.clock.now()).is_err()
         {
             // Put back from a connection that has ended, and its client may have left: none is opened for nobody.
-            tell(&self.reach, self.index, &job, AttemptOutcome::Moot, Reply::default());
+            report_outcome(&self.context, self.index, &job, AttemptOutcome::Moot, Reply::default());
             return;
         }
-        let ticket = if let Job::Submit(submit) = &job { Some(submit.ticket) } else { None };
+        let request_id = if let Job::Submit(submit) = &job { Some(submit.request_id) } else { None };
         if let Some(id) = self.next_idle() {
             if let Some(c) = self.connections.get_mut(&id) {
-                (c.ticket, c.idle_since) = (ticket, None);
-                self.reach.counters.connections_reused.add();
-                post(c, ToConnection::Job(job));
+                (c.request_id, c.idle_since) = (request_id, None);
+                self.context.counters.connections_reused.add();
+                send(c, ConnectionMessage::Job(job));
             }
             return;
         }
-        if self.reach.open_connections.load(Ordering::Relaxed) >= self.reach.max_connections {
+        if self.context.open_connections.load(Ordering::Relaxed) >= self.context.max_connections {
             // As if the member had no connection left; the idle ones of others make room for the next.
-            let _ = self.reach.dispatcher.send(DispatcherMessage::Short);
-            tell(&self.reach, self.index, &job, AttemptOutcome::Full, Reply::default());
+            let _ = self.context.dispatcher.send(DispatcherMessage::ConnectionsShort);
+            report_outcome(&self.context, self.index, &job, AttemptOutcome::Full, Reply::default());
             return;
         }
-        self.open(Begins::Job(job), ticket);
+        self.open(InitialWork::Job(job), request_id);
     }
 
     /// Starts a connection: to carry a job, or one that another process had.
-    fn open(&mut self, begins: Begins, ticket: Option<u64>) {
-        if self.reach.open_connections.load(Ordering::Relaxed) >= self.reach.max_connections {
+    fn open(&mut self, work: InitialWork, request_id: Option<u64>) {
+        if self.context.open_connections.load(Ordering::Relaxed) >= self.context.max_connections {
             return;
         }
         let id = self.next;
         self.next += 1;
-        self.reach.open_connections.fetch_add(1, Ordering::Relaxed);
+        self.context.open_connections.fetch_add(1, Ordering::Relaxed);
         let (mail, read) = channel();
         self.connections
-            .insert(id, Connection { mail, bell: None, ticket, idle_since: None, to: self.address });
-        let (member, address, pool, reach) =
-            (self.index, self.address, self.mail.clone(), self.reach.clone());
-        self.reach.counters.connections_opened.add();
-        let stack = reach.stack_bytes;
-        let wanted = if let Begins::Job(job) = &begins { Some(job.clone()) } else { None };
+            .insert(id, Connection { mail, bell: None, request_id, idle_since: None, to: self.address });
+        let (member, address, pool, context) =
+            (self.index, self.address, self.mail.clone(), self.context.clone());
+        self.context.counters.connections_opened.add();
+        let stack = context.stack_bytes;
+        let wanted = if let InitialWork::Job(job) = &work { Some(job.clone()) } else { None };
         let started = spawn("connection", stack, move || {
-            let (kept, rings) = (RefCell::default(), Cell::default());
-            Line { id, member, address, pool, reach, mail: read, kept, rings }.run(begins);
+            let (deferred, timer_set_for) = (RefCell::default(), Cell::default());
+            ServerConnection { id, member, address, pool, context, mail: read, deferred, timer_set_for }
+                .run(work);
         });
         if let Err(why) = started {
-            slog::error!(self.reach.log, "no connection can be started"; "why" => why);
-            self.reach.open_connections.fetch_sub(1, Ordering::Relaxed);
+            slog::error!(self.context.log, "no connection can be started"; "why" => why);
+            self.context.open_connections.fetch_sub(1, Ordering::Relaxed);
             self.connections.remove(&id);
             if let Some(wanted) = &wanted {
-                tell(&self.reach, self.index, wanted, AttemptOutcome::Full, Reply::default());
+                report_outcome(&self.context, self.index, wanted, AttemptOutcome::Full, Reply::default());
             }
         }
     }
 }
 
 /// What a connection begins with.
-enum Begins {
+enum InitialWork {
     Job(Job),
-    Took(TcpStream),
+    Adopted(TcpStream),
 }
 
-fn post(c: &Connection, mail: ToConnection) {
+fn send(c: &Connection, mail: ConnectionMessage) {
     let _ = c.mail.send(mail);
     if let Some(bell) = &c.bell {
         bell.ring();
@@ -289,7 +290,7 @@
 
 impl Reply {
     /// What the answer comes to, once the member is ready again; nothing else is an answer.
-    fn ending(&self) -> Option<AttemptOutcome> {
+    fn outcome(&self) -> Option<AttemptOutcome> {
         match self.error.as_deref() {
             _ if !self.ready => None,
             Some(pg::NO_PRIMARY | pg::TOO_FAR_BEHIND) => Some(AttemptOutcome::Misplaced),
@@ -303,132 +304,132 @@
 }
 
 /// How a job ended, and whether its connection can carry another.
-struct Outcome {
-    ending: AttemptOutcome,
+struct JobResult {
+    outcome: AttemptOutcome,
     reply: Reply,
     usable: bool,
 }
 
 /// One connection to a member.
-struct Line {
+struct ServerConnection {
     id: u64,
     member: usize,
     address: SocketAddr,
     pool: Sender<MemberMessage>,
-    reach: PoolContext,
-    mail: Receiver<ToConnection>,
+    context: PoolContext,
+    mail: Receiver<ConnectionMessage>,
     /// Mail that came while a job was in hand, and is not about it.
-    kept: RefCell<VecDeque<ToConnection>>,
+    deferred: RefCell<VecDeque<ConnectionMessage>>,
     /// When it is rung next, at the latest.
-    rings: Cell<Duration>,
+    timer_set_for: Cell<Duration>,
 }
 
-impl Line {
-    fn run(self, begins: Begins) {
-        let (mut held, took) = match begins {
-            Begins::Job(job) => (Some(job), None),
-            Begins::Took(stream) => (None, Some(stream)),
+impl ServerConnection {
+    fn run(self, work: InitialWork) {
+        let (mut current, took) = match work {
+            InitialWork::Job(job) => (Some(job), None),
+            InitialWork::Adopted(stream) => (None, Some(stream)),
         };
-        let lived = catch_unwind(AssertUnwindSafe(|| self.live(&mut held, took)));
+        let lived = catch_unwind(AssertUnwindSafe(|| self.serve_jobs(&mut current, took)));
         if lived.is_err() {
-            self.reach.counters.panics.add();
+            self.context.counters.panics.add();
         }
-        if let Some(job) = held.take() {
-            self.tell(&job, AttemptOutcome::Dropped, Reply::default());
+        if let Some(job) = current.take() {
+            self.report_outcome(&job, AttemptOutcome::Dropped, Reply::default());
         }
-        self.reach.open_connections.fetch_sub(1, Ordering::Relaxed);
-        let _ = self.pool.send(MemberMessage::Gone(self.id));
+        self.context.open_connections.fetch_sub(1, Ordering::Relaxed);
+        let _ = self.pool.send(MemberMessage::Ended(self.id));
         // A job that was given out just now has not been written: it goes to another connection.
-        while let Ok(mail) = self.next_mail().or_else(|_| self.mail.recv()) {
+        while let Ok(mail) = self.next_message().or_else(|_| self.mail.recv()) {
             match mail {
-                ToConnection::Job(job) => {
+                ConnectionMessage::Job(job) => {
                     // The actor of a member that left may have ended; nothing was written.
                     if let Err(unsent) = self.pool.send(MemberMessage::Job(job))
                         && let MemberMessage::Job(job) = unsent.0
                     {
-                        self.tell(&job, AttemptOutcome::Moot, Reply::default());
+                        self.report_outcome(&job, AttemptOutcome::Moot, Reply::default());
                     }
                 }
-                ToConnection::Cancel(_) | ToConnection::Give(..) => {}
-                ToConnection::Close => break,
+                ConnectionMessage::Cancel(_) | ConnectionMessage::Transfer(..) => {}
+                ConnectionMessage::Close => break,
             }
         }
     }
 
-    fn live(&self, held: &mut Option<Job>, took: Option<TcpStream>) {
-        let begun = self.reach.clock.now();
-        let first = match (held.as_ref(), took) {
-            (Some(job), _) => match self.welcome(job, begun) {
+    fn serve_jobs(&self, current: &mut Option<Job>, took: Option<TcpStream>) {
+        let begun = self.context.clock.now();
+        let first = match (current.as_ref(), took) {
+            (Some(job), _) => match self.open_session(job, begun) {
                 Ok(link) => Some(link),
-                Err(ending) => {
-                    if let Some(job) = held.take() {
-                        self.tell(&job, ending, Reply::default());
+                Err(outcome) => {
+                    if let Some(job) = current.take() {
+                        self.report_outcome(&job, outcome, Reply::default());
                     }
                     return;
                 }
             },
             (None, Some(stream)) => {
-                let link = Link::came(stream, self.reach.buffers());
+                let link = Link::came(stream, self.context.buffers());
                 link.ok().and_then(|link| {
-                    let _ = self.pool.send(MemberMessage::Up(self.id, link.bell()));
-                    self.rest(link, held)
+                    let _ = self.pool.send(MemberMessage::WakerReady(self.id, link.bell()));
+                    self.wait_for_job(link, current)
                 })
             }
             (None, None) => None,
         };
         let Some(mut link) = first else { return };
-        let took = (self.reach.clock.now() - begun).as_micros() as u64;
-        if held.is_some() {
-            self.reach.counters.connect_most_us.at_least(took);
+        let took = (self.context.clock.now() - begun).as_micros() as u64;
+        if current.is_some() {
+            self.context.counters.connect_most_us.record_max(took);
         }
         loop {
-            let Some(job) = held.as_ref() else { return };
-            let outcome = self.serve(&mut link, job);
-            let suspect = matches!((job, outcome.ending), (Job::Probe { .. }, AttemptOutcome::TimedOut));
+            let Some(job) = current.as_ref() else { return };
+            let result = self.run_job(&mut link, job);
+            let suspect = matches!((job, result.outcome), (Job::Probe { .. }, AttemptOutcome::TimedOut));
             // Given up is given up: the connection ends before the desk can send the txn again.
-            let kept = outcome.usable.then_some(link);
-            if let Some(job) = held.take() {
-                self.tell(&job, outcome.ending, outcome.reply);
+            let deferred = result.usable.then_some(link);
+            if let Some(job) = current.take() {
+                self.report_outcome(&job, result.outcome, result.reply);
             }
             if suspect {
                 // A machine that has fallen silent resets its old connections when it is back.
-                let _ = self.pool.send(MemberMessage::Spare);
+                let _ = self.pool.send(MemberMessage::CloseIdle);
             }
-            let Some(back) = kept.and_then(|link| self.rest(link, held)) else { return };
+            let Some(back) = deferred.and_then(|link| self.wait_for_job(link, current)) else { return };
             link = back;
         }
     }
 
     /// Stands idle until the next job is held; `None` once the connection is over or another process's.
-    fn rest(&self, mut link: Link, held: &mut Option<Job>) -> Option<Link> {
+    fn wait_for_job(&self, mut link: Link, current: &mut Option<Job>) -> Option<Link> {
         let _ = self.pool.send(MemberMessage::Idle(self.id));
         loop {
-            match self.next_mail() {
-                Ok(ToConnection::Job(job)) => {
+            match self.next_message() {
+                Ok(ConnectionMessage::Job(job)) => {
                     // Checked for an end before it is used again.
-                    if !still_quiet(&mut link) {
+                    if !is_still_idle(&mut link) {
                         let _ = self.pool.send(MemberMessage::Job(job));
                         return None;
                     }
-                    *held = Some(job);
+                    *current = Some(job);
                     return Some(link);
                 }
-                Ok(ToConnection::Cancel(_)) => {}
-                Ok(ToConnection::Give(name, to)) => {
-                    if still_quiet(&mut link)
+                Ok(ConnectionMessage::Cancel(_)) => {}
+                Ok(ConnectionMessage::Transfer(name, to)) => {
+                    if is_still_idle(&mut link)
                         && let Ok(descriptor) = link.descriptor()
                     {
                         let _ = to.send((name, descriptor));
                     }
                     return None;
                 }
-                Ok(ToConnection::Close) => {
+                Ok(ConnectionMessage::Close) => {
                     let _ = link.queue(&pg::terminate()).and_then(|()| link.pump());
                     return None;
                 }
                 // Nobody can use it any more.
                 Err(TryRecvError::Disconnected) => return None,
-                Err(_) if !still_quiet(&mut link) => return None,
+                Err(_) if !is_still_idle(&mut link) => return None,
                 Err(_) => link.wait(),
             }
         }
@@ -436,20 +437,20 @@
 
     /// All that is ready to run does, and the desk takes what was posted to it. To give way alone would not do:
     /// `may` takes up what other threads have woken only once nothing else runs.
-    fn turn(&self) {
-        let (tell, told) = channel();
-        if self.reach.dispatcher.send(DispatcherMessage::Turn(tell)).is_ok() {
-            let _ = told.recv();
+    fn dispatcher_barrier(&self) {
+        let (reply, done) = channel();
+        if self.context.dispatcher.send(DispatcherMessage::Barrier(reply)).is_ok() {
+            let _ = done.recv();
         }
     }
 
-    fn next_mail(&self) -> Result<ToConnection, TryRecvError> {
-        self.kept.borrow_mut().pop_front().map_or_else(|| self.mail.try_recv(), Ok)
+    fn next_message(&self) -> Result<ConnectionMessage, TryRecvError> {
+        self.deferred.borrow_mut().pop_front().map_or_else(|| self.mail.try_recv(), Ok)
     }
 
     /// Connects, and waits for the member's welcome; the error says how the job ended that wanted it.
-    fn welcome(&self, job: &Job, begun: Duration) -> Result<Link, AttemptOutcome> {
-        let (clock, limit) = (&self.reach.clock, begun + self.reach.connect_timeout);
+    fn open_session(&self, job: &Job, begun: Duration) -> Result<Link, AttemptOutcome> {
+        let (clock, limit) = (&self.context.clock, begun + self.context.connect_timeout);
         let give_up = self.give_up(job);
         let until = limit.min(give_up);
         // Out of time for the txn is no word on the member.
@@ -457,24 +458,24 @@
             if at >= give_up && at < limit { AttemptOutcome::Moot } else { AttemptOutcome::Unreachable }
         };
         let up = |bell| {
-            let _ = self.pool.send(MemberMessage::Up(self.id, bell));
+            let _ = self.pool.send(MemberMessage::WakerReady(self.id, bell));
         };
-        let wanted = Wanted { to: self.address, until, limits: self.reach.buffers() };
+        let wanted = ConnectRequest { to: self.address, until, limits: self.context.buffers() };
         let connected = connect(clock, &wanted, &up, &|| self.cancelled(job));
         let mut link = connected.map_err(|why| {
-            slog::debug!(self.reach.log, "no connection"; "why" => %why, "server" => self.member);
+            slog::debug!(self.context.log, "no connection"; "why" => %why, "server" => self.member);
             match why {
-                NoConnection::Cancelled | NoConnection::TooLate | NoConnection::LocalShortage(_) => {
+                ConnectFailure::Cancelled | ConnectFailure::TooLate | ConnectFailure::LocalShortage(_) => {
                     AttemptOutcome::Moot
                 }
-                NoConnection::TimedOut | NoConnection::Failed(_) => late(clock.now()),
+                ConnectFailure::TimedOut | ConnectFailure::Failed(_) => late(clock.now()),
             }
         })?;
         link.queue(&pg::startup("api", "ledger")).map_err(|_| AttemptOutcome::Unreachable)?;
         for busy in 1u32.. {
             let pumped = link.pump();
             while let Some((kind, body, length)) =
-                pg::message(link.inbound.make_contiguous(), self.reach.max_message_bytes)
+                pg::message(link.inbound.make_contiguous(), self.context.max_message_bytes)
                     .map_err(|_| AttemptOutcome::Unreachable)?
             {
                 match kind {
@@ -506,7 +507,7 @@
                 link.wait();
             } else {
                 // It may talk without an end, and nobody else would have a turn.
-                clock.take_turns(busy, link.is_short());
+                clock.yield_if_busy(busy, link.is_short());
             }
         }
         Err(AttemptOutcome::Unreachable)
@@ -515,26 +516,28 @@
     fn give_up(&self, job: &Job) -> Duration {
         match job {
             Job::Submit(submit) => submit.give_up,
-            Job::Probe { at } => *at + self.reach.connect_timeout,
+            Job::Probe { at } => *at + self.context.connect_timeout,
         }
     }
 
     fn cancelled(&self, job: &Job) -> bool {
-        let mut kept = self.kept.borrow_mut();
-        kept.extend(std::iter::from_fn(|| self.mail.try_recv().ok()));
-        let before = kept.len();
-        kept.retain(
-            |mail| !matches!((mail, job), (ToConnection::Cancel(t), Job::Submit(s)) if *t == s.ticket),
+        let mut deferred = self.deferred.borrow_mut();
+        deferred.extend(std::iter::from_fn(|| self.mail.try_recv().ok()));
+        let before = deferred.len();
+        deferred.retain(
+            |mail| !matches!((mail, job), (ConnectionMessage::Cancel(t), Job::Submit(s)) if *t == s.request_id),
         );
-        kept.len() < before
+        deferred.len() < before
     }
 
     /// Carries one job to its end.
-    fn serve(&self, link: &mut Link, job: &Job) -> Outcome {
-        let (clock, give_up, mut reply) = (&self.reach.clock, self.give_up(job), Reply::default());
+    fn run_job(&self, link: &mut Link, job: &Job) -> JobResult {
+        let (clock, give_up, mut reply) = (&self.context.clock, self.give_up(job), Reply::default());
         // After a standstill its client's end may lie unread: the client's actor has its turn first, then the desk.
-        clock.pulse();
-        (0..TURNS).take_while(|_| clock.stood_still()).for_each(|_| self.turn());
+        clock.note_running();
+        (0..BARRIERS_AFTER_STALL)
+            .take_while(|_| clock.recently_stalled())
+            .for_each(|_| self.dispatcher_barrier());
         let now = clock.now();
         let text = match job {
             Job::Submit(submit) => {
@@ -544,22 +547,22 @@
             Job::Probe { .. } => "SHOW server_load".to_owned(),
         };
         if now >= give_up || self.cancelled(job) || !self.permitted(job, now) {
-            return Outcome { ending: AttemptOutcome::Moot, reply, usable: true };
+            return JobResult { outcome: AttemptOutcome::Moot, reply, usable: true };
         }
         if let Err(failure) = link.queue(&pg::query(&text)) {
-            return broken(&failure, reply);
+            return result_of_failure(&failure, reply);
         }
         let mut written = false;
         for busy in 1u32.. {
             // What the machine did not take at once begins only with its last byte.
             if busy > 1 && !link.flushed() && !self.may_continue(job) {
-                return Outcome { ending: AttemptOutcome::Moot, reply, usable: false };
+                return JobResult { outcome: AttemptOutcome::Moot, reply, usable: false };
             }
             let pumped = link.pump();
             if let Err(why) = self.read(link, &mut reply, now) {
-                slog::warn!(self.reach.log, "a member talks nonsense"; "member" => self.member, "why" => why);
+                slog::warn!(self.context.log, "a member talks nonsense"; "member" => self.member, "why" => why);
                 // Nothing that such an answer says is believed.
-                return Outcome { ending: AttemptOutcome::Spoilt, reply: Reply::default(), usable: false };
+                return JobResult { outcome: AttemptOutcome::Spoilt, reply: Reply::default(), usable: false };
             }
             let unsent = !link.flushed();
             if !unsent
@@ -568,24 +571,27 @@
             {
                 submit.permit.record_written(clock.now());
                 let event = RequestEvent::Written { server: self.member, connection: self.id };
-                self.reach.request_log.request(submit.ticket, event);
+                self.context.request_log.request(submit.request_id, event);
             }
             if reply.ready {
                 // Ready without an answer is no proof of anything.
-                let Some(ending) = reply.ending().filter(|_| !unsent) else {
-                    return Outcome {
-                        ending: AttemptOutcome::Spoilt,
+                let Some(outcome) = reply.outcome().filter(|_| !unsent) else {
+                    return JobResult {
+                        outcome: AttemptOutcome::Spoilt,
                         reply: Reply::default(),
                         usable: false,
                     };
                 };
-                return Outcome { ending, reply, usable: true };
+                return JobResult { outcome, reply, usable: true };
             }
             match pumped {
-                Err(failure) => return broken(&failure, reply),
+                Err(failure) => return result_of_failure(&failure, reply),
                 Ok(_) if link.ended => {
                     let reached = if unsent { Reached::Connection } else { Reached::Written };
-                    return broken(&Failure { reached, why: "the member ended".to_owned() }, reply);
+                    return result_of_failure(
+                        &Failure { reached, why: "the member ended".to_owned() },
+                        reply,
+                    );
                 }
                 Ok(_) => {}
             }
@@ -594,18 +600,18 @@
             } else {
                 (clock.now() >= give_up).then_some(AttemptOutcome::TimedOut)
             };
-            if let Some(ending) = stop {
-                let ending = if unsent { AttemptOutcome::Moot } else { ending };
-                return Outcome { ending, reply, usable: false };
+            if let Some(outcome) = stop {
+                let outcome = if unsent { AttemptOutcome::Moot } else { outcome };
+                return JobResult { outcome, reply, usable: false };
             }
             if matches!(pumped, Ok(false)) {
-                self.wait(link, give_up);
+                self.wait_until(link, give_up);
             } else {
                 // An answer without an end, as fast as it is read: nobody else would have a turn.
-                clock.take_turns(busy, link.is_short());
+                clock.yield_if_busy(busy, link.is_short());
             }
         }
-        Outcome { ending: AttemptOutcome::Spoilt, reply: Reply::default(), usable: false }
+        JobResult { outcome: AttemptOutcome::Spoilt, reply: Reply::default(), usable: false }
     }
 
     /// The last look before the first byte. Probes belong to no request.
@@ -614,38 +620,38 @@
         let withheld = submit.permit.consume(now).err();
         if let Some(why) = withheld {
             let event = RequestEvent::Withheld { server: self.member, why };
-            self.reach.request_log.request(submit.ticket, event);
+            self.context.request_log.request(submit.request_id, event);
         }
         withheld.is_none()
     }
 
     fn may_continue(&self, job: &Job) -> bool {
         let Job::Submit(submit) = job else { return true };
-        submit.permit.may_continue(self.reach.clock.now()).is_ok()
+        submit.permit.may_continue(self.context.clock.now()).is_ok()
     }
 
     /// Waits, until that time at the longest. One alarm is out at a time: most txns end long before theirs.
-    fn wait(&self, link: &mut Link, until: Duration) {
-        if self.rings.get() <= self.reach.clock.now() || self.rings.get() > until {
-            self.rings.set(until);
+    fn wait_until(&self, link: &mut Link, until: Duration) {
+        if self.timer_set_for.get() <= self.context.clock.now() || self.timer_set_for.get() > until {
+            self.timer_set_for.set(until);
             let bell = link.bell();
-            self.reach.clock.run_at(until, move || bell.ring());
+            self.context.clock.run_at(until, move || bell.ring());
         }
         link.wait();
     }
 
     /// Takes up the positions of a whole answer, by the time as it is then.
     fn judge(&self, reply: &mut Reply, asked: Duration) -> Result<(), String> {
-        let (reach, member) = (&self.reach, self.member);
-        let date = |reply: &Reply| reply.position_unix.and_then(|at| reach.clock.origin().position(at));
-        plausible(reach, member, reply.role, date(reply), asked)?;
+        let (context, member) = (&self.context, self.member);
+        let date = |reply: &Reply| reply.position_unix.and_then(|at| context.clock.origin().position(at));
+        check_position(context, member, reply.role, date(reply), asked)?;
         if let Some(text) = &reply.load_text {
             // One that can't be read takes nothing from the answer that it came with.
-            let told = load_report(reach, member, text, asked);
-            if let Err(why) = &told {
-                slog::debug!(reach.log, "a load can't be read"; "member" => member, "why" => why);
+            let reported = load_report(context, member, text, asked);
+            if let Err(why) = &reported {
+                slog::debug!(context.log, "a load can't be read"; "member" => member, "why" => why);
             }
-            reply.load = told.ok();
+            reply.load = reported.ok();
         }
         // By the origin as it is now: either of the two may have corrected it. A load is judged last.
         reply.position = date(reply);
@@ -654,7 +660,7 @@
 
     fn read(&self, link: &mut Link, reply: &mut Reply, asked: Duration) -> Result<(), String> {
         while let Some((kind, body, length)) =
-            pg::message(link.inbound.make_contiguous(), self.reach.max_message_bytes)?
+            pg::message(link.inbound.make_contiguous(), self.context.max_message_bytes)?
         {
             // In this order, each once: description, row, end; or an error and nothing else.
             let next =
@@ -708,11 +714,11 @@
         Ok(())
     }
 
-    fn tell(&self, job: &Job, ending: AttemptOutcome, reply: Reply) {
-        if matches!(ending, AttemptOutcome::Dropped) {
-            self.reach.counters.connections_lost.add();
+    fn report_outcome(&self, job: &Job, outcome: AttemptOutcome, reply: Reply) {
+        if matches!(outcome, AttemptOutcome::Dropped) {
+            self.context.counters.connections_lost.add();
         }
-        tell(&self.reach, self.member, job, ending, reply);
+        report_outcome(&self.context, self.member, job, outcome, reply);
     }
 }
 
@@ -727,27 +733,27 @@
 }
 
 /// Reads what a server says of itself and judges its position; the report is dated by the origin as it is after that.
-fn load_report(reach: &PoolContext, server: usize, text: &str, asked: Duration) -> Result<Report, String> {
-    let told = report(text, &reach.clock.origin())?;
-    plausible(reach, server, told.role, told.position, asked)?;
-    report(text, &reach.clock.origin())
+fn load_report(context: &PoolContext, server: usize, text: &str, asked: Duration) -> Result<Report, String> {
+    let reported = report(text, &context.clock.origin())?;
+    check_position(context, server, reported.role, reported.position, asked)?;
+    report(text, &context.clock.origin())
 }
 
 /// No server can have a commit still to come: either its clock is wrong or this process is behind. What was known before
 /// is given up once that is proven.
-fn plausible(
-    reach: &PoolContext,
+fn check_position(
+    context: &PoolContext,
     server: usize,
     role: Option<Role>,
     position: Option<Duration>,
     asked: Duration,
 ) -> Result<(), String> {
     let Some(position) = position else { return Ok(()) };
-    let (primary, now) = (role == Some(Role::Primary), reach.clock.now());
-    match reach.clock.judge(PositionSample { server, position, primary, asked, now }) {
+    let (primary, now) = (role == Some(Role::Primary), context.clock.now());
+    match context.clock.judge(PositionSample { server, position, primary, asked, now }) {
         Verdict::Plausible => Ok(()),
         Verdict::Behind(by) => {
-            let _ = reach.dispatcher.send(DispatcherMessage::ClockAdvanced(by));
+            let _ = context.dispatcher.send(DispatcherMessage::ClockAdvanced(by));
             Ok(())
         }
         Verdict::Implausible => Err("expected a position in the past".to_owned()),
@@ -755,15 +761,15 @@
 }
 
 /// Tells the desk how a job ended.
-fn tell(reach: &PoolContext, member: usize, job: &Job, ending: AttemptOutcome, reply: Reply) {
+fn report_outcome(context: &PoolContext, member: usize, job: &Job, outcome: AttemptOutcome, reply: Reply) {
     let mail = match job {
         Job::Submit(submit) => {
             let (role, position, load) = (reply.role, reply.position, reply.load);
-            let (ticket, sent, row, at) = (submit.ticket, submit.at, reply.raw, reach.clock.now());
-            DispatcherMessage::Ended(Box::new(End {
-                ticket,
+            let (request_id, sent, row, at) = (submit.request_id, submit.at, reply.raw, context.clock.now());
+            DispatcherMessage::AttemptEnded(Box::new(AttemptEnd {
+                request_id,
                 member,
-                ending,
+                outcome,
                 role,
                 position,
                 load,
@@ -774,41 +780,41 @@
         }
         Job::Probe { .. } => {
             let text = String::from_utf8(reply.value.unwrap_or_default());
-            let told = text.map_err(|e| e.to_string()).and_then(|text| {
+            let reported = text.map_err(|e| e.to_string()).and_then(|text| {
                 let asked = if let Job::Probe { at } = job { *at } else { Duration::ZERO };
-                load_report(reach, member, &text, asked)
+                load_report(context, member, &text, asked)
             });
-            match told {
-                Ok(report) => DispatcherMessage::Probed { member, ending, report },
+            match reported {
+                Ok(report) => DispatcherMessage::Probed { member, outcome, report },
                 Err(why) => {
-                    slog::warn!(reach.log, "a report can't be read"; "why" => why);
+                    slog::warn!(context.log, "a report can't be read"; "why" => why);
                     DispatcherMessage::Probed {
                         member,
-                        ending: AttemptOutcome::Spoilt,
+                        outcome: AttemptOutcome::Spoilt,
                         report: Report::default(),
                     }
                 }
             }
         }
     };
-    let _ = reach.dispatcher.send(mail);
+    let _ = context.dispatcher.send(mail);
 }
 
-fn broken(failure: &Failure, reply: Reply) -> Outcome {
+fn result_of_failure(failure: &Failure, reply: Reply) -> JobResult {
     // An answer that came whole counts, though the connection did not last; of another nothing is believed.
     let lost = if failure.reached < Reached::Written {
         AttemptOutcome::Unreachable
     } else {
         AttemptOutcome::Dropped
     };
-    match reply.ending() {
-        Some(ending) => Outcome { ending, reply, usable: false },
-        None => Outcome { ending: lost, reply: Reply::default(), usable: false },
+    match reply.outcome() {
+        Some(outcome) => JobResult { outcome, reply, usable: false },
+        None => JobResult { outcome: lost, reply: Reply::default(), usable: false },
     }
 }
 
 /// Whether an idle connection has neither ended nor said anything out of turn.
-fn still_quiet(link: &mut Link) -> bool {
+fn is_still_idle(link: &mut Link) -> bool {
     link.pump().is_ok() && !link.ended && link.inbound.is_empty()
 }
 
--- a/crates/front/src/messages.rs
+++ b/crates/front/src/messages.rs
@@ -45,10 +45,10 @@
 
 /// A txn as its client's actor read it.
 pub struct Arrival {
-    pub ticket: u64,
+    pub request_id: u64,
     pub at: Duration,
-    pub kind: usize,
-    pub cell: u64,
+    pub txn_type: usize,
+    pub group: u64,
     pub expiry: Duration,
     pub retried: bool,
     pub session: Option<u64>,
@@ -61,10 +61,10 @@
     pub guard: RequestGuard,
 }
 
-pub struct End {
-    pub ticket: u64,
+pub struct AttemptEnd {
+    pub request_id: u64,
     pub member: usize,
-    pub ending: AttemptOutcome,
+    pub outcome: AttemptOutcome,
     pub role: Option<Role>,
     pub position: Option<Duration>,
     /// The report of itself that the member's answer held, where answers hold one.
@@ -77,30 +77,30 @@
 
 /// To the desk.
 pub enum DispatcherMessage {
-    Arrived(Box<Arrival>),
-    Left(u64),
-    Ended(Box<End>),
+    RequestArrived(Box<Arrival>),
+    ClientLeft(u64),
+    AttemptEnded(Box<AttemptEnd>),
     Probed {
         member: usize,
-        ending: AttemptOutcome,
+        outcome: AttemptOutcome,
         report: Report,
     },
     List(ServerList),
-    ListLost,
+    DiscoveryLost,
     /// Servers have proven that this process's idea of their time was behind by so much. Positions in later mail are
     /// dated by the corrected origin, those in earlier mail by the one before.
     ClockAdvanced(Duration),
     /// The pace of probes lets the next one start.
     ProbesDue,
     /// Shows that the worker runs, and how late: when it was posted, by the monotonic clock.
-    Beat {
+    WatchdogTick {
         posted: Duration,
     },
     /// Whoever posts this hears back once all that was posted before it has been taken.
-    Turn(Sender<()>),
+    Barrier(Sender<()>),
     /// Connections to members run short.
-    Short,
-    Due {
+    ConnectionsShort,
+    TimerDue {
         handle: u64,
         at: Duration,
     },
@@ -128,7 +128,7 @@
     /// What another front told of members.
     PeerObservations(Vec<u8>),
     /// What stands in place of a probe.
-    Instead {
+    PeerReport {
         member: usize,
         report: Report,
     },
@@ -201,7 +201,7 @@
 
 #[derive(Clone)]
 pub struct Submit {
-    pub ticket: u64,
+    pub request_id: u64,
     pub statement: Arc<str>,
     pub left: Range<usize>,
     /// When the front stops waiting.
@@ -222,21 +222,21 @@
     Cancel(u64),
     Address(SocketAddr),
     /// The list has it as gone: idle connections are closed, and the actor ends with the last one.
-    Leave,
+    Removed,
     /// The list has it again.
-    Stay,
+    Relisted,
     /// Those that stand idle are closed: connections run short, or the member has fallen silent.
-    Spare,
+    CloseIdle,
     /// Those that stand idle go to the process after this one, under this name.
-    Give(String, std::sync::mpsc::Sender<(String, OwnedFd)>),
+    TransferIdle(String, std::sync::mpsc::Sender<(String, OwnedFd)>),
     /// One that the process before this one had.
-    Took(TcpStream),
+    Adopt(TcpStream),
     /// From a connection: it can be woken.
-    Up(u64, Bell),
+    WakerReady(u64, Bell),
     /// From a connection: it is free for the next job.
     Idle(u64),
     /// From a connection: it has ended, and waits for word that no job comes any more.
-    Gone(u64),
+    Ended(u64),
 }
 
 /// To the discovery client.
@@ -246,11 +246,11 @@
     /// The list is to be had at this address from now on.
     SetAddress(SocketAddr),
     /// From a watch: it can be woken.
-    Up(u64, Bell),
+    WakerReady(u64, Bell),
     /// From a watch: a list, whole or of what changed.
-    Told(u64, ServerList),
+    ListReceived(u64, ServerList),
     /// From a watch: it has ended, and why.
-    Over(u64, WatchEnd),
+    WatchEnded(u64, WatchEnd),
 }
 
 /// Why a watch has ended.
--- a/crates/front/src/request_log.rs
+++ b/crates/front/src/request_log.rs
@@ -108,7 +108,7 @@
     }
 
     /// A request of a client's connection.
-    pub fn of_client(&self, client: u64, number: u64) {
+    pub fn client_request(&self, client: u64, number: u64) {
         if self.enabled {
             slog::debug!(self.log, "request of client"; "client" => client, "request" => number);
         }
@@ -121,18 +121,18 @@
     }
 
     /// A beat lay for long before it had its turn. `idle`: the worker slept meanwhile, though work was ready.
-    pub fn beat_delayed(&self, delay: Delay) {
+    pub fn tick_delayed(&self, delay: Delay) {
         if self.enabled {
             let us = |span: Duration| span.as_micros() as u64;
             let account = delay.account.unwrap_or_default();
             slog::debug!(self.log, "beat delayed"; "details" => ?delay.details, "idle" => delay.is_idle(), "waited_us" => us(account.waited),
-                "ran_us" => us(account.ran), "lay_us" => us(delay.lay));
+                "ran_us" => us(account.ran), "lay_us" => us(delay.queued_for));
         }
     }
 
     /// The one worker did not run for that long. The kernel's account of the thread (nanoseconds on a processor,
     /// nanoseconds ready and waiting for one, turns; since its start) tells a busy machine from work of its own.
-    pub fn held_up(&self, spell: Duration) {
+    pub fn worker_stalled(&self, spell: Duration) {
         if self.enabled {
             let account = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
             slog::debug!(self.log, "held up"; "ran_waited_turns" => account.trim(), "for_us" => spell.as_micros() as u64);
--- a/crates/front/src/worker_watchdog.rs
+++ b/crates/front/src/worker_watchdog.rs
@@ -1,5 +1,5 @@
 //! Tells a worker that sleeps although work is ready from one that works or waits for a processor. An alarm
-//! posts a beat to the dispatcher every [`PULSE`](crate::clock::PULSE); a beat that lay for long was not looked at, and the
+//! posts a beat to the dispatcher every [`WATCHDOG_PERIOD`](crate::clock::PULSE); a beat that lay for long was not looked at, and the
 //! kernel's account of the worker's thread says what the thread did meanwhile (`/proc/thread-self/schedstat`, proc(5)).
 
 use std::fs::File;
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Delay {
     /// From its post to its turn.
-    pub lay: Duration,
+    pub queued_for: Duration,
     /// What the worker did since the beat before it; nothing where the kernel keeps no account.
     pub account: Option<ThreadAccount>,
     /// Where they are asked for.
@@ -90,30 +90,31 @@
     /// The worker neither ran nor waited for a processor: it slept while work was ready, or the whole process was
     /// stopped.
     pub fn is_idle(&self) -> bool {
-        self.account.is_some_and(|account| (account.ran + account.waited) * MIN_ACTIVE_PART < self.lay)
+        self.account.is_some_and(|account| (account.ran + account.waited) * MIN_ACTIVE_PART < self.queued_for)
     }
 }
 
 /// Made and asked on the worker's thread only.
-pub struct WorkerWatch {
+pub struct WorkerWatchdog {
     /// Kept open: one call a beat. None where the kernel has no such file.
     file: Option<File>,
     last: ThreadAccount,
     details_file: Option<File>,
     last_details: ThreadDetails,
-    handled: Duration,
+    last_handled: Duration,
 }
 
-impl WorkerWatch {
+impl WorkerWatchdog {
     /// With `detailed` two files are read a beat in place of one.
-    pub fn new(detailed: bool) -> WorkerWatch {
+    pub fn new(detailed: bool) -> WorkerWatchdog {
         let file = File::open("/proc/thread-self/schedstat").ok();
         let details_file = detailed.then(|| File::open("/proc/thread-self/stat").ok()).flatten();
         let (last, last_details) = (ThreadAccount::default(), ThreadDetails::default());
-        let mut watch = WorkerWatch { file, last, details_file, last_details, handled: Duration::ZERO };
-        watch.last = watch.read().unwrap_or_default();
-        watch.last_details = watch.read_details().unwrap_or_default();
-        watch
+        let mut watchdog =
+            WorkerWatchdog { file, last, details_file, last_details, last_handled: Duration::ZERO };
+        watchdog.last = watchdog.read().unwrap_or_default();
+        watchdog.last_details = watchdog.read_details().unwrap_or_default();
+        watchdog
     }
 
     fn read(&self) -> Option<ThreadAccount> {
@@ -126,17 +127,21 @@
 
     /// Notes a beat that has its turn now. Gives the delay if it was held up; beats that were posted during one delay
     /// count once.
-    pub fn beat(&mut self, posted: Duration, now: Duration) -> Option<Delay> {
+    pub fn tick(&mut self, posted: Duration, now: Duration) -> Option<Delay> {
         let account = self.read();
         let spent = account.map(|account| account.since(self.last));
         self.last = account.unwrap_or_default();
         let details = self.read_details();
         let details_spent = details.map(|details| details.since(self.last_details));
         self.last_details = details.unwrap_or_default();
-        let lay = now.saturating_sub(posted);
-        let is_new = posted >= self.handled;
-        self.handled = now;
-        (is_new && lay > MAX_DELAY).then_some(Delay { lay, account: spent, details: details_spent })
+        let queued_for = now.saturating_sub(posted);
+        let is_new = posted >= self.last_handled;
+        self.last_handled = now;
+        (is_new && queued_for > MAX_DELAY).then_some(Delay {
+            queued_for,
+            account: spent,
+            details: details_spent,
+        })
     }
 }
 
--- a/crates/front/tests/dispatcher.rs
+++ b/crates/front/tests/dispatcher.rs
@@ -34,15 +34,20 @@
 }
 
 /// An order that came in then.
-fn arrival(ticket: u64, at: Duration, expiry: Duration, client: Mailbox<(u64, Answer)>) -> DispatcherMessage {
-    let (kind, cell, statement, left) = (0, 3, "".into(), 0..0);
+fn arrival(
+    request_id: u64,
+    at: Duration,
+    expiry: Duration,
+    client: Mailbox<(u64, Answer)>,
+) -> DispatcherMessage {
+    let (txn_type, group, statement, left) = (0, 3, "".into(), 0..0);
     let (retried, session, wrote_ago) = (false, None, None);
     let guard = RequestGuard::new(expiry, Box::new(Stays), Arc::default());
-    DispatcherMessage::Arrived(Box::new(Arrival {
-        ticket,
+    DispatcherMessage::RequestArrived(Box::new(Arrival {
+        request_id,
         at,
-        kind,
-        cell,
+        txn_type,
+        group,
         expiry,
         retried,
         session,
@@ -99,16 +104,16 @@
     let at = door.local_addr().expect("an address");
     let link = link_to(at);
     let (answers, told) = channel();
-    let arrival = |ticket, left| {
-        let client = Mailbox { mail: answers.clone(), bell: link.bell() };
-        arrival(ticket, now, now + Duration::from_secs(left), client)
+    let arrival = |request_id, left| {
+        let client = Mailbox { sender: answers.clone(), bell: link.bell() };
+        arrival(request_id, now, now + Duration::from_secs(left), client)
     };
     let _ = mail.send(DispatcherMessage::List(list(at)));
     let _ = mail.send(arrival(1, 9000));
     // An input that no router can take.
     let _ = mail.send(DispatcherMessage::Probed {
         member: 99,
-        ending: AttemptOutcome::Committed,
+        outcome: AttemptOutcome::Committed,
         report: Report::default(),
     });
     assert!(matches!(told.recv(), Ok((1, Answer::Unknown(_)))));
@@ -153,10 +158,10 @@
     let at = door.local_addr().expect("an address");
     let link = link_to(at);
     let (answers, told) = channel();
-    let client = Mailbox { mail: answers, bell: link.bell() };
+    let client = Mailbox { sender: answers, bell: link.bell() };
     let _ = mail.send(DispatcherMessage::List(list(at)));
     let report = Report { role: Some(Role::Primary), position: Some(clock.now()), ..Report::default() };
-    let _ = mail.send(DispatcherMessage::Probed { member: 0, ending: AttemptOutcome::Committed, report });
+    let _ = mail.send(DispatcherMessage::Probed { member: 0, outcome: AttemptOutcome::Committed, report });
     let now = clock.now();
     let _ = mail.send(arrival(1, now, now + Duration::from_secs(900), client));
     let submit = loop {
@@ -168,12 +173,12 @@
     // An input that no router can take: the txn gets its answer while its connection is still to come up.
     let _ = mail.send(DispatcherMessage::Probed {
         member: 99,
-        ending: AttemptOutcome::Committed,
+        outcome: AttemptOutcome::Committed,
         report: Report::default(),
     });
     assert!(matches!(told.recv(), Ok((1, Answer::Unknown(_)))));
     let (tell, taken) = channel();
-    let _ = mail.send(DispatcherMessage::Turn(tell));
+    let _ = mail.send(DispatcherMessage::Barrier(tell));
     let _ = taken.recv();
     assert!(submit.permit.consume(clock.now()).is_err(), "rule 1: nothing is sent after the answer");
 }
--- a/crates/front/tests/unit/member.rs
+++ b/crates/front/tests/unit/member.rs
@@ -3,7 +3,7 @@
 use super::*;
 use juniperdock_request_guard::{ClientPresence, RequestGuard};
 
-fn reach(dispatcher: Sender<DispatcherMessage>) -> PoolContext {
+fn context(dispatcher: Sender<DispatcherMessage>) -> PoolContext {
     let (clock, _ring) = Clock::start(Duration::ZERO).expect("a clock");
     let second = Duration::from_secs(1);
     PoolContext {
@@ -38,84 +38,94 @@
     let (statement, left, at) = ("".into(), 0..0, Duration::ZERO);
     let give_up = Duration::from_secs(3600);
     let permit = guard().permit(until);
-    Job::Submit(crate::messages::Submit { ticket: 7, statement, left, give_up, permit, at })
+    Job::Submit(crate::messages::Submit { request_id: 7, statement, left, give_up, permit, at })
 }
 
 #[test]
 fn mail_behind_the_word_to_leave_is_not_lost() {
-    let ((mail, read), (desk, told)) = (channel(), channel());
-    let member = MemberPool::new(3, SocketAddr::from(([127, 0, 0, 1], 1)), mail.clone(), reach(desk));
+    let ((mail, read), (desk, reported)) = (channel(), channel());
+    let member = MemberPool::new(3, SocketAddr::from(([127, 0, 0, 1], 1)), mail.clone(), context(desk));
     // All in one go: the list lets it go, and the router asks it all the same. There is no room for a connection.
-    let _ = mail.send(MemberMessage::Leave);
+    let _ = mail.send(MemberMessage::Removed);
     let _ = mail.send(MemberMessage::Job(Job::Probe { at: Duration::ZERO }));
     member.run(&read);
     let full =
-        |mail| matches!(mail, DispatcherMessage::Probed { member: 3, ending: AttemptOutcome::Full, .. });
-    assert!(told.try_iter().any(full), "it hears what came of its probe");
+        |mail| matches!(mail, DispatcherMessage::Probed { member: 3, outcome: AttemptOutcome::Full, .. });
+    assert!(reported.try_iter().any(full), "it hears what came of its probe");
 }
 
 #[test]
 fn nothing_is_connected_for_what_is_not_to_be_written_any_more() {
-    let ((mail, _read), (desk, told)) = (channel(), channel());
-    let mut reach = reach(desk);
-    reach.max_connections = 9;
-    let mut member = MemberPool::new(3, SocketAddr::from(([127, 0, 0, 1], 1)), mail, reach);
-    member.take(MemberMessage::Job(submit(Duration::ZERO)));
+    let ((mail, _read), (desk, reported)) = (channel(), channel());
+    let mut context = context(desk);
+    context.max_connections = 9;
+    let mut member = MemberPool::new(3, SocketAddr::from(([127, 0, 0, 1], 1)), mail, context);
+    member.handle(MemberMessage::Job(submit(Duration::ZERO)));
     assert!(member.connections.is_empty(), "no handshake for nobody");
-    let moot = |mail| matches!(mail, DispatcherMessage::Ended(end) if end.ticket == 7 && end.ending == AttemptOutcome::Moot);
-    assert!(told.try_iter().any(moot));
+    let moot = |mail| matches!(mail, DispatcherMessage::AttemptEnded(end) if end.request_id == 7 && end.outcome == AttemptOutcome::Moot);
+    assert!(reported.try_iter().any(moot));
 }
 
 #[test]
 fn a_look_for_a_cancel_takes_no_other_mail_away() {
     let ((pool, _pool), (desk, _desk), (mail, read)) = (channel(), channel(), channel());
-    let (kept, rings) = (RefCell::default(), Cell::default());
+    let (deferred, timer_set_for) = (RefCell::default(), Cell::default());
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
-    let line = Line { id: 1, member: 3, address, pool, reach: reach(desk), mail: read, kept, rings };
+    let connection = ServerConnection {
+        id: 1,
+        member: 3,
+        address,
+        pool,
+        context: context(desk),
+        mail: read,
+        deferred,
+        timer_set_for,
+    };
     let job = submit(Duration::MAX);
-    for ticket in [8, 9] {
-        let _ = mail.send(ToConnection::Cancel(ticket));
+    for request_id in [8, 9] {
+        let _ = mail.send(ConnectionMessage::Cancel(request_id));
     }
-    let _ = mail.send(ToConnection::Close);
-    assert!(!line.cancelled(&job), "another's");
-    let _ = mail.send(ToConnection::Cancel(7));
-    assert!(line.cancelled(&job));
+    let _ = mail.send(ConnectionMessage::Close);
+    assert!(!connection.cancelled(&job), "another's");
+    let _ = mail.send(ConnectionMessage::Cancel(7));
+    assert!(connection.cancelled(&job));
     drop(mail);
-    let mut left = std::iter::from_fn(|| line.next_mail().ok());
-    assert!(left.any(|mail| matches!(mail, ToConnection::Close)), "it is still told to close");
-    assert!(line.next_mail().is_err());
+    let mut left = std::iter::from_fn(|| connection.next_message().ok());
+    assert!(left.any(|mail| matches!(mail, ConnectionMessage::Close)), "it is still told to close");
+    assert!(connection.next_message().is_err());
 }
 
 #[test]
 fn a_report_not_made_yet_tells_no_role() {
     let origin = Origin { start: 1_796_135_196_000_000, zero: 0 };
-    let told = |text| report(text, &origin).expect("a report");
-    let none = told("x0=0.000,x1=0,q=0,busy=0");
+    let reported = |text| report(text, &origin).expect("a report");
+    let none = reported("x0=0.000,x1=0,q=0,busy=0");
     assert!(none.role.is_none() && none.position.is_none());
-    assert!(told("").role.is_none());
-    let made = told("x0=1796135196.444,x1=1,q=0,busy=0.056");
+    assert!(reported("").role.is_none());
+    let made = reported("x0=1796135196.444,x1=1,q=0,busy=0.056");
     assert_eq!((made.role, made.position), (Some(Role::Primary), Some(Duration::from_millis(444))));
     assert!(report("x0=soon", &origin).is_err());
 }
 
 /// Carries one job over a connection of its own, as its coroutine does; gives what the dispatcher is told.
-fn carry(address: SocketAddr, mail: Receiver<ToConnection>) -> Vec<DispatcherMessage> {
-    let ((pool, _pool), (desk, told)) = (channel(), channel());
+fn carry(address: SocketAddr, mail: Receiver<ConnectionMessage>) -> Vec<DispatcherMessage> {
+    let ((pool, _pool), (desk, reported)) = (channel(), channel());
     let (ended, end) = std::sync::mpsc::channel();
-    let reach = reach(desk);
-    spawn("line", reach.stack_bytes, move || {
-        let (kept, rings) = (RefCell::default(), Cell::default());
-        let line = Line { id: 1, member: 3, address, pool, reach, mail, kept, rings };
-        line.live(&mut Some(submit(Duration::from_secs(3600))), None);
+    let context = context(desk);
+    spawn("line", context.stack_bytes, move || {
+        let (deferred, timer_set_for) = (RefCell::default(), Cell::default());
+        let connection =
+            ServerConnection { id: 1, member: 3, address, pool, context, mail, deferred, timer_set_for };
+        connection.serve_jobs(&mut Some(submit(Duration::from_secs(3600))), None);
         let _ = ended.send(());
     })
     .expect("a coroutine");
     end.recv_timeout(Duration::from_secs(20)).expect("it ends");
-    told.try_iter().collect()
+    reported.try_iter().collect()
 }
 
 fn is_moot(mail: &DispatcherMessage) -> bool {
-    matches!(mail, DispatcherMessage::Ended(end) if end.ticket == 7 && end.ending == AttemptOutcome::Moot)
+    matches!(mail, DispatcherMessage::AttemptEnded(end) if end.request_id == 7 && end.outcome == AttemptOutcome::Moot)
 }
 
 #[test]
@@ -128,7 +138,7 @@
         let mut all = vec![0; pg::startup("api", "ledger").len()];
         std::io::Read::read_exact(&mut stream, &mut all).expect("an opening");
         // Nobody rings: the cancel lies in the mail when the welcome comes.
-        let _ = mail.send(ToConnection::Cancel(7));
+        let _ = mail.send(ConnectionMessage::Cancel(7));
         drop(mail);
         let mut welcome = Vec::new();
         pg::welcome(&mut welcome);
@@ -145,7 +155,7 @@
     let door = std::net::TcpListener::bind("127.0.0.1:0").expect("a free address");
     let address = door.local_addr().expect("an address");
     let (mail, read) = channel();
-    let _ = mail.send(ToConnection::Cancel(7));
+    let _ = mail.send(ConnectionMessage::Cancel(7));
     assert!(carry(address, read).iter().any(is_moot), "it never ran");
     door.set_nonblocking(true).expect("a socket");
     assert!(door.accept().is_err(), "no handshake for nobody");
--- a/crates/front/tests/unit/worker_watchdog.rs
+++ b/crates/front/tests/unit/worker_watchdog.rs
@@ -6,8 +6,12 @@
     Duration::from_millis(ms)
 }
 
-fn delay(lay: u64, ran: u64, waited: u64) -> Delay {
-    Delay { lay: ms(lay), account: Some(ThreadAccount { ran: ms(ran), waited: ms(waited) }), details: None }
+fn delay(queued_for: u64, ran: u64, waited: u64) -> Delay {
+    Delay {
+        queued_for: ms(queued_for),
+        account: Some(ThreadAccount { ran: ms(ran), waited: ms(waited) }),
+        details: None,
+    }
 }
 
 #[test]
@@ -16,7 +20,7 @@
     assert!(delay(90, 0, 1).is_idle());
     assert!(!delay(90, 30, 0).is_idle(), "it worked");
     assert!(!delay(90, 0, 80).is_idle(), "the machine was busy");
-    assert!(!Delay { lay: ms(90), account: None, details: None }.is_idle(), "nothing is known");
+    assert!(!Delay { queued_for: ms(90), account: None, details: None }.is_idle(), "nothing is known");
 }
 
 #[test]
@@ -37,11 +41,11 @@
 
 #[test]
 fn beats_of_one_delay_count_once() {
-    let mut watch = WorkerWatch::new(true);
-    assert_eq!(watch.beat(ms(20), ms(21)), None);
-    assert_eq!(watch.beat(ms(40), ms(150)).map(|delay| delay.lay), Some(ms(110)));
+    let mut watchdog = WorkerWatchdog::new(true);
+    assert_eq!(watchdog.tick(ms(20), ms(21)), None);
+    assert_eq!(watchdog.tick(ms(40), ms(150)).map(|delay| delay.queued_for), Some(ms(110)));
     // Posted while the one before lay.
-    assert_eq!(watch.beat(ms(60), ms(150)), None);
-    assert_eq!(watch.beat(ms(160), ms(161)), None);
-    assert_eq!(watch.beat(ms(180), ms(230)).map(|delay| delay.lay), Some(ms(50)));
+    assert_eq!(watchdog.tick(ms(60), ms(150)), None);
+    assert_eq!(watchdog.tick(ms(160), ms(161)), None);
+    assert_eq!(watchdog.tick(ms(180), ms(230)).map(|delay| delay.queued_for), Some(ms(50)));
 }
