--- a/crates/front/src/acceptor.rs
+++ b/crates/front/src/acceptor.rs
@@ -8,14 +8,14 @@
 use std::sync::atomic::Ordering;
 
 /// What goes out are answers, each as long as the server's.
-const LIMITS: BufferLimits = BufferLimits { inbound: client::MAX_INBOUND, outbound: usize::MAX };
+const BUFFER_LIMITS: BufferLimits = BufferLimits { inbound: client::MAX_INBOUND, outbound: usize::MAX };
 
 impl SharedClients {
     /// A client counts from here on, however late it comes to run. One that another process had in hand may
     /// be open, and have sent something that is unread.
     pub fn admit(self: Arc<Self>, stream: TcpStream, unread: &[u8], open: bool, skipping: bool) {
         self.counters.clients.add();
-        let link = match Link::came(stream, LIMITS) {
+        let link = match Link::came(stream, BUFFER_LIMITS) {
             Ok(mut link) => {
                 link.inbound.extend(unread);
                 link
--- a/crates/front/src/client.rs
+++ b/crates/front/src/client.rs
@@ -93,14 +93,14 @@
 
 /// Serves a client until its connection ends.
 pub fn run(link: Link, slot: u64, has_slot: bool, open: bool, skipping: bool, shared: Arc<SharedClients>) {
-    let (sender, answers) = channel();
-    let mailbox = Mailbox { sender, bell: link.bell() };
+    let (sender, receiver) = channel();
+    let mailbox = Mailbox { sender, waker: link.bell() };
     let mut client = Client {
         shared,
         slot,
         has_slot,
         link,
-        answers: answers,
+        answers: receiver,
         mailbox,
         open,
         no_txn_yet: true,
@@ -256,15 +256,16 @@
 
     /// Sets out for another process, if it is between txns.
     fn try_transfer(&mut self) -> bool {
-        let between =
+        let is_between_txns =
             self.pipeline.is_empty() && self.link.flushed() && self.closing.is_none() && !self.link.ended;
-        let Some(descriptor) = Some(between).filter(|b| *b).and_then(|_| self.link.descriptor().ok()) else {
+        let Some(descriptor) = Some(is_between_txns).filter(|b| *b).and_then(|_| self.link.descriptor().ok())
+        else {
             return false;
         };
         let transfer_to = self.shared.transfer_to.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(transfers) = transfer_to.as_ref() else { return false };
         let state = Arc::new(AtomicU8::new(TRANSFER_PENDING));
-        let result = TransferResult { state: state.clone(), bell: self.link.bell() };
+        let result = TransferResult { state: state.clone(), waker: self.link.bell() };
         let unread = self.link.inbound.iter().copied().collect();
         let (number, open, skipping) = (self.slot, self.open, self.skipping);
         if transfers.send(ClientTransfer { number, descriptor, unread, open, skipping, result }).is_err() {
@@ -282,11 +283,11 @@
             .into_iter()
             .flatten()
             .fold(self.next_check, Duration::min);
-        let rung = self.timer_set_for > self.shared.clock.now() && self.timer_set_for <= next;
-        if next < Duration::MAX && !rung {
+        let timer_is_set = self.timer_set_for > self.shared.clock.now() && self.timer_set_for <= next;
+        if next < Duration::MAX && !timer_is_set {
             self.timer_set_for = next;
-            let bell = self.link.bell();
-            self.shared.clock.run_at(next, move || bell.ring());
+            let waker = self.link.bell();
+            self.shared.clock.run_at(next, move || waker.ring());
         }
         self.link.wait();
     }
@@ -294,8 +295,8 @@
     /// Sees to it that what a client has begun gets to its end: a place is not kept by saying nothing, nor by
     /// a message without an end.
     fn enforce_message_time(&mut self) {
-        let waits = self.accepts_more() && (!self.open || !self.link.inbound.is_empty());
-        if !waits {
+        let is_waiting = self.accepts_more() && (!self.open || !self.link.inbound.is_empty());
+        if !is_waiting {
             self.message_due = None;
             return;
         }
@@ -381,7 +382,7 @@
     fn next_message(&mut self) -> bool {
         let mut out = Vec::new();
         let taken = if self.open { self.read_message(&mut out) } else { self.read_startup(&mut out) };
-        let went_on = match taken {
+        let progressed = match taken {
             Ok(length) => {
                 self.link.inbound.drain(..length);
                 self.arrival_times.consume(length);
@@ -398,7 +399,7 @@
         if !out.is_empty() {
             self.pipeline.push_answer(out);
         }
-        went_on
+        progressed
     }
 
     fn read_startup(&mut self, out: &mut Vec<u8>) -> Result<usize, String> {
@@ -550,9 +551,9 @@
         });
         let request_id = self.shared.next_request_id.fetch_add(1, Ordering::Relaxed);
         let (retried, expiry) = (field("r") == Some("1"), at + Duration::from_millis(ms));
-        let waits = expiry.saturating_sub(self.shared.clock.now());
+        let is_waiting = expiry.saturating_sub(self.shared.clock.now());
         let received =
-            RequestEvent::Received { id: field("id").unwrap_or_default(), class: txn_type, left: waits };
+            RequestEvent::Received { id: field("id").unwrap_or_default(), class: txn_type, left: is_waiting };
         self.shared.request_log.request(request_id, received);
         let (left, client) = (pg::place(&statement, left), self.mailbox.clone());
         let watch = self.link.peer_watch();
@@ -587,8 +588,8 @@
             out = error;
             &counters.invalid
         }
-        Answer::Declined(come_back) => {
-            let detail = come_back.map(|wait| wait.as_millis().to_string());
+        Answer::Declined(retry_after) => {
+            let detail = retry_after.map(|wait| wait.as_millis().to_string());
             let text = "declined, trying again is harmless";
             pg::error(&mut out, false, pg::TOO_MANY, text, detail.as_deref());
             &counters.declined
--- a/crates/front/src/clients.rs
+++ b/crates/front/src/clients.rs
@@ -76,7 +76,7 @@
 /// What became of a client that was to move; tells its actor.
 pub struct TransferResult {
     pub(crate) state: Arc<AtomicU8>,
-    pub(crate) bell: Bell,
+    pub(crate) waker: Bell,
 }
 
 /// Which clients between txns move to another process: none, those that have rested, all.
@@ -92,7 +92,7 @@
     /// It is the other process's, or it is served here again.
     pub fn complete(&self, taken: bool) {
         self.state.store(if taken { TRANSFER_ACCEPTED } else { TRANSFER_REFUSED }, Ordering::Release);
-        self.bell.ring();
+        self.waker.ring();
     }
 }
 
@@ -104,7 +104,7 @@
 }
 
 pub(crate) struct ClientSlot {
-    bell: Bell,
+    waker: Bell,
     /// Since when it is between txns; it may be asked to leave then.
     pub(crate) idle_since: Option<Duration>,
     /// It has sent its opening.
@@ -131,7 +131,7 @@
         let closes = self.taken.values_mut().filter(idle).min_by_key(|slot| (slot.open, slot.idle_since));
         if let Some(slot) = closes {
             slot.asked_to_leave = true;
-            slot.bell.ring();
+            slot.waker.ring();
             return true;
         }
         false
@@ -161,13 +161,13 @@
         *self.transfer_to.lock().unwrap_or_else(PoisonError::into_inner) = Some(transfers);
         self.transfer_mode.store(TRANSFER_IDLE, Ordering::Release);
         let now = self.clock.now();
-        self.slots().taken.values().filter(|slot| slot.idle_for_min(now)).for_each(|slot| slot.bell.ring());
+        self.slots().taken.values().filter(|slot| slot.idle_for_min(now)).for_each(|slot| slot.waker.ring());
     }
 
     /// From now on all clients between txns are.
     pub fn transfer_all(&self) {
         self.transfer_mode.store(TRANSFER_ALL, Ordering::Release);
-        self.slots().taken.values().for_each(|slot| slot.bell.ring());
+        self.slots().taken.values().for_each(|slot| slot.waker.ring());
     }
 
     /// Whether this client is to set out.
@@ -220,13 +220,13 @@
     fn wake_all(self: &Arc<Self>) {
         let clients = self.clone();
         self.clock.run_at(Duration::ZERO, move || {
-            clients.slots().taken.values().for_each(|slot| slot.bell.ring());
+            clients.slots().taken.values().for_each(|slot| slot.waker.ring());
         });
     }
 
     /// ClientSlots a client. Where all slots are taken, the client longest between txns is asked to leave; where
     /// none is between txns, the new one gets none of its own: `false`.
-    pub(crate) fn allocate_slot(&self, bell: Bell) -> (u64, bool) {
+    pub(crate) fn allocate_slot(&self, waker: Bell) -> (u64, bool) {
         let now = self.clock.now();
         let mut slots = self.slots();
         let found = slots.taken.len() < self.max_clients || slots.ask_to_leave(now, MIN_IDLE);
@@ -234,7 +234,7 @@
         let id = slots.next;
         slots.taken.insert(
             id,
-            ClientSlot { bell, idle_since: Some(now), open: false, asked_to_leave: false, closing: false },
+            ClientSlot { waker, idle_since: Some(now), open: false, asked_to_leave: false, closing: false },
         );
         (id, found)
     }
--- a/crates/front/src/connect.rs
+++ b/crates/front/src/connect.rs
@@ -1,4 +1,4 @@
-//! Opens a connection from an actor: waits for the handshake by the clock's alarms, hears its bell while it waits, and
+//! Opens a connection from an actor: waits for the handshake by the clock's alarms, hears its waker while it waits, and
 //! tries again after a pause while this machine is short of something.
 
 use crate::clock::{Clock, SHORTAGE_PAUSE};
@@ -43,7 +43,7 @@
     }
 }
 
-/// Connects. `on_started` gets the bell that ends the wait, so that whoever cancels can ring it; the bell rings by itself at
+/// Connects. `on_started` gets the waker that ends the wait, so that whoever cancels can ring it; the waker rings by itself at
 /// `until`, then too where the connection is up before. `cancelled` is asked each time that the coroutine wakes.
 ///
 /// # Errors
@@ -81,9 +81,9 @@
     on_started: &dyn Fn(Bell),
     cancelled: &dyn Fn() -> bool,
 ) -> Result<Link, ConnectFailure> {
-    let bell = connecting.bell();
-    on_started(bell.clone());
-    clock.run_at(request.until, move || bell.ring());
+    let waker = connecting.bell();
+    on_started(waker.clone());
+    clock.run_at(request.until, move || waker.ring());
     while !connecting.is_up()? {
         if cancelled() {
             return Err(ConnectFailure::Cancelled);
--- a/crates/front/src/discovery_client.rs
+++ b/crates/front/src/discovery_client.rs
@@ -28,7 +28,7 @@
 /// A watch that is open or being opened.
 struct WatchHandle {
     number: u64,
-    bell: Option<Bell>,
+    waker: Option<Bell>,
     stop: Arc<AtomicBool>,
 }
 
@@ -94,9 +94,9 @@
                         self.open();
                     }
                 }
-                DiscoveryMessage::WakerReady(number, bell) => {
+                DiscoveryMessage::WakerReady(number, waker) => {
                     if let Some(watch) = self.watches.iter_mut().find(|watch| watch.number == number) {
-                        watch.bell = Some(bell);
+                        watch.waker = Some(waker);
                     }
                 }
                 DiscoveryMessage::ListReceived(number, list) => self.list_received(number, list),
@@ -108,7 +108,7 @@
     fn open(&mut self) {
         self.opened += 1;
         let (number, stop) = (self.opened, Arc::new(AtomicBool::new(false)));
-        self.watches.push(WatchHandle { number, bell: None, stop: stop.clone() });
+        self.watches.push(WatchHandle { number, waker: None, stop: stop.clone() });
         let watch = Watch {
             number,
             address: self.address,
@@ -134,7 +134,7 @@
         let Some(at) = self.watches.iter().position(|watch| watch.number == number) else { return };
         for old in self.watches.drain(..at) {
             old.stop.store(true, Ordering::Relaxed);
-            old.bell.iter().for_each(Bell::ring);
+            old.waker.iter().for_each(Bell::ring);
         }
         self.backoff.reset();
         if let Some(list) = self.versions.accept(number, list) {
@@ -182,8 +182,8 @@
     fn run(&self, after: Option<u64>) -> WatchEnd {
         let failed = |why: String| WatchEnd::Failed(why);
         let (request, begun) = (watch_request(&self.address.to_string(), after), self.clock.now());
-        let up = |bell| {
-            let _ = self.list.send(DiscoveryMessage::WakerReady(self.number, bell));
+        let up = |waker| {
+            let _ = self.list.send(DiscoveryMessage::WakerReady(self.number, waker));
         };
         let wanted =
             ConnectRequest { to: self.address, until: begun + CONNECT_TIMEOUT, limits: BUFFER_LIMITS };
@@ -196,8 +196,8 @@
             return failed(why.to_string());
         }
         let (mut answer, mut signs, mut silent) = (Answer::default(), 0, begun + FIRST_LIST_TIMEOUT);
-        let bell = link.bell();
-        self.clock.run_at(silent, move || bell.ring());
+        let waker = link.bell();
+        self.clock.run_at(silent, move || waker.ring());
         for busy in 1u32.. {
             if stopped() {
                 break;
@@ -215,8 +215,8 @@
             let now = self.clock.now();
             if answer.signs > signs {
                 (signs, silent) = (answer.signs, now + SILENCE_TIMEOUT);
-                let bell = link.bell();
-                self.clock.run_at(silent, move || bell.ring());
+                let waker = link.bell();
+                self.clock.run_at(silent, move || waker.ring());
             }
             match moved {
                 Err(why) => return failed(why.to_string()),
--- a/crates/front/src/dispatcher.rs
+++ b/crates/front/src/dispatcher.rs
@@ -140,9 +140,9 @@
     fn watchdog_tick(&mut self, posted: Duration, watchdog: &mut WorkerWatchdog) {
         let RouterHost { clock, counters, request_log, .. } = &self.host;
         clock.note_tick();
-        if let Some(spell) = clock.take_stall() {
+        if let Some(stall) = clock.take_stall() {
             counters.worker_standstills.add();
-            request_log.worker_stalled(spell);
+            request_log.worker_stalled(stall);
         }
         if let Some(delay) = watchdog.tick(posted, clock.now()) {
             counters.worker_idle_delays.add_if(delay.is_idle());
@@ -219,9 +219,9 @@
         let Some(observer) = &mut self.host.observer else { return };
         observer.update_view(has_majority, shard_roles, rate);
         let (every, due) = (observer.probe_interval(), observer.due_probes(now));
-        let parts: Vec<usize> = observer.probed_shards().map(|(shard, _)| shard).collect();
+        let shards: Vec<usize> = observer.probed_shards().map(|(shard, _)| shard).collect();
         let mut pieces = Vec::new();
-        for shard in parts {
+        for shard in shards {
             pieces.extend(observer.take_updates(shard).into_iter().map(|piece| (shard, piece)));
         }
         due.into_iter().for_each(|member| self.router.probe_member(now, member, &mut self.host));
@@ -281,8 +281,8 @@
 
     /// Limits that were laid down since the start count for every router.
     fn apply_wait_limits(&mut self) {
-        if let Some((most, share)) = self.wait_limits {
-            self.router.set_wait_queue_limits(most);
+        if let Some((limits, share)) = self.wait_limits {
+            self.router.set_wait_queue_limits(limits);
             self.router.set_unexecuted_wait_share(share);
         }
     }
@@ -387,8 +387,8 @@
                 }
                 Err(why) => slog::warn!(self.log, "a snapshot is refused"; "why" => why),
             },
-            DispatcherMessage::SetWaitLimits(most, share) => {
-                self.wait_limits = Some((most, share));
+            DispatcherMessage::SetWaitLimits(limits, share) => {
+                self.wait_limits = Some((limits, share));
                 self.apply_wait_limits();
             }
             DispatcherMessage::TransferIdle(to) => {
@@ -450,7 +450,7 @@
             arrival: a,
             answered: false,
             in_flight: None,
-            submitted: false,
+            attempted: false,
             timers: Vec::new(),
         });
         let host = &mut self.host;
@@ -486,7 +486,7 @@
         ) {
             self.host.observer.iter_mut().for_each(|observer| observer.record_failure(end.member));
         }
-        let over = matches!(end.outcome, AttemptOutcome::Committed | AttemptOutcome::Invalid);
+        let is_final = matches!(end.outcome, AttemptOutcome::Committed | AttemptOutcome::Invalid);
         match end.outcome {
             AttemptOutcome::Committed => self.host.answer(txn, Answer::Committed(end.row)),
             AttemptOutcome::Invalid => self.host.answer(txn, Answer::Invalid(end.row)),
@@ -494,7 +494,7 @@
         }
         let (member, outcome, took) = (end.member, end.outcome, end.at.saturating_sub(end.sent));
         let (role, position, host) = (end.role, end.position, &mut self.host);
-        self.router.submission_ended(now, txn, over, member, outcome, role, position, took, host);
+        self.router.submission_ended(now, txn, is_final, member, outcome, role, position, took, host);
         // A report is worth the same whether it was asked for or came with an answer.
         if let Some(load) = end.load {
             self.router.probe_ended(now, member, AttemptOutcome::Committed, load, &mut self.host);
@@ -502,12 +502,12 @@
     }
 
     /// How groups stand: those in the order in which the list first named them, up to so many.
-    fn status(&self, group: Option<u64>, most: usize) -> Value {
+    fn status(&self, group: Option<u64>, max_groups: usize) -> Value {
         let (host, tracker) = (&self.host, self.router.primary_tracker());
         let known =
             (0..host.groups.len()).filter(|&at| group.is_none_or(|group| *host.groups.id(at) == group));
         let groups: Vec<Value> = known
-            .take(most)
+            .take(max_groups)
             .map(|at| {
                 let plan = tracker.plan(at).filter(|plan| !plan.ended());
                 serde_json::json!({
--- a/crates/front/src/dispatcher/host.rs
+++ b/crates/front/src/dispatcher/host.rs
@@ -25,7 +25,7 @@
     /// The attempt that is out: its server, and whether it may still be written.
     pub(super) in_flight: Option<(usize, AttemptPermit)>,
     /// Whether any attempt was ever made.
-    pub(super) submitted: bool,
+    pub(super) attempted: bool,
     /// Reminders of it that have not been due.
     pub(super) timers: Vec<TimerHandle>,
 }
@@ -70,10 +70,11 @@
     /// What was told of a member, in place of a report that it makes now. A position from before this process's
     /// start can't be said here.
     pub(super) fn peer_report(&self, now: Duration, member: usize) -> Option<Report> {
-        let fact = self.observer.as_ref()?.fresh_observation(now, self.unix(now), member)?;
-        let position = Some(fact.position.checked_sub(span(self.origin.start))?);
-        let role = fact.primary.map(|primary| if primary { Role::Primary } else { Role::Replica });
-        let (queue, busy) = (fact.queue.map(f64::from), fact.busy.map(|busy| f64::from(busy) / 100.0));
+        let observation = self.observer.as_ref()?.fresh_observation(now, self.unix(now), member)?;
+        let position = Some(observation.position.checked_sub(span(self.origin.start))?);
+        let role = observation.primary.map(|primary| if primary { Role::Primary } else { Role::Replica });
+        let (queue, busy) =
+            (observation.queue.map(f64::from), observation.busy.map(|busy| f64::from(busy) / 100.0));
         Some(Report { position, role, queue, busy })
     }
 
@@ -104,14 +105,14 @@
             self.members[member] = None;
         }
         let Some(first @ (MemberMessage::Job(_) | MemberMessage::Adopt(_))) = unsent else { return };
-        let (message, read) = channel();
-        self.members[member] = Some(message.clone());
-        let nowhere = SocketAddr::from(([0; 4], 0));
-        let address = self.servers.get(member).map_or(nowhere, |server| server.address);
-        if let Err(why) = (self.spawn_member)(member, address, read, message.clone()) {
+        let (sender, receiver) = channel();
+        self.members[member] = Some(sender.clone());
+        let unknown_address = SocketAddr::from(([0; 4], 0));
+        let address = self.servers.get(member).map_or(unknown_address, |server| server.address);
+        if let Err(why) = (self.spawn_member)(member, address, receiver, sender.clone()) {
             slog::error!(self.log, "a member has no actor"; "why" => why);
         }
-        let _ = message.send(first);
+        let _ = sender.send(first);
     }
 
     /// Takes a txn out of what is in hand; nothing comes due or is written for it any more.
@@ -127,10 +128,10 @@
 
     /// Takes out all that have neither an answer nor ever had an attempt: they certainly have not run.
     pub(super) fn remove_unattempted(&mut self) -> Vec<OpenRequest> {
-        let waits = |request: &Option<OpenRequest>| {
-            request.as_ref().is_some_and(|request| !request.answered && !request.submitted)
+        let is_waiting = |request: &Option<OpenRequest>| {
+            request.as_ref().is_some_and(|request| !request.answered && !request.attempted)
         };
-        let waiting: Vec<usize> = (0..self.txns.len()).filter(|&txn| waits(&self.txns[txn])).collect();
+        let waiting: Vec<usize> = (0..self.txns.len()).filter(|&txn| is_waiting(&self.txns[txn])).collect();
         waiting.into_iter().filter_map(|txn| self.remove_request(txn)).collect()
     }
 }
@@ -144,10 +145,10 @@
         let permit = request.arrival.guard.permit(until);
         self.unwritten.push(txn);
         request.in_flight = Some((member, permit.clone()));
-        request.submitted = true;
+        request.attempted = true;
         let Arrival { request_id, expiry, .. } = *request.arrival;
         let (statement, left) = (request.arrival.statement.clone(), request.arrival.left.clone());
-        let submit = Submit { request_id, statement, left, give_up: expiry, permit, at };
+        let submit = Submit { request_id, statement, left, deadline: expiry, permit, at };
         self.counters.submitted.add();
         self.send_to_member(member, MemberMessage::Job(Job::Submit(submit)));
     }
@@ -160,8 +161,8 @@
         }
     }
 
-    fn decline(&mut self, txn: usize, come_back: Option<Duration>) {
-        self.answer(txn, Answer::Declined(come_back));
+    fn decline(&mut self, txn: usize, retry_after: Option<Duration>) {
+        self.answer(txn, Answer::Declined(retry_after));
     }
 
     fn answer_unknown(&mut self, txn: usize) {
--- a/crates/front/src/dispatcher/snapshot.rs
+++ b/crates/front/src/dispatcher/snapshot.rs
@@ -17,37 +17,37 @@
         let (host, router, start) = (&self.host, &mut self.router, self.host.origin.start);
         let unix = |at: Duration| start + at.as_micros() as i64;
         let members = host.servers.known().filter_map(|(at, _)| {
-            let kept = router.snapshot_member(now, at)?;
+            let state = router.snapshot_member(now, at)?;
             Some(MemberRecord {
                 id: host.ids.id(at).clone(),
-                drains: kept.draining,
-                warm_at: (!kept.warm_at.is_zero()).then(|| unix(kept.warm_at)),
-                position: kept.position.map(unix),
-                sent: kept.work_sent,
-                room: kept.concurrency_limit,
-                slow: kept.slowness,
-                shunned: (kept.avoid_until > now).then(|| unix(kept.avoid_until)),
-                term: kept.claims.term,
-                served: kept.claims.last_served.map(unix),
-                stepped: kept.claims.stepped_down.map(unix),
-                heard: kept.claims.last_observed.map(unix),
+                drains: state.draining,
+                warm_at: (!state.warm_at.is_zero()).then(|| unix(state.warm_at)),
+                position: state.position.map(unix),
+                sent: state.work_sent,
+                room: state.concurrency_limit,
+                slow: state.slowness,
+                shunned: (state.avoid_until > now).then(|| unix(state.avoid_until)),
+                term: state.claims.term,
+                served: state.claims.last_served.map(unix),
+                stepped: state.claims.stepped_down.map(unix),
+                heard: state.claims.last_observed.map(unix),
             })
         });
         let members = members.collect();
         let groups = (0..host.groups.len()).map(|at| {
-            let kept = router.snapshot_group(at);
+            let state = router.snapshot_group(at);
             GroupRecord {
                 group: *host.groups.id(at),
-                term: kept.term,
-                last: kept.last_primary.map(|last| host.ids.id(last).clone()),
-                began: kept.began.map(unix),
-                newest: kept.newest_claim.map(unix),
-                vacancies: kept.leaderless_durations.as_bytes().to_vec(),
+                term: state.term,
+                last: state.last_primary.map(|last| host.ids.id(last).clone()),
+                began: state.began.map(unix),
+                newest: state.newest_claim.map(unix),
+                vacancies: state.leaderless_durations.as_bytes().to_vec(),
             }
         });
         let groups = groups.collect();
-        let txn_types = self.txn_types.iter().enumerate().map(|(kind, name)| {
-            let (typical, usual) = router.snapshot_type(kind);
+        let txn_types = self.txn_types.iter().enumerate().map(|(txn_type, name)| {
+            let (typical, usual) = router.snapshot_type(txn_type);
             TxnTypeRecord { name: name.clone(), typical, usual }
         });
         let (taken, machine_time) = (unix(now), machine_time());
@@ -56,28 +56,28 @@
 
     /// Takes up what the process before this one knew of members, groups and types that are here too.
     pub(super) fn restore_snapshot(&mut self, now: Duration, bytes: &[u8]) -> Result<Duration, String> {
-        let mut memory = juniperdock_snapshot::decode(bytes)?;
+        let mut snapshot = juniperdock_snapshot::decode(bytes)?;
         let start = self.host.origin.start;
         let unix = start + now.as_micros() as i64;
-        let age = memory.age(unix, machine_time().as_ref())?;
-        memory.rebase(unix, age);
-        let worth = Decay::of(age);
+        let age = snapshot.age(unix, machine_time().as_ref())?;
+        snapshot.rebase(unix, age);
+        let decay = Decay::of(age);
         // What was before this process's start is at its start: all that comes now is later.
         let since = |unix: i64| span(unix - start);
         let proven = |unix: i64| u64::try_from(unix - start).ok().map(Duration::from_micros);
         let (host, router) = (&mut self.host, &mut self.router);
-        for group in &memory.groups {
+        for group in &snapshot.groups {
             let Some(at) = host.groups.known(&group.group) else { continue };
-            let kept = GroupSnapshot {
+            let state = GroupSnapshot {
                 term: group.term,
                 last_primary: group.last.as_ref().and_then(|last| host.ids.known(last)),
                 began: group.began.map(since),
                 newest_claim: group.newest.map(since),
                 leaderless_durations: LeaderlessDurations::from_bytes(&group.vacancies),
             };
-            router.restore_group(now, at, &kept);
+            router.restore_group(now, at, &state);
         }
-        for member in &memory.members {
+        for member in &snapshot.members {
             let Some(at) = host.ids.known(&member.id) else { continue };
             let last_served = member.served.map(since);
             // Before this process's start all times are one: what came later stays later.
@@ -87,7 +87,7 @@
             let last_observed =
                 member.heard.filter(|&heard| span(unix - heard) < MAX_SAFE_SILENCE).map(since);
             let claims = ClaimsSnapshot { term: member.term, last_served, stepped_down, last_observed };
-            let kept = MemberSnapshot {
+            let state = MemberSnapshot {
                 draining: member.drains,
                 warm_at: member.warm_at.map(since).unwrap_or_default(),
                 position: member.position.and_then(proven),
@@ -97,11 +97,11 @@
                 avoid_until: member.shunned.map(since).unwrap_or_default(),
                 claims,
             };
-            router.restore_member(now, at, &kept, worth);
+            router.restore_member(now, at, &state, decay);
         }
-        for known in &memory.types {
-            if let Some(kind) = self.txn_types.iter().position(|name| *name == known.name) {
-                router.restore_type(kind, known.typical, known.usual, worth);
+        for known in &snapshot.types {
+            if let Some(txn_type) = self.txn_types.iter().position(|name| *name == known.name) {
+                router.restore_type(txn_type, known.typical, known.usual, decay);
             }
         }
         router.probe_all_members(now, host);
--- a/crates/front/src/mailbox.rs
+++ b/crates/front/src/mailbox.rs
@@ -1,16 +1,16 @@
-//! Mail for an actor that waits on its link: posting rings its bell.
+//! Mail for an actor that waits on its link: posting rings its waker.
 
 use juniperdock_connection::Bell;
 use may::sync::mpsc::Sender;
 
 pub struct Mailbox<T> {
     pub sender: Sender<T>,
-    pub bell: Bell,
+    pub waker: Bell,
 }
 
 impl<T> Clone for Mailbox<T> {
     fn clone(&self) -> Self {
-        Mailbox { sender: self.sender.clone(), bell: self.bell.clone() }
+        Mailbox { sender: self.sender.clone(), waker: self.waker.clone() }
     }
 }
 
@@ -18,6 +18,6 @@
     /// Posts to an actor; one that has ended needs no mail any more.
     pub fn post(&self, sender: T) {
         let _ = self.sender.send(sender);
-        self.bell.ring();
+        self.waker.ring();
     }
 }
--- a/crates/front/src/member.rs
+++ b/crates/front/src/member.rs
@@ -61,8 +61,8 @@
 const MAX_TRANSFERRED_IDLE: usize = 2;
 
 struct Connection {
-    mail: Sender<ConnectionMessage>,
-    bell: Option<Bell>,
+    sender: Sender<ConnectionMessage>,
+    waker: Option<Bell>,
     request_id: Option<u64>,
     idle_since: Option<Duration>,
     to: SocketAddr,
@@ -71,12 +71,12 @@
 pub struct MemberPool {
     pub index: usize,
     pub address: SocketAddr,
-    pub mail: Sender<MemberMessage>,
+    pub sender: Sender<MemberMessage>,
     pub context: PoolContext,
     connections: HashMap<u64, Connection>,
     /// Free ones; the last used is the next used.
     idle: Vec<u64>,
-    next: u64,
+    next_id: u64,
     removed: bool,
 }
 
@@ -90,23 +90,24 @@
     pub fn new(
         index: usize,
         address: SocketAddr,
-        mail: Sender<MemberMessage>,
+        sender: Sender<MemberMessage>,
         context: PoolContext,
     ) -> MemberPool {
         let (connections, idle) = (HashMap::new(), Vec::new());
-        MemberPool { index, address, mail, context, connections, idle, next: 0, removed: false }
+        MemberPool { index, address, sender, context, connections, idle, next_id: 0, removed: false }
     }
 
     /// Ends with its last connection: a server that is not in use has no actor. Mail that lies behind the one by
     /// which it ends is taken first, as who posted does not learn that nobody read it; no other coroutine runs between.
     pub fn run(mut self, messages: &Receiver<MemberMessage>) {
-        let ends = |member: &MemberPool| member.connections.is_empty();
-        let mut begun = false;
+        let is_empty = |member: &MemberPool| member.connections.is_empty();
+        let mut started = false;
         loop {
-            let next = if begun && ends(&self) { messages.try_recv().ok() } else { messages.recv().ok() };
-            let Some(mail) = next else { break };
-            begun = true;
-            if catch_unwind(AssertUnwindSafe(|| self.handle(mail))).is_err() {
+            let next =
+                if started && is_empty(&self) { messages.try_recv().ok() } else { messages.recv().ok() };
+            let Some(message) = next else { break };
+            started = true;
+            if catch_unwind(AssertUnwindSafe(|| self.handle(message))).is_err() {
                 // The pool can't be trusted any more; connections end as their jobs do.
                 self.context.counters.panics.add();
                 self.idle.clear();
@@ -117,8 +118,8 @@
         self.context.counters.members_ended.add();
     }
 
-    fn handle(&mut self, mail: MemberMessage) {
-        match mail {
+    fn handle(&mut self, message: MemberMessage) {
+        match message {
             MemberMessage::Job(job) => self.assign(job),
             MemberMessage::Cancel(request_id) => {
                 let its = |c: &&Connection| c.request_id == Some(request_id);
@@ -134,24 +135,24 @@
             }
             MemberMessage::Relisted => self.removed = false,
             MemberMessage::Removed | MemberMessage::CloseIdle => {
-                self.removed |= matches!(mail, MemberMessage::Removed);
+                self.removed |= matches!(message, MemberMessage::Removed);
                 std::mem::take(&mut self.idle).into_iter().for_each(|id| self.close(id));
             }
             MemberMessage::TransferIdle(name, to) => {
                 // The last used: where all followed, each upgrade would add what its start has opened.
                 let idle = std::mem::take(&mut self.idle);
-                let (old, follow) = idle.split_at(idle.len().saturating_sub(MAX_TRANSFERRED_IDLE));
+                let (old, transferred) = idle.split_at(idle.len().saturating_sub(MAX_TRANSFERRED_IDLE));
                 old.iter().for_each(|&id| self.close(id));
-                for id in follow {
+                for id in transferred {
                     if let Some(c) = self.connections.get(id) {
                         send(c, ConnectionMessage::Transfer(name.clone(), to.clone()));
                     }
                 }
             }
             MemberMessage::Adopt(stream) => self.open(InitialWork::Adopted(stream), None),
-            MemberMessage::WakerReady(id, bell) => {
+            MemberMessage::WakerReady(id, waker) => {
                 if let Some(c) = self.connections.get_mut(&id) {
-                    c.bell = Some(bell);
+                    c.waker = Some(waker);
                 }
             }
             MemberMessage::Idle(id) => {
@@ -194,8 +195,8 @@
     fn next_idle(&mut self) -> Option<u64> {
         let now = self.context.clock.now();
         let since = |id: &u64| self.connections.get(id).and_then(|c| c.idle_since);
-        let rested = |id: &u64| since(id).is_some_and(|since| since + MIN_IDLE_BEFORE_REUSE <= now);
-        let at = self.idle.iter().rposition(rested).unwrap_or(0);
+        let idle_long_enough = |id: &u64| since(id).is_some_and(|since| since + MIN_IDLE_BEFORE_REUSE <= now);
+        let at = self.idle.iter().rposition(idle_long_enough).unwrap_or(0);
         (at < self.idle.len()).then(|| self.idle.remove(at))
     }
 
@@ -231,21 +232,30 @@
         if self.context.open_connections.load(Ordering::Relaxed) >= self.context.max_connections {
             return;
         }
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_id;
+        self.next_id += 1;
         self.context.open_connections.fetch_add(1, Ordering::Relaxed);
-        let (mail, read) = channel();
+        let (sender, receiver) = channel();
         self.connections
-            .insert(id, Connection { mail, bell: None, request_id, idle_since: None, to: self.address });
+            .insert(id, Connection { sender, waker: None, request_id, idle_since: None, to: self.address });
         let (member, address, pool, context) =
-            (self.index, self.address, self.mail.clone(), self.context.clone());
+            (self.index, self.address, self.sender.clone(), self.context.clone());
         self.context.counters.connections_opened.add();
         let stack = context.stack_bytes;
         let wanted = if let InitialWork::Job(job) = &work { Some(job.clone()) } else { None };
         let started = spawn("connection", stack, move || {
             let (deferred, timer_set_for) = (RefCell::default(), Cell::default());
-            ServerConnection { id, member, address, pool, context, mail: read, deferred, timer_set_for }
-                .run(work);
+            ServerConnection {
+                id,
+                member,
+                address,
+                pool,
+                context,
+                messages: receiver,
+                deferred,
+                timer_set_for,
+            }
+            .run(work);
         });
         if let Err(why) = started {
             slog::error!(self.context.log, "no connection can be started"; "why" => why);
@@ -264,10 +274,10 @@
     Adopted(TcpStream),
 }
 
-fn send(c: &Connection, mail: ConnectionMessage) {
-    let _ = c.mail.send(mail);
-    if let Some(bell) = &c.bell {
-        bell.ring();
+fn send(c: &Connection, message: ConnectionMessage) {
+    let _ = c.sender.send(message);
+    if let Some(waker) = &c.waker {
+        waker.ring();
     }
 }
 
@@ -317,7 +327,7 @@
     address: SocketAddr,
     pool: Sender<MemberMessage>,
     context: PoolContext,
-    mail: Receiver<ConnectionMessage>,
+    messages: Receiver<ConnectionMessage>,
     /// Mail that came while a job was in hand, and is not about it.
     deferred: RefCell<VecDeque<ConnectionMessage>>,
     /// When it is rung next, at the latest.
@@ -326,12 +336,12 @@
 
 impl ServerConnection {
     fn run(self, work: InitialWork) {
-        let (mut current, took) = match work {
+        let (mut current, adopted) = match work {
             InitialWork::Job(job) => (Some(job), None),
             InitialWork::Adopted(stream) => (None, Some(stream)),
         };
-        let lived = catch_unwind(AssertUnwindSafe(|| self.serve_jobs(&mut current, took)));
-        if lived.is_err() {
+        let result = catch_unwind(AssertUnwindSafe(|| self.serve_jobs(&mut current, adopted)));
+        if result.is_err() {
             self.context.counters.panics.add();
         }
         if let Some(job) = current.take() {
@@ -340,8 +350,8 @@
         self.context.open_connections.fetch_sub(1, Ordering::Relaxed);
         let _ = self.pool.send(MemberMessage::Ended(self.id));
         // A job that was given out just now has not been written: it goes to another connection.
-        while let Ok(mail) = self.next_message().or_else(|_| self.mail.recv()) {
-            match mail {
+        while let Ok(message) = self.next_message().or_else(|_| self.messages.recv()) {
+            match message {
                 ConnectionMessage::Job(job) => {
                     // The actor of a member that left may have ended; nothing was written.
                     if let Err(unsent) = self.pool.send(MemberMessage::Job(job))
@@ -356,9 +366,9 @@
         }
     }
 
-    fn serve_jobs(&self, current: &mut Option<Job>, took: Option<TcpStream>) {
+    fn serve_jobs(&self, current: &mut Option<Job>, adopted: Option<TcpStream>) {
         let begun = self.context.clock.now();
-        let first = match (current.as_ref(), took) {
+        let first = match (current.as_ref(), adopted) {
             (Some(job), _) => match self.open_session(job, begun) {
                 Ok(link) => Some(link),
                 Err(outcome) => {
@@ -385,17 +395,18 @@
         loop {
             let Some(job) = current.as_ref() else { return };
             let result = self.run_job(&mut link, job);
-            let suspect = matches!((job, result.outcome), (Job::Probe { .. }, AttemptOutcome::TimedOut));
+            let peer_is_suspect =
+                matches!((job, result.outcome), (Job::Probe { .. }, AttemptOutcome::TimedOut));
             // Given up is given up: the connection ends before the desk can send the txn again.
-            let deferred = result.usable.then_some(link);
+            let reusable = result.usable.then_some(link);
             if let Some(job) = current.take() {
                 self.report_outcome(&job, result.outcome, result.reply);
             }
-            if suspect {
+            if peer_is_suspect {
                 // A machine that has fallen silent resets its old connections when it is back.
                 let _ = self.pool.send(MemberMessage::CloseIdle);
             }
-            let Some(back) = deferred.and_then(|link| self.wait_for_job(link, current)) else { return };
+            let Some(back) = reusable.and_then(|link| self.wait_for_job(link, current)) else { return };
             link = back;
         }
     }
@@ -445,20 +456,20 @@
     }
 
     fn next_message(&self) -> Result<ConnectionMessage, TryRecvError> {
-        self.deferred.borrow_mut().pop_front().map_or_else(|| self.mail.try_recv(), Ok)
+        self.deferred.borrow_mut().pop_front().map_or_else(|| self.messages.try_recv(), Ok)
     }
 
     /// Connects, and waits for the member's welcome; the error says how the job ended that wanted it.
     fn open_session(&self, job: &Job, begun: Duration) -> Result<Link, AttemptOutcome> {
         let (clock, limit) = (&self.context.clock, begun + self.context.connect_timeout);
-        let give_up = self.give_up(job);
-        let until = limit.min(give_up);
+        let deadline = self.deadline(job);
+        let until = limit.min(deadline);
         // Out of time for the txn is no word on the member.
         let late = |at: Duration| {
-            if at >= give_up && at < limit { AttemptOutcome::Moot } else { AttemptOutcome::Unreachable }
+            if at >= deadline && at < limit { AttemptOutcome::Moot } else { AttemptOutcome::Unreachable }
         };
-        let up = |bell| {
-            let _ = self.pool.send(MemberMessage::WakerReady(self.id, bell));
+        let up = |waker| {
+            let _ = self.pool.send(MemberMessage::WakerReady(self.id, waker));
         };
         let wanted = ConnectRequest { to: self.address, until, limits: self.context.buffers() };
         let connected = connect(clock, &wanted, &up, &|| self.cancelled(job));
@@ -513,26 +524,26 @@
         Err(AttemptOutcome::Unreachable)
     }
 
-    fn give_up(&self, job: &Job) -> Duration {
+    fn deadline(&self, job: &Job) -> Duration {
         match job {
-            Job::Submit(submit) => submit.give_up,
+            Job::Submit(submit) => submit.deadline,
             Job::Probe { at } => *at + self.context.connect_timeout,
         }
     }
 
     fn cancelled(&self, job: &Job) -> bool {
         let mut deferred = self.deferred.borrow_mut();
-        deferred.extend(std::iter::from_fn(|| self.mail.try_recv().ok()));
+        deferred.extend(std::iter::from_fn(|| self.messages.try_recv().ok()));
         let before = deferred.len();
         deferred.retain(
-            |mail| !matches!((mail, job), (ConnectionMessage::Cancel(t), Job::Submit(s)) if *t == s.request_id),
+            |message| !matches!((message, job), (ConnectionMessage::Cancel(t), Job::Submit(s)) if *t == s.request_id),
         );
         deferred.len() < before
     }
 
     /// Carries one job to its end.
     fn run_job(&self, link: &mut Link, job: &Job) -> JobResult {
-        let (clock, give_up, mut reply) = (&self.context.clock, self.give_up(job), Reply::default());
+        let (clock, deadline, mut reply) = (&self.context.clock, self.deadline(job), Reply::default());
         // After a standstill its client's end may lie unread: the client's actor has its turn first, then the desk.
         clock.note_running();
         (0..BARRIERS_AFTER_STALL)
@@ -541,12 +552,12 @@
         let now = clock.now();
         let text = match job {
             Job::Submit(submit) => {
-                let left = submit.give_up.saturating_sub(now).as_millis();
+                let left = submit.deadline.saturating_sub(now).as_millis();
                 pg::with_time_left(&submit.statement, &submit.left, left)
             }
             Job::Probe { .. } => "SHOW server_load".to_owned(),
         };
-        if now >= give_up || self.cancelled(job) || !self.permitted(job, now) {
+        if now >= deadline || self.cancelled(job) || !self.permitted(job, now) {
             return JobResult { outcome: AttemptOutcome::Moot, reply, usable: true };
         }
         if let Err(failure) = link.queue(&pg::query(&text)) {
@@ -598,14 +609,14 @@
             let stop = if self.cancelled(job) {
                 Some(AttemptOutcome::Cancelled)
             } else {
-                (clock.now() >= give_up).then_some(AttemptOutcome::TimedOut)
+                (clock.now() >= deadline).then_some(AttemptOutcome::TimedOut)
             };
             if let Some(outcome) = stop {
                 let outcome = if unsent { AttemptOutcome::Moot } else { outcome };
                 return JobResult { outcome, reply, usable: false };
             }
             if matches!(pumped, Ok(false)) {
-                self.wait_until(link, give_up);
+                self.wait_until(link, deadline);
             } else {
                 // An answer without an end, as fast as it is read: nobody else would have a turn.
                 clock.yield_if_busy(busy, link.is_short());
@@ -634,8 +645,8 @@
     fn wait_until(&self, link: &mut Link, until: Duration) {
         if self.timer_set_for.get() <= self.context.clock.now() || self.timer_set_for.get() > until {
             self.timer_set_for.set(until);
-            let bell = link.bell();
-            self.context.clock.run_at(until, move || bell.ring());
+            let waker = link.bell();
+            self.context.clock.run_at(until, move || waker.ring());
         }
         link.wait();
     }
@@ -762,7 +773,7 @@
 
 /// Tells the desk how a job ended.
 fn report_outcome(context: &PoolContext, member: usize, job: &Job, outcome: AttemptOutcome, reply: Reply) {
-    let mail = match job {
+    let message = match job {
         Job::Submit(submit) => {
             let (role, position, load) = (reply.role, reply.position, reply.load);
             let (request_id, sent, row, at) = (submit.request_id, submit.at, reply.raw, context.clock.now());
@@ -797,7 +808,7 @@
             }
         }
     };
-    let _ = context.dispatcher.send(mail);
+    let _ = context.dispatcher.send(message);
 }
 
 fn result_of_failure(failure: &Failure, reply: Reply) -> JobResult {
--- a/crates/front/src/messages.rs
+++ b/crates/front/src/messages.rs
@@ -205,7 +205,7 @@
     pub statement: Arc<str>,
     pub left: Range<usize>,
     /// When the front stops waiting.
-    pub give_up: Duration,
+    pub deadline: Duration,
     /// Whether it may still be written; the desk keeps it up to date.
     pub permit: AttemptPermit,
     pub at: Duration,
--- a/crates/front/src/request_log.rs
+++ b/crates/front/src/request_log.rs
@@ -132,10 +132,10 @@
 
     /// The one worker did not run for that long. The kernel's account of the thread (nanoseconds on a processor,
     /// nanoseconds ready and waiting for one, turns; since its start) tells a busy machine from work of its own.
-    pub fn worker_stalled(&self, spell: Duration) {
+    pub fn worker_stalled(&self, stall: Duration) {
         if self.enabled {
             let account = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
-            slog::debug!(self.log, "held up"; "ran_waited_turns" => account.trim(), "for_us" => spell.as_micros() as u64);
+            slog::debug!(self.log, "held up"; "ran_waited_turns" => account.trim(), "for_us" => stall.as_micros() as u64);
         }
     }
 }
--- a/crates/front/tests/dispatcher.rs
+++ b/crates/front/tests/dispatcher.rs
@@ -105,7 +105,7 @@
     let link = link_to(at);
     let (answers, told) = channel();
     let arrival = |request_id, left| {
-        let client = Mailbox { sender: answers.clone(), bell: link.bell() };
+        let client = Mailbox { sender: answers.clone(), waker: link.bell() };
         arrival(request_id, now, now + Duration::from_secs(left), client)
     };
     let _ = mail.send(DispatcherMessage::List(list(at)));
@@ -158,7 +158,7 @@
     let at = door.local_addr().expect("an address");
     let link = link_to(at);
     let (answers, told) = channel();
-    let client = Mailbox { sender: answers, bell: link.bell() };
+    let client = Mailbox { sender: answers, waker: link.bell() };
     let _ = mail.send(DispatcherMessage::List(list(at)));
     let report = Report { role: Some(Role::Primary), position: Some(clock.now()), ..Report::default() };
     let _ = mail.send(DispatcherMessage::Probed { member: 0, outcome: AttemptOutcome::Committed, report });
--- a/crates/front/tests/unit/member.rs
+++ b/crates/front/tests/unit/member.rs
@@ -36,39 +36,40 @@
 
 fn submit(until: Duration) -> Job {
     let (statement, left, at) = ("".into(), 0..0, Duration::ZERO);
-    let give_up = Duration::from_secs(3600);
+    let deadline = Duration::from_secs(3600);
     let permit = guard().permit(until);
-    Job::Submit(crate::messages::Submit { request_id: 7, statement, left, give_up, permit, at })
+    Job::Submit(crate::messages::Submit { request_id: 7, statement, left, deadline, permit, at })
 }
 
 #[test]
 fn mail_behind_the_word_to_leave_is_not_lost() {
-    let ((mail, read), (desk, reported)) = (channel(), channel());
-    let member = MemberPool::new(3, SocketAddr::from(([127, 0, 0, 1], 1)), mail.clone(), context(desk));
+    let ((sender, receiver), (desk, reported)) = (channel(), channel());
+    let member = MemberPool::new(3, SocketAddr::from(([127, 0, 0, 1], 1)), sender.clone(), context(desk));
     // All in one go: the list lets it go, and the router asks it all the same. There is no room for a connection.
-    let _ = mail.send(MemberMessage::Removed);
-    let _ = mail.send(MemberMessage::Job(Job::Probe { at: Duration::ZERO }));
-    member.run(&read);
-    let full =
-        |mail| matches!(mail, DispatcherMessage::Probed { member: 3, outcome: AttemptOutcome::Full, .. });
+    let _ = sender.send(MemberMessage::Removed);
+    let _ = sender.send(MemberMessage::Job(Job::Probe { at: Duration::ZERO }));
+    member.run(&receiver);
+    let full = |message| {
+        matches!(message, DispatcherMessage::Probed { member: 3, outcome: AttemptOutcome::Full, .. })
+    };
     assert!(reported.try_iter().any(full), "it hears what came of its probe");
 }
 
 #[test]
 fn nothing_is_connected_for_what_is_not_to_be_written_any_more() {
-    let ((mail, _read), (desk, reported)) = (channel(), channel());
+    let ((sender, _receiver), (desk, reported)) = (channel(), channel());
     let mut context = context(desk);
     context.max_connections = 9;
-    let mut member = MemberPool::new(3, SocketAddr::from(([127, 0, 0, 1], 1)), mail, context);
+    let mut member = MemberPool::new(3, SocketAddr::from(([127, 0, 0, 1], 1)), sender, context);
     member.handle(MemberMessage::Job(submit(Duration::ZERO)));
     assert!(member.connections.is_empty(), "no handshake for nobody");
-    let moot = |mail| matches!(mail, DispatcherMessage::AttemptEnded(end) if end.request_id == 7 && end.outcome == AttemptOutcome::Moot);
+    let moot = |message| matches!(message, DispatcherMessage::AttemptEnded(end) if end.request_id == 7 && end.outcome == AttemptOutcome::Moot);
     assert!(reported.try_iter().any(moot));
 }
 
 #[test]
 fn a_look_for_a_cancel_takes_no_other_mail_away() {
-    let ((pool, _pool), (desk, _desk), (mail, read)) = (channel(), channel(), channel());
+    let ((pool, _pool), (desk, _desk), (sender, receiver)) = (channel(), channel(), channel());
     let (deferred, timer_set_for) = (RefCell::default(), Cell::default());
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     let connection = ServerConnection {
@@ -77,21 +78,21 @@
         address,
         pool,
         context: context(desk),
-        mail: read,
+        messages: receiver,
         deferred,
         timer_set_for,
     };
     let job = submit(Duration::MAX);
     for request_id in [8, 9] {
-        let _ = mail.send(ConnectionMessage::Cancel(request_id));
+        let _ = sender.send(ConnectionMessage::Cancel(request_id));
     }
-    let _ = mail.send(ConnectionMessage::Close);
+    let _ = sender.send(ConnectionMessage::Close);
     assert!(!connection.cancelled(&job), "another's");
-    let _ = mail.send(ConnectionMessage::Cancel(7));
+    let _ = sender.send(ConnectionMessage::Cancel(7));
     assert!(connection.cancelled(&job));
-    drop(mail);
+    drop(sender);
     let mut left = std::iter::from_fn(|| connection.next_message().ok());
-    assert!(left.any(|mail| matches!(mail, ConnectionMessage::Close)), "it is still told to close");
+    assert!(left.any(|message| matches!(message, ConnectionMessage::Close)), "it is still told to close");
     assert!(connection.next_message().is_err());
 }
 
@@ -108,14 +109,14 @@
 }
 
 /// Carries one job over a connection of its own, as its coroutine does; gives what the dispatcher is told.
-fn carry(address: SocketAddr, mail: Receiver<ConnectionMessage>) -> Vec<DispatcherMessage> {
+fn carry(address: SocketAddr, messages: Receiver<ConnectionMessage>) -> Vec<DispatcherMessage> {
     let ((pool, _pool), (desk, reported)) = (channel(), channel());
     let (ended, end) = std::sync::mpsc::channel();
     let context = context(desk);
     spawn("line", context.stack_bytes, move || {
         let (deferred, timer_set_for) = (RefCell::default(), Cell::default());
         let connection =
-            ServerConnection { id: 1, member: 3, address, pool, context, mail, deferred, timer_set_for };
+            ServerConnection { id: 1, member: 3, address, pool, context, messages, deferred, timer_set_for };
         connection.serve_jobs(&mut Some(submit(Duration::from_secs(3600))), None);
         let _ = ended.send(());
     })
@@ -124,29 +125,29 @@
     reported.try_iter().collect()
 }
 
-fn is_moot(mail: &DispatcherMessage) -> bool {
-    matches!(mail, DispatcherMessage::AttemptEnded(end) if end.request_id == 7 && end.outcome == AttemptOutcome::Moot)
+fn is_moot(message: &DispatcherMessage) -> bool {
+    matches!(message, DispatcherMessage::AttemptEnded(end) if end.request_id == 7 && end.outcome == AttemptOutcome::Moot)
 }
 
 #[test]
 fn what_is_called_off_while_its_connection_comes_up_is_not_written() {
     let door = std::net::TcpListener::bind("127.0.0.1:0").expect("a free address");
     let address = door.local_addr().expect("an address");
-    let (mail, read) = channel();
+    let (sender, receiver) = channel();
     let seen = std::thread::spawn(move || {
         let (mut stream, _) = door.accept().expect("a connection");
         let mut all = vec![0; pg::startup("api", "ledger").len()];
         std::io::Read::read_exact(&mut stream, &mut all).expect("an opening");
         // Nobody rings: the cancel lies in the mail when the welcome comes.
-        let _ = mail.send(ConnectionMessage::Cancel(7));
-        drop(mail);
+        let _ = sender.send(ConnectionMessage::Cancel(7));
+        drop(sender);
         let mut welcome = Vec::new();
         pg::welcome(&mut welcome);
         let _ = std::io::Write::write_all(&mut stream, &welcome);
         let _ = std::io::Read::read_to_end(&mut stream, &mut all);
         all
     });
-    assert!(carry(address, read).iter().any(is_moot), "it never ran");
+    assert!(carry(address, receiver).iter().any(is_moot), "it never ran");
     assert_eq!(seen.join().expect("an end"), pg::startup("api", "ledger"), "nothing but the opening");
 }
 
@@ -154,9 +155,9 @@
 fn nothing_is_connected_for_what_is_called_off_before() {
     let door = std::net::TcpListener::bind("127.0.0.1:0").expect("a free address");
     let address = door.local_addr().expect("an address");
-    let (mail, read) = channel();
-    let _ = mail.send(ConnectionMessage::Cancel(7));
-    assert!(carry(address, read).iter().any(is_moot), "it never ran");
+    let (sender, receiver) = channel();
+    let _ = sender.send(ConnectionMessage::Cancel(7));
+    assert!(carry(address, receiver).iter().any(is_moot), "it never ran");
     door.set_nonblocking(true).expect("a socket");
     assert!(door.accept().is_err(), "no handshake for nobody");
 }
