--- a/crates/front/src/acceptor.rs
+++ b/crates/front/src/acceptor.rs
@@ -1,4 +1,4 @@
-//! Takes clients in: those that the listener has, and those that another process hands over.
+//! Accepts clients: new ones from the listener, and those that another process hands over.
 
 use crate::client;
 use crate::clients::{MIN_IDLE, SharedClients};
@@ -7,12 +7,13 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// What goes out are answers, each as long as the server's.
+/// Outbound bytes are answers, which the pipeline limits and members' answers bound.
 const BUFFER_LIMITS: BufferLimits = BufferLimits { inbound: client::MAX_INBOUND, outbound: usize::MAX };
 
 impl SharedClients {
-    /// A client counts from here on, however late it comes to run. One that another process had in hand may
-    /// be open, and have sent something that is unread.
+    /// Starts a client's actor; the client counts as present from here on, however late the actor runs. For a client
+    /// from another process: `unread` is what it has sent and is not used yet, `open` says whether its startup is
+    /// done, `skipping` whether messages are skipped up to Sync.
     pub fn admit(self: Arc<Self>, stream: TcpStream, unread: &[u8], open: bool, skipping: bool) {
         self.counters.clients.add();
         let link = match Link::came(stream, BUFFER_LIMITS) {
@@ -35,7 +36,8 @@
         }
     }
 
-    /// Takes clients in as they come, until this front ends: then those that have come, and nobody after them.
+    /// Accepts clients until another process does (`stop_accepting`) or this process ends; at its end, clients that
+    /// are already connected are still accepted, then the listener is closed.
     pub fn accept_until_stopped(self: Arc<Self>, door: &Door) {
         self.acceptor_running.store(true, Ordering::Release);
         while !self.stop_accepting.load(Ordering::Acquire) {
@@ -51,7 +53,7 @@
                 }
                 Ok(None) => {}
                 Err(why) => {
-                    // Out of descriptors in spite of the budget: once more when some may be free.
+                    // Out of descriptors despite the budget: try again when some may be free.
                     slog::warn!(self.log, "a client was not taken in"; "why" => %why);
                     self.pause_accepting();
                 }
--- a/crates/front/src/client.rs
+++ b/crates/front/src/client.rs
@@ -1,5 +1,5 @@
-//! A client's actor: reads its statements as they come, hands each to the desk, and writes the answers in the order of
-//! the statements.
+//! A client's actor: reads its statements as they come, hands each to the dispatcher, and writes the answers in the
+//! order of the statements.
 
 mod drain;
 
@@ -22,30 +22,30 @@
 use std::sync::{Arc, PoisonError};
 use std::time::Duration;
 
-/// The stack of a connection's coroutine, in bytes.
+/// The stack of a connection's coroutine.
 pub const CONNECTION_STACK_BYTES: usize = 64 << 10;
-/// Messages that are taken in one turn.
+/// Messages that are read before other coroutines get a turn.
 const MAX_MESSAGES_PER_TURN: usize = 64;
 
-/// What is kept of what a client sends, in bytes.
+/// The most unread bytes that are buffered for a client.
 pub const MAX_INBOUND: usize = 2 * pg::LONGEST;
 
-/// What a client may have sent and not been answered. What it sends beyond that is refused in its turn, and read all
-/// the same: a client whose bytes lie unread could not be seen to leave.
+/// What a client may have sent and not been answered. What exceeds it is refused when its turn comes, but read all
+/// the same: the front could not notice that a client leaves while its bytes are unread.
 const PIPELINE: Limits = Limits { started: 64, request_bytes: MAX_INBOUND, answer_bytes: pg::LONGEST };
 
-/// What is kept of a statement beside its text, in bytes, rounded up.
+/// Bytes that a request takes beside its text, rounded up.
 const REQUEST_OVERHEAD: usize = 512;
 
-/// How long a client may take over an opening or a message that it has begun.
+/// How long a client may take to complete its startup or a message.
 const MAX_MESSAGE_TIME: Duration = Duration::from_secs(2);
 
-/// The least age of a write whose commit is known: an age of nothing says that there was none.
+/// The least age of a write with a known commit: zero means that there was no write.
 const MIN_WRITE_AGE: Duration = Duration::from_micros(1);
 
 const TOO_MANY_AT_ONCE: &str = "too much sent ahead on this connection, trying again is harmless";
 
-/// Asks the machine whether a client has left.
+/// Asks the operating system whether a client has left.
 struct Presence(PeerWatch);
 
 impl ClientPresence for Presence {
@@ -54,44 +54,48 @@
     }
 }
 
+/// The actor's state.
 struct Client {
     shared: Arc<SharedClients>,
     slot: u64,
-    /// There was room for it; else its first txn is declined, and it is to come again.
+    /// Whether it has a slot; otherwise its first txn is declined and the connection ends.
     has_slot: bool,
     link: Link,
     answers: Receiver<(u64, Answer)>,
     mailbox: Mailbox<(u64, Answer)>,
+    /// Whether its startup is done.
     open: bool,
-    /// It has had no txn here.
+    /// Whether no txn has come from it.
     no_txn_yet: bool,
     pipeline: Pipeline<Box<Arrival>>,
-    /// Of the requests that are not answered.
+    /// Guards of the requests that are not answered.
     guards: HashMap<u64, RequestGuard>,
-    /// When what lies in the inbound buffer came in.
+    /// When the bytes in the inbound buffer came in.
     arrival_times: ArrivalTimes,
-    /// After a failed extended query, all is passed by up to Sync.
+    /// After a failed extended query, messages are skipped up to Sync.
     skipping: bool,
-    /// Nothing more is taken, for this reason: the connection ends once all is written.
+    /// Set when nothing more is read, with the reason: the connection ends once everything is written.
     closing: Option<CloseReason>,
-    /// It ends for this reason once nothing is owed. What comes behind a request in hand is refused meanwhile.
+    /// Set when the connection is to end, with the reason, as soon as nothing is outstanding. New requests behind one
+    /// in hand are refused meanwhile.
     draining: Option<CloseReason>,
-    /// Until when it is read on after the end of its sending.
+    /// Until when bytes are read and discarded after this side has ended its sending.
     linger_until: Option<Duration>,
-    /// When bytes moved last, either way, and when an answer was queued last.
+    /// When bytes were last moved, in either direction.
     last_progress: Duration,
+    /// When an answer was last queued.
     last_answer: Duration,
-    /// Until when the opening or the message that has begun must be whole.
+    /// The time limit of an incomplete startup or message.
     message_due: Option<Duration>,
-    /// When it is to be looked at again, though nothing comes.
+    /// When to check the client again if nothing happens before.
     next_check: Duration,
-    /// When it is rung next, at the latest.
+    /// The time of the timer that was set last.
     timer_set_for: Duration,
-    /// It is on its way to another process: nothing is read here until that is decided.
+    /// The state of a transfer to another process, if one has begun: nothing is read here until its result is known.
     transfer: Option<Arc<AtomicU8>>,
 }
 
-/// Serves a client until its connection ends.
+/// Serves a client until its connection ends. For `open` and `skipping` see [`ClientTransfer`].
 pub fn run(link: Link, slot: u64, has_slot: bool, open: bool, skipping: bool, shared: Arc<SharedClients>) {
     let (sender, receiver) = channel();
     let mailbox = Mailbox { sender, waker: link.bell() };
@@ -131,7 +135,7 @@
 }
 
 impl Client {
-    /// Serves until the connection ends, and says why it did.
+    /// Serves until the connection ends; returns why it did.
     fn serve(&mut self) -> CloseReason {
         let mut busy = 0;
         loop {
@@ -176,7 +180,8 @@
         self.transfer.as_ref().map(|state| state.load(Ordering::Acquire))
     }
 
-    /// Moves bytes both ways, takes in the answers that have come, and gives those whose time is over. True if bytes moved.
+    /// Moves bytes both ways, takes the answers that have come, and answers requests whose time is over. Returns
+    /// whether bytes were moved.
     fn exchange(&mut self) -> Result<bool, Failure> {
         let moved = self.pump();
         if let Err(why) = &moved {
@@ -190,11 +195,11 @@
         Ok(moved)
     }
 
-    /// Takes the messages that are there, begins what may begin, and queues the answers whose turn it is. Gives how many
-    /// messages it took.
+    /// Reads complete messages, starts requests that may start, and queues the answers whose turn it is. Returns how
+    /// many messages it read.
     fn process(&mut self) -> usize {
         let mut read = 0;
-        // Nothing is begun for a client that has left behind what it sent.
+        // No request is started for a client that has left after sending it.
         while self.accepts_more()
             && !self.client_gone()
             && read < MAX_MESSAGES_PER_TURN
@@ -210,7 +215,8 @@
         read
     }
 
-    /// Nothing came and nothing was to be done. False if there is something to do after all, now.
+    /// Called when nothing was read and nothing was to be done. Returns whether to wait: false if there is something
+    /// to do after all.
     fn prepare_to_wait(&mut self) -> Result<bool, Failure> {
         match self.shared.update_idle(self.slot, self.is_idle(), self.last_progress) {
             IdleAction::CheckAt(next_check) => self.next_check = next_check.min(self.stalls_at()),
@@ -222,17 +228,17 @@
             }
             IdleAction::Leave(_) => self.next_check = self.stalls_at(),
         }
-        // Queued since the last move; what can't go at once is waited for.
+        // Writes what was queued since the last exchange; waits only if not all of it could be written.
         Ok(self.link.flushed() || !self.pump()?)
     }
 
-    /// One that sends at full speed takes turns with the others.
+    /// Lets other coroutines run: a client that sends at full speed must not starve them.
     fn yield_turn(&self, busy: u32) {
         self.shared.clock.yield_if_busy(busy, self.link.is_short());
         may::coroutine::yield_now();
     }
 
-    /// Moves bytes both ways, and notes when those that came in did.
+    /// Moves bytes both ways, and records when the inbound ones arrived.
     fn pump(&mut self) -> Result<bool, Failure> {
         let before = self.link.inbound.len();
         let moved = self.link.pump();
@@ -243,18 +249,19 @@
         moved
     }
 
-    /// More of what it sends is taken: not while it leaves much unread.
+    /// Whether more requests are read: not while the client leaves much unread.
     fn accepts_more(&self) -> bool {
         self.closing.is_none() && self.link.unsent() + self.pipeline.answer_bytes() < pg::LONGEST
     }
 
-    /// It has ended its sending. Where there is no room to read its end, the machine is asked for it.
+    /// Whether it has ended its sending. If its end can't be read because nothing is read any more, the operating
+    /// system is asked.
     fn client_gone(&self) -> bool {
         let unread = self.draining.is_some() || self.link.inbound.len() >= MAX_INBOUND;
         self.link.ended || unread && self.link.has_left()
     }
 
-    /// Sets out for another process, if it is between txns.
+    /// Begins the transfer to another process if the client is idle. Returns whether it began.
     fn try_transfer(&mut self) -> bool {
         let is_between_txns =
             self.pipeline.is_empty() && self.link.flushed() && self.closing.is_none() && !self.link.ended;
@@ -275,8 +282,8 @@
         true
     }
 
-    /// Waits, until the next of its times at the longest. One alarm is out at a time: most txns end long
-    /// before theirs.
+    /// Waits for an event, until the earliest of the time limits at most. Only one timer is pending at a time, as
+    /// most txns end long before theirs.
     fn wait_for_event(&mut self) {
         let answer_due = self.pipeline.next_due(self.shared.grace);
         let next = [answer_due, self.message_due, self.linger_until]
@@ -292,8 +299,8 @@
         self.link.wait();
     }
 
-    /// Sees to it that what a client has begun gets to its end: a place is not kept by saying nothing, nor by
-    /// a message without an end.
+    /// Ends the connection of a client that does not complete its startup or a message in time: it must not occupy a
+    /// slot by sending nothing or a message without an end.
     fn enforce_message_time(&mut self) {
         let is_waiting = self.accepts_more() && (!self.open || !self.link.inbound.is_empty());
         if !is_waiting {
@@ -311,8 +318,8 @@
         }
     }
 
-    /// The last guard of an answer in time, should the desk or a member's actor be late. What waits for a write
-    /// before it never ran.
+    /// Answers requests whose time is over, in case the dispatcher or a member's actor is late. A request that still
+    /// waits for the write before it never ran.
     fn answer_overdue(&mut self) {
         let now = self.shared.clock.now();
         while let Some(overdue) = self.pipeline.overdue(now, self.shared.grace) {
@@ -328,7 +335,7 @@
         }
     }
 
-    /// Hands to the desk what may begin by now.
+    /// Hands the requests that may start to the dispatcher.
     fn start_requests(&mut self) {
         while let Some(Start { payload: mut arrival, write_answered }) = self.pipeline.start() {
             if let Some(answered) = write_answered {
@@ -341,7 +348,7 @@
         }
     }
 
-    /// Sends the answers whose turn it is.
+    /// Writes the answers whose turn it is.
     fn send_replies(&mut self) {
         while self.link.unsent() < pg::LONGEST
             && let Some(reply) = self.pipeline.next_reply()
@@ -359,7 +366,7 @@
         }
     }
 
-    /// Notes the answer of a txn, unless it has one already.
+    /// Records the answer to a request unless it has one already.
     fn answer(&mut self, request_id: u64, answer: Answer) {
         let name = answer.name();
         let (count, out) = encode(&self.shared.counters, answer);
@@ -374,11 +381,11 @@
 
     fn queue_bytes(&mut self, bytes: &[u8]) {
         self.last_answer = self.shared.clock.now();
-        // Bounded by what is taken: nothing more is while much is unsent.
+        // Bounded because no requests are read while much is unsent.
         let _ = self.link.queue(bytes);
     }
 
-    /// Takes one message, if a whole one is there.
+    /// Handles one message if a complete one has come in; returns whether it did.
     fn next_message(&mut self) -> bool {
         let mut out = Vec::new();
         let taken = if self.open { self.read_message(&mut out) } else { self.read_startup(&mut out) };
@@ -402,6 +409,7 @@
         progressed
     }
 
+    /// Handles a startup, encryption or cancel request; returns its length, or 0 if it is incomplete.
     fn read_startup(&mut self, out: &mut Vec<u8>) -> Result<usize, String> {
         Ok(match pg::opening(self.link.inbound.make_contiguous())? {
             None => 0,
@@ -424,6 +432,7 @@
         })
     }
 
+    /// Handles a message; returns its length, or 0 if it is incomplete.
     fn read_message(&mut self, out: &mut Vec<u8>) -> Result<usize, String> {
         let Some((kind, body, length)) = pg::message(self.link.inbound.make_contiguous(), pg::LONGEST)?
         else {
@@ -459,7 +468,7 @@
         Ok(length)
     }
 
-    /// Takes a statement whose last byte came in then; `alone`: nothing that was read stands behind it.
+    /// Handles a statement whose last byte came in at that time. `alone`: nothing has been read behind it.
     fn statement(&mut self, text: Arc<str>, at: Duration, alone: bool, out: &mut Vec<u8>) {
         match pg::verb(&text) {
             pg::Verb::Empty => pg::empty_query(out),
@@ -475,7 +484,8 @@
             }
             pg::Verb::Txn => match self.arrival(text, at) {
                 Ok(arrival) => {
-                    // It may have left right behind it, long ago if this front had no turn: then none begins.
+                    // The client may have left right after sending it, long ago if this front did not run: then it is
+                    // not started.
                     self.link.ended |= self.pump().is_err() || self.client_gone();
                     self.accept_request(arrival);
                     return;
@@ -489,7 +499,7 @@
         pg::ready(out);
     }
 
-    /// Takes a txn in hand, to begin as soon as it may.
+    /// Adds a request to the pipeline, to start as soon as it may.
     fn accept_request(&mut self, arrival: Arrival) {
         self.no_txn_yet = false;
         self.shared.mark_busy(self.slot);
@@ -502,7 +512,7 @@
             bytes: arrival.statement.len() + REQUEST_OVERHEAD,
         };
         self.shared.request_log.client_request(self.slot, request.id);
-        // One that is over the limits is refused in its turn.
+        // A request over the limits is refused when its turn comes.
         let (request_id, guard) = (request.id, arrival.guard.clone());
         if self.pipeline.push(request, Box::new(arrival)).is_ok() {
             self.guards.insert(request_id, guard);
@@ -511,12 +521,13 @@
         }
     }
 
-    /// Whether there is room for it by now.
+    /// Whether the client has a slot by now.
     fn find_slot(&mut self) -> bool {
         self.has_slot |= self.shared.present() <= self.shared.max_clients;
         self.has_slot
     }
 
+    /// Reads a request from a statement's comment.
     fn arrival(&self, statement: Arc<str>, at: Duration) -> Result<Arrival, String> {
         let (fields, rest) = pg::comment(&statement)?;
         let field = |name: &str| fields.iter().find(|field| field.0 == name).map(|field| field.1);
@@ -576,7 +587,7 @@
     }
 }
 
-/// An answer as it goes to a client, and the counter that it belongs to.
+/// An answer as it is sent to the client, and its counter.
 fn encode(counters: &Counters, answer: Answer) -> (&Counter, Vec<u8>) {
     let mut out = Vec::new();
     let count = match answer {
--- a/crates/front/src/client/drain.rs
+++ b/crates/front/src/client/drain.rs
@@ -1,5 +1,5 @@
-//! How a client's connection ends while this process goes on or ends: nothing that was taken is left without its answer,
-//! and no answer is cut off.
+//! How a client's connection ends, whether this process ends or goes on: no request that was read is left without its
+//! answer, and no answer is cut off.
 
 use super::{Client, MAX_INBOUND};
 use crate::clients::MIN_IDLE;
@@ -11,11 +11,11 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// How long a connection is read on after its last answer; shorter where its descriptor is needed.
+/// How long bytes are read and discarded after the last answer; shorter if the slot is needed.
 const LINGER: Duration = Duration::from_secs(1);
 const SHORT_LINGER: Duration = MIN_IDLE;
 
-/// A client that has taken no byte of its answer for so long does not read.
+/// A client that has read no byte of its answer for this long is taken not to read at all.
 const MAX_STALL: Duration = Duration::from_secs(3);
 
 /// Why a statement is refused before anything is done for it.
@@ -31,7 +31,7 @@
 };
 
 impl Client {
-    /// Begins to drain as the process ends, and limits what is read while it drains.
+    /// Begins to drain when the process ends, and limits what is read while draining.
     pub(super) fn drain(&mut self) {
         let answer_all_now = self.shared.answer_all_now.load(Ordering::Relaxed);
         if self.draining.is_none()
@@ -51,8 +51,9 @@
         self.link.set_read_limit(limit);
     }
 
-    /// How much is read while the connection drains: behind a request in hand all, to refuse it; else what a message
-    /// that has begun still lacks. The rest is unread when the connection ends, and its client sends it elsewhere.
+    /// How much is read while the connection drains: behind a request in hand everything, to refuse it; otherwise the
+    /// rest of a message that has begun. Everything else is unread when the connection ends, and its client sends it
+    /// elsewhere.
     fn drain_limit(&mut self) -> usize {
         let inbound = &mut self.link.inbound;
         if self.closing.is_some() || self.pipeline.requests() > 0 {
@@ -66,8 +67,8 @@
         }
     }
 
-    /// Why the next statement is refused, if it is: there is no slot for this client, or its connection ends and has
-    /// something in hand already.
+    /// Why the next statement is refused, if it is: the client has no slot, or its connection is ending and has a
+    /// request in hand already.
     pub(super) fn refusal(&mut self) -> Option<Refusal> {
         if self.draining.is_none() && !self.find_slot() {
             self.shared.counters.clients_refused.add();
@@ -80,11 +81,11 @@
         }
     }
 
-    /// Ends the connection once nothing is owed on it any more; gives why, when it is over. `active`: bytes moved or
-    /// messages were taken just now.
+    /// Ends the connection once nothing is outstanding on it; returns the reason when it is over. `active`: bytes
+    /// were moved or messages read just now.
     pub(super) fn close_if_settled(&mut self, active: bool) -> Result<Option<CloseReason>, Failure> {
         if self.draining.is_some() {
-            // What is queued goes out before anything else is read.
+            // What is queued is written before anything else is read.
             self.link.flush()?;
         }
         let outstanding = self.outstanding();
@@ -101,13 +102,13 @@
         Ok(ended)
     }
 
-    /// It ends because other clients need its place.
+    /// Whether it ends because other clients need its slot.
     fn makes_room(&self) -> bool {
         matches!(self.draining, Some(CloseReason::MadeRoom | CloseReason::Idle)) && self.closing.is_none()
     }
 
-    /// It was idle for so long that its last answer was read: its place is free at once. What comes in just now is
-    /// unread, and its client sends it again.
+    /// Whether it can close without lingering: it was idle for so long that its last answer has been read. What comes
+    /// in just now is left unread, and its client sends it again.
     fn can_close_at_once(&self) -> bool {
         let rested = self.last_answer + MIN_IDLE <= self.shared.clock.now();
         matches!(self.closing, Some(CloseReason::MadeRoom | CloseReason::Idle))
@@ -115,7 +116,7 @@
             && self.linger_until.is_none()
     }
 
-    /// Nothing is in hand for it, and it has what it was owed, or takes none of it.
+    /// Whether no request is in hand, and the client has read its answers or does not read at all.
     pub(super) fn is_idle(&self) -> bool {
         self.pipeline.is_empty() && (self.link.flushed() || self.does_not_read())
     }
@@ -124,13 +125,13 @@
         !self.link.flushed() && self.last_progress + MAX_STALL <= self.shared.clock.now()
     }
 
-    /// When it has taken none of its answer for too long, unless it does by then.
+    /// When it will have read none of its answer for too long.
     pub(super) fn stalls_at(&self) -> Duration {
         let at = self.last_progress + MAX_STALL;
         if self.link.flushed() || at <= self.shared.clock.now() { Duration::MAX } else { at }
     }
 
-    /// The process is about to exit: what is unanswered gets its final answer now.
+    /// The process is about to exit: everything unanswered gets its final answer now.
     fn answer_all(&mut self) {
         for request_id in self.pipeline.started().collect::<Vec<_>>() {
             let _ = self.shared.dispatcher.send(DispatcherMessage::ClientLeft(request_id));
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Ends a connection on which half a request was read, with a word.
+    /// Ends a connection on which an incomplete request was read, with an error.
     fn refuse_half_read(&mut self) {
         let mut out = Vec::new();
         pg::error(&mut out, true, CONNECTION_ENDS.code, CONNECTION_ENDS.text, None);
@@ -154,8 +155,8 @@
         self.closing = self.draining;
     }
 
-    /// Ends the sending, then reads on for a while: to close over bytes that came in unread would reset the connection and
-    /// could take the last answer from the client. True once it may close.
+    /// Ends the sending, then reads and discards for a while: closing a socket with unread bytes would reset the
+    /// connection, and the client could lose the last answer. Returns whether the connection may be closed.
     fn linger(&mut self) -> bool {
         let now = self.shared.clock.now();
         if self.linger_until.is_none() {
@@ -169,7 +170,7 @@
         now >= until || self.link.ended
     }
 
-    /// What is owed to the client now.
+    /// What the client is still due.
     fn outstanding(&self) -> Outstanding {
         let half_read = if self.closing.is_some() { 0 } else { self.link.inbound.len() };
         Outstanding {
@@ -179,7 +180,7 @@
         }
     }
 
-    /// The end of the connection, whoever ends it: nothing more is done for what it still holds.
+    /// Ends the connection, whoever caused it: nothing more is done for its open requests.
     pub(super) fn close(&mut self, reason: CloseReason) {
         let outstanding = self.outstanding();
         self.shared.request_log.client_closed(self.slot, reason, outstanding);
--- a/crates/front/src/clients.rs
+++ b/crates/front/src/clients.rs
@@ -1,4 +1,5 @@
-//! What the actors of all clients share: settings, the slots that clients hold, and who moves to another process.
+//! State that the actors of all clients share: settings, the slots that clients take, and the transfer of clients to
+//! another process.
 
 use crate::clock::Clock;
 use crate::counters::Counters;
@@ -14,14 +15,14 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// How long the door stays shut when a client can't be taken in.
+/// How long the acceptor pauses when it can't accept a client.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(2);
-/// A client between txns for less than this is not asked to leave, nor one that came less long ago.
+/// A client that has been idle, or connected, for less than this is not asked to leave.
 pub(crate) const MIN_IDLE: Duration = Duration::from_millis(250);
-/// A connection without a txn may be closed after this.
+/// A connection that has been idle for this long may be closed.
 const LONG_IDLE: Duration = Duration::from_secs(2);
 
-/// What all clients' actors share.
+/// State that all clients' actors share.
 pub struct SharedClients {
     pub clock: Clock,
     pub dispatcher: Sender<DispatcherMessage>,
@@ -30,56 +31,60 @@
     pub request_log: RequestLog,
     /// The txn types by name.
     pub txn_types: Indices<String>,
-    /// Which of them write.
+    /// Whether each txn type writes.
     pub writes: Vec<bool>,
-    /// Clients tell what their session has written.
+    /// Whether clients report what their session has written.
     pub client_session_marks: bool,
     /// An answer must be out this long after the expiry.
     pub grace: Duration,
+    /// The number of the next request.
     pub next_request_id: AtomicU64,
-    /// Connections end once they are between txns.
+    /// Connections end once they are idle: this process ends.
     pub closing: AtomicBool,
-    /// The process is about to exit: all is answered now.
+    /// The process is about to exit: all open requests are answered now.
     pub answer_all_now: AtomicBool,
-    /// How many clients there may be, and how many more to be told that there is no room.
+    /// How many clients there may be, and how many more may connect only to be refused.
     pub max_clients: usize,
     pub refusal_slots: usize,
-    /// Clients hold only so many connections in all, idle ones too: beyond the first number those that are
-    /// idle for long are closed to them, beyond the second those idle for less.
+    /// Above the first number of clients, connections that have been idle for long are closed; above the second,
+    /// those that have been idle for a short time, too.
     pub close_long_idle_above: usize,
     pub close_idle_above: usize,
     pub slots: Mutex<ClientSlots>,
-    /// Where clients between txns are sent while this front hands over, and whether it does.
+    /// Where idle clients are sent while this front hands over to another process, and which of them.
     pub transfer_to: Mutex<Option<std::sync::mpsc::Sender<ClientTransfer>>>,
     pub transfer_mode: AtomicU8,
-    /// Clients may still come from the process that this one has succeeded.
+    /// Clients may still come from the previous process.
     pub receiving_transfers: AtomicBool,
-    /// Nobody is taken in any more: another process does.
+    /// The acceptor has to stop: another process accepts clients now.
     pub stop_accepting: AtomicBool,
-    /// The acceptor is at work.
+    /// The acceptor is running.
     pub acceptor_running: AtomicBool,
-    /// The actor that speaks with the other fronts, where it is turned on.
+    /// The membership actor, if it is on.
     pub membership: Option<membership::Handle>,
 }
 
 /// A client on its way to another process.
 pub struct ClientTransfer {
+    /// The id of its slot.
     pub number: u64,
     pub descriptor: OwnedFd,
-    /// What it has sent and is not used yet.
+    /// Bytes that it has sent and that are not used yet.
     pub unread: Vec<u8>,
+    /// Whether its startup is done.
     pub open: bool,
+    /// Whether messages are skipped up to Sync.
     pub skipping: bool,
     pub result: TransferResult,
 }
 
-/// What became of a client that was to move; tells its actor.
+/// Reports the result of a client's transfer to its actor.
 pub struct TransferResult {
     pub(crate) state: Arc<AtomicU8>,
     pub(crate) waker: Bell,
 }
 
-/// Which clients between txns move to another process: none, those that have rested, all.
+/// Which idle clients move to another process: none, those that have been idle for a while, or all.
 const TRANSFER_NONE: u8 = 0;
 const TRANSFER_IDLE: u8 = 1;
 const TRANSFER_ALL: u8 = 2;
@@ -89,14 +94,14 @@
 pub(crate) const TRANSFER_ACCEPTED: u8 = 2;
 
 impl TransferResult {
-    /// It is the other process's, or it is served here again.
+    /// Sets the result: the other process has taken the client, or it is served here again.
     pub fn complete(&self, taken: bool) {
         self.state.store(if taken { TRANSFER_ACCEPTED } else { TRANSFER_REFUSED }, Ordering::Release);
         self.waker.ring();
     }
 }
 
-/// The clients that are here.
+/// The slots of all connected clients.
 #[derive(Default)]
 pub struct ClientSlots {
     next: u64,
@@ -105,12 +110,12 @@
 
 pub(crate) struct ClientSlot {
     waker: Bell,
-    /// Since when it is between txns; it may be asked to leave then.
+    /// Since when it is idle, if it is.
     pub(crate) idle_since: Option<Duration>,
-    /// It has sent its opening.
+    /// Its startup is done.
     pub(crate) open: bool,
     asked_to_leave: bool,
-    /// Its sending has ended.
+    /// Its sending side is closed.
     closing: bool,
 }
 
@@ -121,8 +126,9 @@
 }
 
 impl ClientSlots {
-    /// Asks a client to leave: one that has said nothing, or else the one longest between txns, if it is for
-    /// so long that hardly a txn of its crosses the end of its connection.
+    /// Asks one client to leave if it has been idle for at least `least`, long enough that hardly any request crosses
+    /// the end of its connection: first one without a startup, else the one that has been idle longest. Returns
+    /// whether there was one.
     pub(crate) fn ask_to_leave(&mut self, now: Duration, least: Duration) -> bool {
         let idle = |slot: &&mut ClientSlot| {
             let rested = |since| since + least <= now;
@@ -138,25 +144,26 @@
     }
 }
 
-/// What a client that has nothing to do is told.
+/// What a client with nothing to do does next.
 pub(crate) enum IdleAction {
-    /// To look again then, if nothing comes before.
+    /// Check again at this time, unless something comes before.
     CheckAt(Duration),
-    /// To end its connection, for this reason.
+    /// End its connection, for this reason.
     Leave(CloseReason),
 }
 
 impl SharedClients {
-    /// Held for a few steps only, never over a wait.
+    /// Locks the slots. The lock is held for a few steps only, never across a wait.
     pub(crate) fn slots(&self) -> MutexGuard<'_, ClientSlots> {
         self.slots.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// The number of connected clients.
     pub fn present(&self) -> usize {
         self.slots().taken.len()
     }
 
-    /// From now on clients that have rested between txns are sent there.
+    /// From now on, clients that have been idle for a while are transferred through `transfers`.
     pub fn start_transfer(&self, transfers: std::sync::mpsc::Sender<ClientTransfer>) {
         *self.transfer_to.lock().unwrap_or_else(PoisonError::into_inner) = Some(transfers);
         self.transfer_mode.store(TRANSFER_IDLE, Ordering::Release);
@@ -164,13 +171,13 @@
         self.slots().taken.values().filter(|slot| slot.idle_for_min(now)).for_each(|slot| slot.waker.ring());
     }
 
-    /// From now on all clients between txns are.
+    /// From now on, all idle clients are transferred.
     pub fn transfer_all(&self) {
         self.transfer_mode.store(TRANSFER_ALL, Ordering::Release);
         self.slots().taken.values().for_each(|slot| slot.waker.ring());
     }
 
-    /// Whether this client is to set out.
+    /// Whether this client is to be transferred now.
     pub(crate) fn should_transfer(&self, id: u64) -> bool {
         match self.transfer_mode.load(Ordering::Acquire) {
             TRANSFER_IDLE => {
@@ -181,20 +188,21 @@
         }
     }
 
-    /// Tells the actor that speaks with the other fronts, where there is one; from any thread.
+    /// Sends to the membership actor, if it is on; works on any thread.
     pub fn send_to_membership(&self, message: MembershipMessage) {
         if let Some(membership) = self.membership.clone() {
             self.clock.run_at(Duration::ZERO, move || membership.send(message));
         }
     }
 
-    /// Clients stay.
+    /// Stops the transfer: clients stay here.
     pub fn stop_transfer(&self) {
         self.transfer_mode.store(TRANSFER_NONE, Ordering::Release);
         *self.transfer_to.lock().unwrap_or_else(PoisonError::into_inner) = None;
     }
 
-    /// Whether a client's connection is to end. A fresh one has a while for its first request.
+    /// Whether a client's connection is to end because this process does. A client without a request yet has a while
+    /// for its first one.
     pub(crate) fn should_drain(&self, id: u64, fresh: bool) -> bool {
         if !self.closing.load(Ordering::Relaxed) {
             return false;
@@ -204,19 +212,19 @@
         !(fresh && since.is_some_and(|since| now < since + MIN_IDLE))
     }
 
-    /// Has all that is unanswered answered, as the process is about to exit.
+    /// Has all open requests answered, as the process is about to exit.
     pub fn answer_all_now(self: &Arc<Self>) {
         self.answer_all_now.store(true, Ordering::Relaxed);
         self.wake_all();
     }
 
-    /// From now on connections end between txns.
+    /// From now on, connections end once they are idle.
     pub fn close(self: &Arc<Self>) {
         self.closing.store(true, Ordering::Relaxed);
         self.wake_all();
     }
 
-    /// Wakes all clients' actors, from any thread.
+    /// Wakes all clients' actors; works on any thread.
     fn wake_all(self: &Arc<Self>) {
         let clients = self.clone();
         self.clock.run_at(Duration::ZERO, move || {
@@ -224,8 +232,8 @@
         });
     }
 
-    /// ClientSlots a client. Where all slots are taken, the client longest between txns is asked to leave; where
-    /// none is between txns, the new one gets none of its own: `false`.
+    /// Gives a new client its slot. If all slots are taken, the client that has been idle longest is asked to leave;
+    /// if none is idle, the new client is in excess, and `false` is returned.
     pub(crate) fn allocate_slot(&self, waker: Bell) -> (u64, bool) {
         let now = self.clock.now();
         let mut slots = self.slots();
@@ -239,14 +247,15 @@
         (id, found)
     }
 
-    /// Notes whether a client is idle: nothing is in hand for it. It rests from when bytes moved last, at the earliest.
+    /// Records whether a client is idle, from when bytes were last moved at the earliest, and returns what it does
+    /// next.
     pub(crate) fn update_idle(&self, id: u64, idle: bool, progress: Duration) -> IdleAction {
         let now = self.clock.now();
         let mut slots = self.slots();
         let present = slots.taken.len();
         let Some(slot) = slots.taken.get_mut(&id) else { return IdleAction::CheckAt(Duration::MAX) };
         let since = slot.idle_since.unwrap_or(now).max(progress);
-        // One that ends already stays as it is.
+        // A closing client stays the first to go.
         slot.idle_since = if slot.closing { slot.idle_since } else { idle.then_some(since) };
         if slot.asked_to_leave {
             return IdleAction::Leave(CloseReason::MadeRoom);
@@ -260,21 +269,21 @@
         IdleAction::CheckAt(if idle { next.unwrap_or(now + LONG_IDLE) } else { Duration::MAX })
     }
 
-    /// Notes that a client has something in hand again: nobody asks it to leave from here on.
+    /// Records that a client has a request in hand: it is not asked to leave from here on.
     pub(crate) fn mark_busy(&self, id: u64) {
         if let Some(slot) = self.slots().taken.get_mut(&id) {
             slot.idle_since = None;
         }
     }
 
-    /// Notes that a client's connection ends: it is the first to go where there is no room.
+    /// Records that a client's connection is closing: it is the first to go when slots are needed.
     pub(crate) fn mark_closing(&self, id: u64) {
         if let Some(slot) = self.slots().taken.get_mut(&id) {
             (slot.idle_since, slot.closing) = (Some(Duration::ZERO), true);
         }
     }
 
-    /// Comes back a little later.
+    /// Waits a little before the next attempt to accept.
     pub(crate) fn pause_accepting(&self) {
         self.clock.pause(ACCEPT_RETRY_PAUSE);
     }
--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -1,9 +1,12 @@
-//! Two times that are kept apart. Spans (deadlines, waits, windows, graces) are of the monotonic clock alone:
-//! [`Clock::now`], and one coroutine that rings when such a time has come. What time it is at the servers is an origin on top
-//! of that, [`Clock::origin`], which says where positions lie; what servers prove corrects the origin and moves no span.
-//! Coroutines never wait for a time themselves: `may` would run them on its timer thread, beside the one worker. Threads that
-//! are not the worker's wake nobody themselves either: they set an alarm ([`Clock::post`], [`Clock::at`]), which the kernel
-//! tells the worker of, so that the worker never has to wait for a thread that does not run.
+//! Two kinds of time, kept apart. Spans (deadlines, waits, windows, graces) use the monotonic clock alone:
+//! [`Clock::now`], and one coroutine that runs callbacks when their time has come. The servers' wall-clock time is an
+//! origin on top of that, [`Clock::origin`], which dates positions; what servers prove corrects the origin and moves
+//! no span.
+//!
+//! Coroutines never sleep by themselves: `may` would run them on its timer thread, beside the one worker. Threads
+//! other than the worker's wake no coroutine by themselves either: they set a timer ([`Clock::post`],
+//! [`Clock::run_at`]), of which the kernel notifies the worker, so that the worker never has to wait for a thread
+//! that does not run.
 
 use crate::messages::DispatcherMessage;
 use juniperdock_connection::{Timer, TimerSetter};
@@ -15,44 +18,47 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime};
 
-/// Alarms ring at most this much late for being sorted.
+/// Resolution of the timer wheel: timers fire at most this much late because of it.
 const TIMER_TICK: Duration = Duration::from_micros(250);
-/// Both clocks are read within this span at the start, or so often.
+/// At the start, both clocks are read again until they were read within this span, at most `MAX_READS` times.
 const MAX_READ_SPAN: Duration = Duration::from_millis(1);
 const MAX_READS: u32 = 5;
-/// The worker is known to run at least this often.
+/// The interval of watchdog ticks: a healthy worker runs at least this often.
 pub const WATCHDOG_PERIOD: Duration = Duration::from_millis(20);
 
-/// When the worker last ran, and its latest standstill: its start, and how many beats its end lasts. Times in
-/// microseconds.
+/// When the worker last ran, and its latest stall. Times are in microseconds since the start.
 #[derive(Default)]
 struct WorkerActivity {
     last_run: AtomicU64,
+    /// The start of the latest stall.
     stalled_from: AtomicU64,
+    /// How many more ticks count as the end of the latest stall.
     recovery_ticks: AtomicU64,
     last_tick: AtomicU64,
-    /// How long the latest standstill was, until it is asked for.
+    /// The length of the latest stall, until it is reported.
     unreported_stall: AtomicU64,
 }
 
-/// After so many turns in which an actor has not waited it gives way to all others.
+/// An actor that has not waited for this many turns in a row yields to all others.
 const YIELD_AFTER_TURNS: u32 = 8;
 
-/// How long an actor waits before it tries again what the machine was short for.
+/// How long an actor waits before it retries what failed because the machine was short of a resource.
 pub const SHORTAGE_PAUSE: Duration = Duration::from_millis(2);
 
-/// What an alarm does, on the worker; it must not wait.
+/// The callback of a timer; it runs on the worker and must not block.
 type Callback = Box<dyn FnOnce() + Send>;
 
-/// An alarm that was set; it may be cancelled.
+/// A timer that was set; see [`Clock::cancel`].
 pub struct TimerHandle(TimerKey);
 
-/// Alarms still to ring, and when the one that rings them looks next; only an earlier one sets the timer anew.
+/// Pending timers, and when the coroutine that fires them wakes next; only an earlier timer sets the kernel's timer
+/// anew.
 struct Timers {
     wheel: TimerWheel<Callback>,
     next_check: Duration,
 }
 
+/// The pending timers, and the kernel's timer that wakes the coroutine that fires them.
 struct TimerQueue {
     timers: Mutex<Timers>,
     timer: TimerSetter,
@@ -64,23 +70,24 @@
     }
 }
 
+/// The clocks of this process and its timers.
 #[derive(Clone)]
 pub struct Clock {
     begun: Instant,
-    /// Unix time at the start, in microseconds, as far as is known.
+    /// Unix time at the start, in microseconds, as corrected so far.
     start_unix: Arc<AtomicI64>,
     queue: Arc<TimerQueue>,
     activity: Arc<WorkerActivity>,
-    /// What servers say of the time.
+    /// The servers' time as far as their positions prove it.
     servers: Arc<Mutex<ServerClock>>,
 }
 
 impl Clock {
-    /// A clock that starts now, and what a coroutine of its own is to run: no alarm rings before that. Waits for so long
-    /// while the machine is short of descriptors.
+    /// A clock that starts now, and the body of the coroutine that fires its timers: no timer fires before it runs.
+    /// Waits for up to `max_wait` while the machine is short of descriptors.
     ///
     /// # Errors
-    /// Where there is no timer to be had.
+    /// If the kernel's timer can't be opened.
     pub fn start(max_wait: Duration) -> Result<(Clock, impl FnOnce() + Send), String> {
         let timer = Timer::open(max_wait).map_err(|e| format!("a timer: {e}"))?;
         let (begun, unix) = read_both_clocks();
@@ -93,19 +100,19 @@
         Ok((clock, move || run_timers(&its_clock, &timer)))
     }
 
-    /// Since the start, by the monotonic clock.
+    /// The time since the start, by the monotonic clock.
     pub fn now(&self) -> Duration {
         self.begun.elapsed()
     }
 
-    /// What time it was at the start, as far as is known: where positions lie on the monotonic clock. Positions are Unix
-    /// times, so they count from 0.
+    /// The wall-clock time at the start, as corrected so far, which places positions on the monotonic clock.
+    /// Positions are Unix times, so they count from 0.
     pub fn origin(&self) -> Origin {
         Origin { start: self.start_unix.load(Ordering::Relaxed), zero: 0 }
     }
 
-    /// Judges a position that a server told. Where it proves that this process is behind, the origin is moved: positions
-    /// that were dated by the one before lie too late by so much, and whoever keeps some has to drop them.
+    /// Judges a position that a server reported. If it proves that this process's clock is behind, the origin moves
+    /// forward: positions dated by the old origin are too late by as much, and whoever keeps some has to drop them.
     pub fn judge(&self, sample: PositionSample) -> Verdict {
         let verdict = self.servers().judge(sample);
         if let Verdict::Behind(by) = verdict {
@@ -114,7 +121,7 @@
         verdict
     }
 
-    /// How far this process's time is ahead of the servers' at least.
+    /// The least that this process's clock is ahead of the servers'.
     pub fn ahead(&self) -> Duration {
         self.servers().ahead()
     }
@@ -123,7 +130,7 @@
         self.servers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that the worker runs now.
+    /// Records that the worker runs now; a long gap since the last call is a stall.
     pub fn note_running(&self) {
         let now = self.now().as_micros() as u64;
         let last = self.activity.last_run.swap(now, Ordering::Relaxed);
@@ -134,13 +141,14 @@
         }
     }
 
-    /// A standstill that nobody has asked for yet.
+    /// The length of the latest stall, once for each stall.
     pub fn take_stall(&self) -> Option<Duration> {
         let unreported_stall = self.activity.unreported_stall.swap(0, Ordering::Relaxed);
         (unreported_stall > 0).then(|| Duration::from_micros(unreported_stall))
     }
 
-    /// Notes a beat. After two of them, a while apart, all that had come in before has been read.
+    /// Records a watchdog tick. After two ticks, half a period apart, everything that came in during a stall has been
+    /// read.
     pub fn note_tick(&self) {
         self.note_running();
         let now = self.now().as_micros() as u64;
@@ -151,8 +159,8 @@
         }
     }
 
-    /// The earliest time at which bytes that are read now may have come in: right after a standstill of this
-    /// front they may have waited since it began.
+    /// The earliest time at which bytes that are read now may have come in: right after a stall they may have waited
+    /// since it began.
     pub fn arrival_time(&self) -> Duration {
         if !self.recently_stalled() {
             return self.now();
@@ -160,13 +168,13 @@
         Duration::from_micros(self.activity.stalled_from.load(Ordering::Relaxed))
     }
 
-    /// Whether the worker stood still just now: what came in meanwhile may not have been read yet.
+    /// Whether the worker stalled just now: what came in meanwhile may not have been read yet.
     pub fn recently_stalled(&self) -> bool {
         self.activity.recovery_ticks.load(Ordering::Relaxed) > 0
     }
 
-    /// Calls `ring` on the worker once that time has come; `ring` must not wait. The way for all other threads to wake an
-    /// actor, too: at a time that is over it is called at once.
+    /// Runs `callback` on the worker once that time has come, or at once if it is past; `callback` must not block.
+    /// This is also how other threads wake an actor.
     pub fn run_at(&self, at: Duration, callback: impl FnOnce() + Send + 'static) -> TimerHandle {
         let mut timers = self.queue.timers();
         let key = timers.wheel.schedule(at, Box::new(callback));
@@ -177,16 +185,16 @@
         TimerHandle(key)
     }
 
-    /// Posts from a thread that is not the worker's.
+    /// Sends a message from a thread other than the worker's.
     pub fn post<T: Send + 'static>(&self, to: &Sender<T>, message: T) {
         let to = to.clone();
         self.run_at(Duration::ZERO, move || {
-            // Whoever has ended needs no mail.
+            // A receiver that has ended needs no message.
             let _ = to.send(message);
         });
     }
 
-    /// Has the dispatcher told once a pulse that the worker runs.
+    /// Sends the dispatcher a watchdog tick each [`WATCHDOG_PERIOD`], for good.
     pub fn start_watchdog(&self, dispatcher: Sender<DispatcherMessage>) {
         let (clock, due) = (self.clone(), self.now() + WATCHDOG_PERIOD);
         self.run_at(due, move || {
@@ -195,14 +203,14 @@
         });
     }
 
-    /// Waits until all others have had their turn, those too that wait for their sockets. `may` looks at sockets and
-    /// takes up what other threads have woken only once nothing else is ready to run: who just yields in a loop is
-    /// always ready, and keeps them all waiting.
+    /// Waits until all other coroutines have had a turn, including those that wait for their sockets. `may` polls
+    /// sockets and takes up what other threads have woken only when nothing else is ready to run: a coroutine that
+    /// just yields in a loop is always ready, and starves them all.
     pub fn yield_to_others(&self) {
         self.pause(Duration::ZERO);
     }
 
-    /// Waits for so long. The calling coroutine hears of nothing meanwhile.
+    /// Suspends the calling coroutine for this long; nothing wakes it earlier.
     pub fn pause(&self, span: Duration) {
         let (wake, woken) = channel();
         self.run_at(self.now() + span, move || {
@@ -211,8 +219,8 @@
         let _ = woken.recv();
     }
 
-    /// What an actor does that has moved bytes for so many turns in a row: it lets others have theirs, and waits for a
-    /// moment where the machine is short.
+    /// Called by an actor that has moved bytes for `busy` turns in a row: lets others run now and then, and waits a
+    /// moment if the machine is short of a resource.
     pub fn yield_if_busy(&self, busy: u32, is_short: bool) {
         if is_short {
             self.pause(SHORTAGE_PAUSE);
@@ -221,16 +229,16 @@
         }
     }
 
-    /// An alarm that has not rung does not.
+    /// Cancels a timer that has not fired.
     pub fn cancel(&self, handle: &TimerHandle) {
         let callback = self.queue.timers().wheel.cancel(handle.0);
-        // Dropped without the lock.
+        // Dropped after the lock is released.
         drop(callback);
     }
 }
 
-/// The monotonic clock and, after it, the Unix time. Where the process is held up in between, the origin is too late and
-/// data seems older than it is, never younger; so that this is not by much, both are read again.
+/// Reads the monotonic clock and, after it, the Unix time. If the process is held up in between, the origin is too
+/// late and data seems older than it is, never younger; to limit this, both are read again.
 fn read_both_clocks() -> (Instant, Duration) {
     let mut tries = 0;
     loop {
@@ -243,23 +251,23 @@
     }
 }
 
-/// Rings what is due, then waits for the next.
+/// Fires the timers that are due, then waits for the next.
 fn run_timers(clock: &Clock, timer: &Timer) -> ! {
     loop {
         while let Some(callback) = next_due_callback(clock) {
-            // Without the lock: who is woken may set the next one.
+            // Runs without the lock: the callback may set another timer.
             callback();
         }
         timer.wait();
     }
 }
 
-/// The next alarm that is due; where there is none, the timer is set to when one may be.
+/// The next callback that is due; if there is none, sets the kernel's timer to the next time at which one may be.
 fn next_due_callback(clock: &Clock) -> Option<Callback> {
     let mut timers = clock.queue.timers();
     let now = clock.now();
     let due = timers.wheel.pop_due(now);
-    // While it rings, nobody else has to set the timer.
+    // While callbacks run, nobody else needs to set the kernel's timer.
     timers.next_check =
         if due.is_some() { Duration::ZERO } else { timers.wheel.next_due().unwrap_or(Duration::MAX) };
     if due.is_none() {
--- a/crates/front/src/connect.rs
+++ b/crates/front/src/connect.rs
@@ -1,5 +1,5 @@
-//! Opens a connection from an actor: waits for the handshake by the clock's alarms, hears its waker while it waits, and
-//! tries again after a pause while this machine is short of something.
+//! Opens a connection from an actor. The handshake's time limit is a timer of the clock, whoever wants to cancel can
+//! wake the actor meanwhile, and the attempt is repeated after a pause while this machine is short of a resource.
 
 use crate::clock::{Clock, SHORTAGE_PAUSE};
 use juniperdock_connection::{Bell, BufferLimits, ConnectError, Connecting, Link};
@@ -8,26 +8,26 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A connection that is wanted.
+/// The connection to open.
 pub struct ConnectRequest {
     pub to: SocketAddr,
-    /// By the time of [`Clock::now`]; given up then.
+    /// The time limit, by [`Clock::now`].
     pub until: Duration,
     pub limits: BufferLimits,
 }
 
-/// Why there is none.
+/// Why there is no connection.
 #[derive(Debug)]
 pub enum ConnectFailure {
-    /// It is not wanted any more.
+    /// The caller cancelled it.
     Cancelled,
-    /// The other side said nothing for so long.
+    /// The other side did not answer in time.
     TimedOut,
-    /// Its time was over before it could be begun: says nothing of the other side.
+    /// Its time was over before the attempt could start: proves nothing about the other side.
     TooLate,
-    /// This machine was short of something all the while: says nothing of the other side.
+    /// This machine was short of a resource all the time: proves nothing about the other side.
     LocalShortage(io::Error),
-    /// The other side refused it, or can't be reached.
+    /// The other side refused it, or is unreachable.
     Failed(io::Error),
 }
 
@@ -43,11 +43,11 @@
     }
 }
 
-/// Connects. `on_started` gets the waker that ends the wait, so that whoever cancels can ring it; the waker rings by itself at
-/// `until`, then too where the connection is up before. `cancelled` is asked each time that the coroutine wakes.
+/// Connects. `on_started` gets the waker that ends the wait, for whoever cancels; the wait also ends at `until`, even
+/// if the connection was up earlier. `cancelled` is called each time that the coroutine wakes.
 ///
 /// # Errors
-/// Where no connection is up by then, or it is cancelled.
+/// If no connection is up in time, or it is cancelled.
 pub fn connect(
     clock: &Clock,
     request: &ConnectRequest,
@@ -74,6 +74,7 @@
     Err(ConnectFailure::Cancelled)
 }
 
+/// Waits until the connection is up, its time is over, or it is cancelled.
 fn await_handshake(
     clock: &Clock,
     connecting: Connecting,
--- a/crates/front/src/counters.rs
+++ b/crates/front/src/counters.rs
@@ -1,4 +1,4 @@
-//! What the front has taken in, sent and answered; printed on request and at exit.
+//! Counters of what the front received, sent and answered. They are printed on request and at exit.
 
 use juniperdock_request_guard::Invariants;
 use std::fmt;
@@ -10,7 +10,7 @@
         #[derive(Debug, Default)]
         pub struct Counters {
             $(pub $name: Counter,)+
-            /// What must never happen.
+            /// Counts of violations that must never happen.
             pub invariants: Arc<Invariants>,
         }
 
@@ -24,6 +24,7 @@
 }
 
 #[derive(Debug, Default)]
+/// One counter or gauge; safe to update from any thread.
 pub struct Counter(AtomicU64);
 
 impl Counter {
@@ -35,6 +36,7 @@
         self.0.fetch_add(u64::from(counts), Ordering::Relaxed);
     }
 
+    /// Raises the value to `amount` if it is lower.
     pub fn record_max(&self, amount: u64) {
         self.0.fetch_max(amount, Ordering::Relaxed);
     }
--- a/crates/front/src/discovery_client.rs
+++ b/crates/front/src/discovery_client.rs
@@ -1,5 +1,5 @@
-//! The discovery client: keeps a watch on the server list and passes on what it is told. Where discovery moves to
-//! another address, the watch there is opened before the old one is dropped.
+//! The discovery client keeps a watch on the server list and passes lists on to the dispatcher. When discovery moves
+//! to another address, the new watch is opened before the old one is dropped.
 
 use crate::clock::Clock;
 use crate::connect::{ConnectRequest, connect};
@@ -15,23 +15,25 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Without a sign of life for this long the watch is opened anew: an empty line, which comes every 2 s, is overdue.
-/// Whatever the list has to tell counts as told 6 s after a silence began: two more watches can be opened by then.
+/// A watch is replaced if nothing arrives for this long; discovery sends an empty line every 2 s. A change of the
+/// list has to be in force 6 s after a silence began: two more watches can be opened by then.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(3500);
 
-/// The agent is on this machine and answers at once. A new watch that has told nothing for this long, be it that it
-/// never came up, is given up for the next. After a change of address what it has counts as told after 4 s.
+/// The agent is on this machine and answers at once. A new watch that has sent no list within this time, for whatever
+/// reason, is given up for the next one. After a change of address, the new agent's list has to be in force after 4
+/// s.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(1500);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const BUFFER_LIMITS: BufferLimits = BufferLimits { inbound: MAX_UNREAD, outbound: MAX_UNREAD };
 
-/// A watch that is open or being opened.
+/// The client's side of a watch that is open or being opened.
 struct WatchHandle {
     number: u64,
     waker: Option<Bell>,
     stop: Arc<AtomicBool>,
 }
 
+/// The actor that owns the watches.
 pub struct DiscoveryClient {
     address: SocketAddr,
     versions: Versions,
@@ -43,14 +45,15 @@
     stack: usize,
     sender: Sender<DiscoveryMessage>,
     messages: Receiver<DiscoveryMessage>,
-    /// In the order in which they were opened; only the last counts once it has told something.
+    /// In the order in which they were opened; once the last one has sent a list, only it counts.
     watches: Vec<WatchHandle>,
     opened: u64,
-    /// That no watch could be kept has been logged since the last list.
+    /// Whether the loss of the watch has been logged since the last list.
     logged: bool,
 }
 
 impl DiscoveryClient {
+    /// Makes a client for discovery at this address. `version` is that of the list that is already known, if any.
     pub fn new(
         address: SocketAddr,
         version: Option<u64>,
@@ -79,10 +82,12 @@
         }
     }
 
+    /// The sending end of the client's queue.
     pub fn sender(&self) -> Sender<DiscoveryMessage> {
         self.sender.clone()
     }
 
+    /// Handles messages until all senders are gone.
     pub fn run(mut self) {
         while let Ok(message) = self.messages.recv() {
             match message {
@@ -105,6 +110,7 @@
         }
     }
 
+    /// Opens another watch.
     fn open(&mut self) {
         self.opened += 1;
         let (number, stop) = (self.opened, Arc::new(AtomicBool::new(false)));
@@ -129,7 +135,7 @@
         }
     }
 
-    /// Passes on what counts of a list. Nothing is believed of a watch that a later one has taken over from.
+    /// Passes a list on. Older watches are stopped, and lists of a watch that a newer one replaced are ignored.
     fn list_received(&mut self, number: u64, list: ServerList) {
         let Some(at) = self.watches.iter().position(|watch| watch.number == number) else { return };
         for old in self.watches.drain(..at) {
@@ -143,7 +149,8 @@
         }
     }
 
-    /// One that was taken over from may end; the desk hears of the last one's end, and asks for the next.
+    /// Handles the end of a watch. If it was the last one, the dispatcher is notified, which asks for the next; a
+    /// watch that was replaced may just end.
     fn watch_ended(&mut self, number: u64, why: &WatchEnd) {
         let last = self.watches.last().is_some_and(|watch| watch.number == number);
         self.watches.retain(|watch| watch.number != number);
@@ -178,7 +185,7 @@
 }
 
 impl Watch {
-    /// Watches until it fails, and says why it did.
+    /// Watches until it fails or is stopped; returns why.
     fn run(&self, after: Option<u64>) -> WatchEnd {
         let failed = |why: String| WatchEnd::Failed(why);
         let (request, begun) = (watch_request(&self.address.to_string(), after), self.clock.now());
--- a/crates/front/src/dispatcher.rs
+++ b/crates/front/src/dispatcher.rs
@@ -1,5 +1,5 @@
-//! The desk owns the router and its reminders. All inputs come through its mailbox, in order; what the router
-//! has done goes out to the actors' mailboxes. Nothing is chosen here.
+//! The dispatcher owns the router and its timers. All inputs arrive through one queue and are handled in order; what
+//! the router decides goes out as messages to the other actors. The dispatcher itself decides nothing.
 
 mod host;
 mod snapshot;
@@ -29,35 +29,46 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Servers are told again when the time is found to be off by so much more, or less.
+/// When the estimate of how far this process's clock is ahead changes by at least this much, the router gets all
+/// servers' uptimes again.
 const MIN_CLOCK_CHANGE: Duration = Duration::from_millis(500);
 
-/// What the desk needs to start the actor of a member.
+/// Starts the actor of a member: its index, its address, and both ends of its queue.
 pub type SpawnMember = Box<
     dyn Fn(usize, SocketAddr, Receiver<MemberMessage>, Sender<MemberMessage>) -> Result<(), String> + Send,
 >;
 
-/// Makes a router that knows nothing yet.
+/// Makes a router without any state.
 pub type MakeRouter = Box<dyn Fn() -> Result<Router, String> + Send>;
 
+/// The actor that owns the router: the only place that changes routing state.
 pub struct Dispatcher {
     router: Router,
     make_router: MakeRouter,
     host: RouterHost,
     zones: Indices<String>,
-    /// The txn types by name.
+    /// The names of the txn types, by index.
     txn_types: Vec<String>,
+    /// Limits of the wait queue that were set since the start, and the share of its time for which a request that no
+    /// member has had may wait.
     wait_limits: Option<(WaitLimits, f64)>,
-    /// Posts to the actor that speaks with the other fronts.
+    /// Sends to the membership actor, which speaks with the other fronts.
     membership: Option<Box<dyn Fn(MembershipMessage) + Send>>,
-    /// How far ahead this process's time was when the servers were listed.
+    /// How far this process's clock was ahead of the servers' when the servers' uptimes were last given to the
+    /// router.
     clock_ahead_when_listed: Duration,
-    /// Groups whose change was ordered of all fronts, by which order, and what was last told of it.
+    /// Changes of primary that another front ordered of all fronts: the group, the id of the order, and the step last
+    /// reported.
     fleet_changes: Vec<(u64, u64, fleet_tasks::HoldStep)>,
     log: slog::Logger,
 }
 
 impl Dispatcher {
+    /// Makes a dispatcher with an empty member list. `dispatcher` is the sending end of the queue that
+    /// [`Dispatcher::run`] reads.
+    ///
+    /// # Errors
+    /// If the first router can't be made.
     pub fn new(
         make_router: MakeRouter,
         txn_types: Vec<String>,
@@ -114,8 +125,10 @@
         })
     }
 
+    /// Handles messages until all senders are gone. If handling one panics, all open requests are answered and the
+    /// router is replaced; if no router can be made, the process exits.
     pub fn run(mut self, messages: &Receiver<DispatcherMessage>) {
-        // Of the thread that this coroutine runs on.
+        // It watches the thread that it is made on, which is the one that runs this coroutine.
         let mut watchdog = WorkerWatchdog::new(self.host.request_log.is_enabled());
         while let Ok(message) = messages.recv() {
             if let DispatcherMessage::WatchdogTick { posted } = message {
@@ -136,7 +149,8 @@
         }
     }
 
-    /// The worker runs; where it did not for a while, that is counted, and whether it slept.
+    /// Handles a watchdog tick: counts a stall of the worker, and whether the worker slept meanwhile although work
+    /// was ready.
     fn watchdog_tick(&mut self, posted: Duration, watchdog: &mut WorkerWatchdog) {
         let RouterHost { clock, counters, request_log, .. } = &self.host;
         clock.note_tick();
@@ -150,7 +164,7 @@
         }
     }
 
-    /// The front that has ordered a change of all hears how far it is here.
+    /// Reports progress of ordered changes to the front that ordered them, through the membership actor.
     fn report_changes(&mut self) {
         let Some(membership) = self.membership.as_ref().filter(|_| !self.fleet_changes.is_empty()) else {
             return;
@@ -171,8 +185,8 @@
         });
     }
 
-    /// A change that was ordered of all fronts begins here, or is called off. A new order takes the place of an
-    /// earlier one whose owner was lost.
+    /// Starts or cancels this front's part of a change that was ordered of all fronts. A new order replaces an
+    /// earlier one, whose owner was lost.
     fn planned_change(
         &mut self,
         now: Duration,
@@ -207,7 +221,8 @@
         }
     }
 
-    /// Members that this front asks for all are asked, and what they said is told.
+    /// Updates this front's share of health observation, probes the members that are due, and sends the new
+    /// observations to the other fronts.
     fn observe_health(
         &mut self,
         now: Duration,
@@ -230,8 +245,9 @@
         }
     }
 
-    /// What the router knew was dated by an origin that was behind: it would be taken for younger than it is. What waits
-    /// without any attempt made is taken up by the new router, in its own time; the rest may have run.
+    /// Replaces the router after the clock's origin moved forward: positions that it had dated by the old origin
+    /// would be taken for younger than they are. Requests without any attempt start again in the new router, with
+    /// their old deadlines; those with an attempt may have run and are answered as unknown.
     fn clock_advanced(&mut self, now: Duration, by: Duration) {
         self.host.counters.clock_advanced.add();
         self.host.origin.start += by.as_micros() as i64;
@@ -244,8 +260,8 @@
         waiting.into_iter().for_each(|request| self.start_request(now, request.arrival));
     }
 
-    /// After a panic nothing the router knew can be trusted: all in hand is rolled back, and a new router
-    /// starts from the list as it stands.
+    /// Discards the router, whose state can't be trusted after a panic: all open requests are answered as unknown,
+    /// and a new router starts from the current server list.
     fn restart_router(&mut self) -> Result<(), String> {
         for txn in 0..self.host.txns.len() {
             self.host.answer(txn, Answer::Unknown("what was known is given up; it may have run"));
@@ -260,7 +276,7 @@
         Ok(())
     }
 
-    /// Tells the router of all servers as the list has them; gives which.
+    /// Gives the router all servers as currently listed; returns their indices.
     fn relist_servers(&mut self, now: Duration) -> Vec<usize> {
         let known: Vec<(usize, KnownServer)> =
             self.host.servers.known().map(|(member, known)| (member, *known)).collect();
@@ -268,8 +284,8 @@
         known.iter().map(|(member, _)| *member).collect()
     }
 
-    /// How long servers have been up follows from this process's time: where that turns out to be ahead, they are colder
-    /// than they seemed.
+    /// Corrects the servers' uptimes. They are computed from this process's clock: if that turns out to be ahead, the
+    /// servers are colder than they seemed.
     fn follow_servers_time(&mut self, now: Duration) {
         let ahead = self.host.clock.ahead();
         if ahead.abs_diff(self.clock_ahead_when_listed) >= MIN_CLOCK_CHANGE {
@@ -279,7 +295,7 @@
         }
     }
 
-    /// Limits that were laid down since the start count for every router.
+    /// Applies limits that were set since the start: each new router needs them again.
     fn apply_wait_limits(&mut self) {
         if let Some((limits, share)) = self.wait_limits {
             self.router.set_wait_queue_limits(limits);
@@ -287,7 +303,8 @@
         }
     }
 
-    /// What is still to be written sees what has come in since it was decided.
+    /// Updates the permits of attempts that are not written yet by what has arrived since they were decided, and the
+    /// gauges of groups and waiting requests.
     fn refresh_permits(&mut self) {
         let (txns, router) = (&self.host.txns, &self.router);
         self.host.unwritten.retain(|&txn| match &txns[txn] {
@@ -310,6 +327,7 @@
         counters.waiting.set(router.waiting());
     }
 
+    /// Handles one message.
     fn handle(&mut self, message: DispatcherMessage) {
         let now = self.host.clock.now();
         match message {
@@ -420,17 +438,18 @@
         }
     }
 
+    /// Records how long a new request lay in the queue, and starts it.
     fn request_arrived(&mut self, now: Duration, a: Box<Arrival>) {
         self.host.counters.held_up_most_us.record_max(now.saturating_sub(a.at).as_micros() as u64);
         self.start_request(now, a);
     }
 
-    /// Hands a request to the router, if it may still be started.
+    /// Hands a request to the router if it may still be started.
     fn start_request(&mut self, now: Duration, a: Box<Arrival>) {
         match a.guard.may_start(now) {
             Ok(()) => {}
             Err(Withheld::OutOfTime) => return a.client.post((a.request_id, Answer::Declined(None))),
-            // Its client has gone, or has its answer.
+            // The client has left or has its answer.
             Err(Withheld::Ended | Withheld::ClientLeft) => return,
         }
         if self.host.groups.known(&a.group).is_none() && !self.host.groups.is_empty() {
@@ -459,6 +478,7 @@
         self.host.probes.used(now, group, self.router.waiting_in(group) > 0);
     }
 
+    /// Answers the request of an ended attempt where the outcome is final, and reports the outcome to the router.
     fn attempt_ended(&mut self, now: Duration, end: AttemptEnd) {
         let count = &self.host.counters;
         match end.outcome {
@@ -495,13 +515,14 @@
         let (member, outcome, took) = (end.member, end.outcome, end.at.saturating_sub(end.sent));
         let (role, position, host) = (end.role, end.position, &mut self.host);
         self.router.submission_ended(now, txn, is_final, member, outcome, role, position, took, host);
-        // A report is worth the same whether it was asked for or came with an answer.
+        // A load report that came with an answer counts the same as one from a probe.
         if let Some(load) = end.load {
             self.router.probe_ended(now, member, AttemptOutcome::Committed, load, &mut self.host);
         }
     }
 
-    /// How groups stand: those in the order in which the list first named them, up to so many.
+    /// The state of one group or of the first `max_groups` groups, in the order in which the server list first named
+    /// them.
     fn status(&self, group: Option<u64>, max_groups: usize) -> Value {
         let (host, tracker) = (&self.host, self.router.primary_tracker());
         let known =
@@ -523,7 +544,7 @@
         serde_json::json!({ "groups": groups, "known": host.groups.len(), "waiting": self.router.waiting() })
     }
 
-    /// Orders a change of a group's primary, or calls it off.
+    /// Orders a planned change of a group's primary, or cancels it.
     fn change_primary(
         &mut self,
         now: Duration,
@@ -546,7 +567,7 @@
         Ok(format!("{:?}: {:?}", plan.reason, plan.step))
     }
 
-    /// Takes in a list: what it costs is what it names.
+    /// Applies a full or partial server list, at a cost proportional to its entries.
     pub fn apply_list(&mut self, now: Duration, list: &ServerList) {
         self.host.counters.lists.add();
         let mut named = Vec::with_capacity(list.servers.len());
@@ -558,7 +579,8 @@
         self.router.list_completed(now, list.full.then_some(&named), &mut self.host);
     }
 
-    /// Takes in one entry; its actor, if it has one, hears of it. Of a whole list, what is as it was is passed over.
+    /// Applies one entry, notifies the member's actor if it has one, and returns the member's index. In a full list,
+    /// unchanged entries are not reported to the router.
     fn apply_entry(&mut self, now: Duration, entry: &ServerEntry, full: bool) -> usize {
         let member = self.host.ids.known(&entry.id).unwrap_or_else(|| self.host.ids.index(entry.id.clone()));
         let group = self.host.groups.index(entry.group);
@@ -585,7 +607,7 @@
         member
     }
 
-    /// Tells the router of a server.
+    /// Reports a server and its state to the router.
     fn report_listed(&mut self, now: Duration, member: usize, server: &KnownServer) {
         // A server that has just started must not seem older than it is.
         let ahead = self.host.clock.ahead().as_micros() as i64;
@@ -599,11 +621,11 @@
         self.router.member_listed(now, member, server.group, server.zone, state, server.leader, up_for);
     }
 
-    /// Starts the probes that may start now, those first that transactions wait for.
+    /// Starts the probes that the rate limit allows, first those that requests wait for.
     fn start_probes(&mut self) {
         let now = self.host.clock.now();
         for member in std::mem::take(&mut self.host.wanted_probes) {
-            // One that is not known any more is answered for, as the router counts it as out.
+            // The router counts the probe of a forgotten member as out, so it needs an answer.
             let Some(group) = self.host.servers.get(member).map(|server| server.group) else {
                 let (outcome, report) = (AttemptOutcome::Moot, Report::default());
                 let _ = self.host.dispatcher.send(DispatcherMessage::Probed { member, outcome, report });
@@ -625,7 +647,7 @@
         }
     }
 
-    /// What the list calls a member is what other fronts call it.
+    /// Health observations name members by their ids in the server list, which all fronts share.
     fn name_member(&mut self, member: usize) {
         let id = self.host.ids.id(member);
         self.host.observer.iter_mut().for_each(|observer| observer.set_member(member, id));
--- a/crates/front/src/dispatcher/host.rs
+++ b/crates/front/src/dispatcher/host.rs
@@ -1,5 +1,5 @@
-//! What the router wants done, carried out: jobs and cancels for servers' actors, answers for clients, alarms, probes, and
-//! the requests that are open.
+//! Carries out the router's effects: jobs and cancellations for members' actors, answers for clients, timers and
+//! probes. It also keeps the requests that are open.
 
 use crate::clock::{Clock, TimerHandle};
 use crate::counters::Counters;
@@ -19,56 +19,62 @@
 
 use super::SpawnMember;
 
+/// A request that the router has and that is not released yet.
 pub(super) struct OpenRequest {
     pub(super) arrival: Box<Arrival>,
     pub(super) answered: bool,
-    /// The attempt that is out: its server, and whether it may still be written.
+    /// The attempt in flight: its member, and the permit that says whether it may still be written.
     pub(super) in_flight: Option<(usize, AttemptPermit)>,
     /// Whether any attempt was ever made.
     pub(super) attempted: bool,
-    /// Reminders of it that have not been due.
+    /// Timers of this request that have not fired.
     pub(super) timers: Vec<TimerHandle>,
 }
 
-/// Carries out what the router wants done.
+/// The router's view of the rest of the process.
 pub(super) struct RouterHost {
     pub(super) txns: Vec<Option<OpenRequest>>,
-    /// Those whose submission may not have been written yet.
+    /// Txns whose attempt may not have been written yet.
     pub(super) unwritten: Vec<usize>,
+    /// Indices into `txns`.
     pub(super) by_request_id: HashMap<u64, usize>,
+    /// Free indices in `txns`.
     pub(super) free: Vec<usize>,
+    /// Members by their ids in the server list.
     pub(super) ids: Indices<String>,
-    /// What lists last said of each member, and its actor, while it has connections.
+    /// The latest list entry of each member, and the queue of its actor while it has one.
     pub(super) servers: ServerTable,
     pub(super) members: Vec<Option<Sender<MemberMessage>>>,
-    /// Groups by the numbers that the list gives them.
+    /// Groups by their numbers in the server list.
     pub(super) groups: Indices<u64>,
     pub(super) spawn_member: SpawnMember,
     pub(super) log: slog::Logger,
     pub(super) request_log: RequestLog,
     pub(super) clock: Clock,
-    /// Where positions lie, as of the mail that is being taken: the clock's own may be ahead of what lies in the mailbox.
+    /// The clock's origin as of the message that is being handled: the clock's own may be ahead of messages that
+    /// still lie in the queue.
     pub(super) origin: Origin,
     pub(super) dispatcher: Sender<DispatcherMessage>,
     pub(super) discovery: Sender<DiscoveryMessage>,
-    /// Probes that the router wants, until they may start.
+    /// Probes that the router asked for and that have not started.
     pub(super) wanted_probes: Vec<usize>,
     pub(super) probes: ProbeQueue,
-    /// When the next probe may start, if that is waited for.
+    /// When the timer for the next probe fires, if one is set.
     pub(super) probes_due: Option<Duration>,
     pub(super) counters: Arc<Counters>,
-    /// Members are asked by a few fronts for all.
+    /// Health observation that is shared among the fronts, if it is on: a few fronts probe each member on behalf of
+    /// all.
     pub(super) observer: Option<HealthObserver>,
 }
 
 impl RouterHost {
-    /// Now, since 1970.
+    /// The current time since 1970.
     pub(super) fn unix(&self, now: Duration) -> Duration {
         span(self.origin.start) + now
     }
 
-    /// What was told of a member, in place of a report that it makes now. A position from before this process's
-    /// start can't be said here.
+    /// A recent observation of a member by another front, in place of a probe. A position from before this process's
+    /// start can't be expressed here.
     pub(super) fn peer_report(&self, now: Duration, member: usize) -> Option<Report> {
         let observation = self.observer.as_ref()?.fresh_observation(now, self.unix(now), member)?;
         let position = Some(observation.position.checked_sub(span(self.origin.start))?);
@@ -78,7 +84,7 @@
         Some(Report { position, role, queue, busy })
     }
 
-    /// What a member has said, as other fronts are told it.
+    /// A member's report in the form in which other fronts get it.
     pub(super) fn observation(&self, report: Report) -> Option<Observation> {
         Some(Observation {
             position: span(self.origin.start) + report.position?,
@@ -88,20 +94,21 @@
         })
     }
 
+    /// Answers a request, unless it has its answer already.
     pub(super) fn answer(&mut self, txn: usize, answer: Answer) {
         let Some(request) = self.txns[txn].as_mut().filter(|request| !request.answered) else { return };
         request.answered = true;
         request.arrival.client.post((request.arrival.request_id, answer));
     }
 
-    /// A member's actor ends with its last connection; a job starts another.
+    /// Sends to a member's actor. An actor ends with its last connection; a job starts a new one.
     pub(super) fn send_to_member(&mut self, member: usize, message: MemberMessage) {
         let unsent = match &self.members[member] {
             Some(actor) => actor.send(message).err().map(|unsent| unsent.0),
             None => Some(message),
         };
         if unsent.is_some() {
-            // With its mailbox goes the last of it.
+            // Dropping the last sender lets the actor's queue go.
             self.members[member] = None;
         }
         let Some(first @ (MemberMessage::Job(_) | MemberMessage::Adopt(_))) = unsent else { return };
@@ -115,10 +122,10 @@
         let _ = sender.send(first);
     }
 
-    /// Takes a txn out of what is in hand; nothing comes due or is written for it any more.
+    /// Removes a request: its timers are cancelled, and nothing is written for it any more.
     pub(super) fn remove_request(&mut self, txn: usize) -> Option<OpenRequest> {
         let request = self.txns[txn].take()?;
-        // The router may have been lost in a panic: nothing is written for what has its answer.
+        // After a panic of the router, nothing may be written for a request that has its answer.
         request.in_flight.iter().for_each(|(_, permit)| permit.set_valid_until(Duration::ZERO));
         request.timers.iter().for_each(|timer| self.clock.cancel(timer));
         self.by_request_id.remove(&request.arrival.request_id);
@@ -126,7 +133,7 @@
         Some(request)
     }
 
-    /// Takes out all that have neither an answer nor ever had an attempt: they certainly have not run.
+    /// Removes all requests that have neither an answer nor ever had an attempt: they certainly have not run.
     pub(super) fn remove_unattempted(&mut self) -> Vec<OpenRequest> {
         let is_waiting = |request: &Option<OpenRequest>| {
             request.as_ref().is_some_and(|request| !request.answered && !request.attempted)
@@ -154,7 +161,7 @@
     }
 
     fn cancel(&mut self, txn: usize, _submission: u32) {
-        // One submission of a txn is out at a time: the one last sent.
+        // A txn has one attempt in flight at a time, the last one sent.
         if let Some(OpenRequest { arrival, in_flight: Some((member, _)), .. }) = &self.txns[txn] {
             let (member, request_id) = (*member, arrival.request_id);
             self.send_to_member(member, MemberMessage::Cancel(request_id));
@@ -197,7 +204,7 @@
         let timer = self.clock.run_at(at, move || {
             let _ = dispatcher.send(DispatcherMessage::TimerDue { handle, at });
         });
-        // Those of a txn end with it: its index is used again.
+        // Timers of a txn have odd handles, and are cancelled with it because its index is used again.
         let txn = Some((handle / 2) as usize).filter(|_| !handle.is_multiple_of(2));
         if let Some(Some(request)) = txn.and_then(|txn| self.txns.get_mut(txn)) {
             request.timers.push(timer);
--- a/crates/front/src/dispatcher/snapshot.rs
+++ b/crates/front/src/dispatcher/snapshot.rs
@@ -1,4 +1,4 @@
-//! What the router knows, for a snapshot, and taken up again from one.
+//! Saves the router's state to a snapshot and restores it from one.
 
 use super::Dispatcher;
 use crate::snapshot_file::machine_time;
@@ -8,11 +8,11 @@
 use juniperdock_snapshot::{Decay, GroupRecord, MemberRecord, Snapshot, TxnTypeRecord};
 use std::time::Duration;
 
-/// The least that one time is later than another.
+/// The smallest difference by which one time is later than another.
 const MIN_TIME_STEP: Duration = Duration::from_micros(1);
 
 impl Dispatcher {
-    /// All that is worth keeping, in ids and times that outlast this process.
+    /// Takes a snapshot of the router's state, with ids and times that stay valid after this process ends.
     pub(super) fn take_snapshot(&mut self, now: Duration) -> Snapshot {
         let (host, router, start) = (&self.host, &mut self.router, self.host.origin.start);
         let unix = |at: Duration| start + at.as_micros() as i64;
@@ -54,7 +54,10 @@
         Snapshot { taken, members, groups, types: txn_types.collect(), machine_time }
     }
 
-    /// Takes up what the process before this one knew of members, groups and types that are here too.
+    /// Restores the state of members, groups and txn types that exist here too; returns the snapshot's age.
+    ///
+    /// # Errors
+    /// If the snapshot can't be decoded, or is refused for its age.
     pub(super) fn restore_snapshot(&mut self, now: Duration, bytes: &[u8]) -> Result<Duration, String> {
         let mut snapshot = juniperdock_snapshot::decode(bytes)?;
         let start = self.host.origin.start;
@@ -62,7 +65,7 @@
         let age = snapshot.age(unix, machine_time().as_ref())?;
         snapshot.rebase(unix, age);
         let decay = Decay::of(age);
-        // What was before this process's start is at its start: all that comes now is later.
+        // Times before this process's start become its start, so that everything from now on is later.
         let since = |unix: i64| span(unix - start);
         let proven = |unix: i64| u64::try_from(unix - start).ok().map(Duration::from_micros);
         let (host, router) = (&mut self.host, &mut self.router);
@@ -80,7 +83,7 @@
         for member in &snapshot.members {
             let Some(at) = host.ids.known(&member.id) else { continue };
             let last_served = member.served.map(since);
-            // Before this process's start all times are one: what came later stays later.
+            // All times before this process's start become equal: keep the order of a later one.
             let later =
                 (member.stepped > member.served).then(|| last_served.unwrap_or_default() + MIN_TIME_STEP);
             let stepped_down = member.stepped.map(since).max(later);
--- a/crates/front/src/mailbox.rs
+++ b/crates/front/src/mailbox.rs
@@ -1,8 +1,9 @@
-//! Mail for an actor that waits on its link: posting rings its waker.
+//! A queue to an actor that waits on its connection: sending also wakes the actor.
 
 use juniperdock_connection::Bell;
 use may::sync::mpsc::Sender;
 
+/// The sending end of an actor's queue, with the actor's waker.
 pub struct Mailbox<T> {
     pub sender: Sender<T>,
     pub waker: Bell,
@@ -15,7 +16,7 @@
 }
 
 impl<T> Mailbox<T> {
-    /// Posts to an actor; one that has ended needs no mail any more.
+    /// Sends a message and wakes the actor. If the actor has ended, the message is dropped.
     pub fn post(&self, sender: T) {
         let _ = self.sender.send(sender);
         self.waker.ring();
--- a/crates/front/src/member.rs
+++ b/crates/front/src/member.rs
@@ -1,5 +1,5 @@
-//! A member's actor and its connections. The actor keeps the pool; each connection carries one job at a time
-//! and tells the desk how it ended.
+//! A member's actor and its connections. The actor keeps the pool; each connection carries one job at a time and
+//! reports its outcome to the dispatcher.
 
 use crate::clock::Clock;
 use crate::connect::{ConnectFailure, ConnectRequest, connect};
@@ -22,18 +22,19 @@
 use std::sync::mpsc::TryRecvError;
 use std::time::Duration;
 
-/// What follows right behind an answer is read this soon after it.
+/// Bytes that a member sends right behind an answer arrive within this time.
 const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(3);
 
+/// Messages to a connection.
 enum ConnectionMessage {
     Job(Job),
     Cancel(u64),
-    /// It goes to another process, under this name.
+    /// Sends its descriptor to another process, with the member's id.
     Transfer(String, std::sync::mpsc::Sender<(String, OwnedFd)>),
     Close,
 }
 
-/// What all connections to members need.
+/// What the pools of all members share.
 #[derive(Clone)]
 pub struct PoolContext {
     pub clock: Clock,
@@ -41,25 +42,26 @@
     pub counters: Arc<Counters>,
     pub log: slog::Logger,
     pub request_log: RequestLog,
-    /// A connection comes up in this time or not at all; a probe is answered in it.
+    /// The time limit of opening a connection, and of a probe.
     pub connect_timeout: Duration,
-    /// Members close connections that stand idle for this long.
+    /// Members close connections that have been idle for this long.
     pub idle_timeout: Duration,
     pub stack_bytes: usize,
-    /// Connections to all members, and how many there may be.
+    /// Open connections to all members, and the most that there may be.
     pub open_connections: Arc<AtomicUsize>,
     pub max_connections: usize,
-    /// The longest message taken from a member.
+    /// The longest message that is accepted from a member.
     pub max_message_bytes: usize,
 }
 
-/// How often the desk has its turn before something is written right after a standstill. Once would do but for
-/// clients whose actors are woken by an alarm: those run after the desk has been waited for.
+/// How many times a connection waits for the dispatcher to handle its queue before it writes anything right after a
+/// stall. Once is not enough for clients whose actors are woken by a timer: those run only after the first wait.
 const BARRIERS_AFTER_STALL: u32 = 2;
 
-/// Idle connections that follow to another process.
+/// The most idle connections that are transferred to another process.
 const MAX_TRANSFERRED_IDLE: usize = 2;
 
+/// A pool's view of one of its connections.
 struct Connection {
     sender: Sender<ConnectionMessage>,
     waker: Option<Bell>,
@@ -68,13 +70,14 @@
     to: SocketAddr,
 }
 
+/// The actor of one member.
 pub struct MemberPool {
     pub index: usize,
     pub address: SocketAddr,
     pub sender: Sender<MemberMessage>,
     pub context: PoolContext,
     connections: HashMap<u64, Connection>,
-    /// Free ones; the last used is the next used.
+    /// Idle connections, the last used at the end.
     idle: Vec<u64>,
     next_id: u64,
     removed: bool,
@@ -87,6 +90,7 @@
 }
 
 impl MemberPool {
+    /// A pool without connections. `sender` is the sending end of the queue that [`MemberPool::run`] reads.
     pub fn new(
         index: usize,
         address: SocketAddr,
@@ -97,8 +101,9 @@
         MemberPool { index, address, sender, context, connections, idle, next_id: 0, removed: false }
     }
 
-    /// Ends with its last connection: a server that is not in use has no actor. Mail that lies behind the one by
-    /// which it ends is taken first, as who posted does not learn that nobody read it; no other coroutine runs between.
+    /// Handles messages until the last connection ends: a server that is not in use has no actor. Messages that are
+    /// already queued then are handled first, because their senders do not learn that nobody read them; no other
+    /// coroutine runs in between.
     pub fn run(mut self, messages: &Receiver<MemberMessage>) {
         let is_empty = |member: &MemberPool| member.connections.is_empty();
         let mut started = false;
@@ -108,7 +113,7 @@
             let Some(message) = next else { break };
             started = true;
             if catch_unwind(AssertUnwindSafe(|| self.handle(message))).is_err() {
-                // The pool can't be trusted any more; connections end as their jobs do.
+                // The pool can't be trusted any more; its connections end with their jobs.
                 self.context.counters.panics.add();
                 self.idle.clear();
                 let all = std::mem::take(&mut self.connections);
@@ -139,7 +144,8 @@
                 std::mem::take(&mut self.idle).into_iter().for_each(|id| self.close(id));
             }
             MemberMessage::TransferIdle(name, to) => {
-                // The last used: where all followed, each upgrade would add what its start has opened.
+                // Only the last used: if all were transferred, each upgrade would add those that its start has
+                // opened.
                 let idle = std::mem::take(&mut self.idle);
                 let (old, transferred) = idle.split_at(idle.len().saturating_sub(MAX_TRANSFERRED_IDLE));
                 old.iter().for_each(|&id| self.close(id));
@@ -160,7 +166,7 @@
                     (c.request_id, c.idle_since) = (None, Some(self.context.clock.now()));
                     self.idle.push(id);
                 }
-                // One that was busy when the address changed leads to the old one.
+                // A connection that was busy when the address changed leads to the old address.
                 if self.removed || self.connections.get(&id).is_some_and(|c| c.to != self.address) {
                     self.close(id);
                 }
@@ -177,7 +183,7 @@
         }
     }
 
-    /// Closes those that stood idle for so long that the member may close them any moment.
+    /// Closes connections that have been idle for so long that the member may close them any moment.
     fn close_stale(&mut self) {
         let now = self.context.clock.now();
         while let Some(&id) = self.idle.first() {
@@ -190,8 +196,8 @@
         }
     }
 
-    /// The last used one that has rested since: what a member sends right behind an answer, its end or more
-    /// than belongs to it, has come in by then. Where none has, the one that has rested longest.
+    /// Takes the last used connection that has been idle for long enough that anything a member sends right behind an
+    /// answer has come in, such as its end or extra bytes. If there is none, the one that has been idle longest.
     fn next_idle(&mut self) -> Option<u64> {
         let now = self.context.clock.now();
         let since = |id: &u64| self.connections.get(id).and_then(|c| c.idle_since);
@@ -200,12 +206,14 @@
         (at < self.idle.len()).then(|| self.idle.remove(at))
     }
 
+    /// Gives a job to an idle connection or a new one.
     fn assign(&mut self, job: Job) {
         self.close_stale();
         if let Job::Submit(submit) = &job
             && submit.permit.check(self.context.clock.now()).is_err()
         {
-            // Put back from a connection that has ended, and its client may have left: none is opened for nobody.
+            // It was returned by a connection that has ended, and its client may have left: open no connection in
+            // vain.
             report_outcome(&self.context, self.index, &job, AttemptOutcome::Moot, Reply::default());
             return;
         }
@@ -219,7 +227,8 @@
             return;
         }
         if self.context.open_connections.load(Ordering::Relaxed) >= self.context.max_connections {
-            // As if the member had no connection left; the idle ones of others make room for the next.
+            // As if the member had no connection left; closing idle ones to other members makes room for the next
+            // job.
             let _ = self.context.dispatcher.send(DispatcherMessage::ConnectionsShort);
             report_outcome(&self.context, self.index, &job, AttemptOutcome::Full, Reply::default());
             return;
@@ -227,7 +236,7 @@
         self.open(InitialWork::Job(job), request_id);
     }
 
-    /// Starts a connection: to carry a job, or one that another process had.
+    /// Starts a connection, for a job or for a socket of the previous process.
     fn open(&mut self, work: InitialWork, request_id: Option<u64>) {
         if self.context.open_connections.load(Ordering::Relaxed) >= self.context.max_connections {
             return;
@@ -268,7 +277,7 @@
     }
 }
 
-/// What a connection begins with.
+/// What a connection starts with.
 enum InitialWork {
     Job(Job),
     Adopted(TcpStream),
@@ -281,7 +290,7 @@
     }
 }
 
-/// What a member has said so far to one query.
+/// What a member has answered so far to one query.
 #[derive(Default)]
 struct Reply {
     raw: Vec<u8>,
@@ -299,7 +308,7 @@
 }
 
 impl Reply {
-    /// What the answer comes to, once the member is ready again; nothing else is an answer.
+    /// The outcome of a complete answer, once the member is ready again; anything else is no answer.
     fn outcome(&self) -> Option<AttemptOutcome> {
         match self.error.as_deref() {
             _ if !self.ready => None,
@@ -313,7 +322,7 @@
     }
 }
 
-/// How a job ended, and whether its connection can carry another.
+/// The outcome of a job, and whether its connection can carry another one.
 struct JobResult {
     outcome: AttemptOutcome,
     reply: Reply,
@@ -328,9 +337,9 @@
     pool: Sender<MemberMessage>,
     context: PoolContext,
     messages: Receiver<ConnectionMessage>,
-    /// Mail that came while a job was in hand, and is not about it.
+    /// Messages that came while a job was in hand and do not concern it.
     deferred: RefCell<VecDeque<ConnectionMessage>>,
-    /// When it is rung next, at the latest.
+    /// The time of the timer that was set last.
     timer_set_for: Cell<Duration>,
 }
 
@@ -349,11 +358,11 @@
         }
         self.context.open_connections.fetch_sub(1, Ordering::Relaxed);
         let _ = self.pool.send(MemberMessage::Ended(self.id));
-        // A job that was given out just now has not been written: it goes to another connection.
+        // A job that was sent just now has not been written: it goes to another connection.
         while let Ok(message) = self.next_message().or_else(|_| self.messages.recv()) {
             match message {
                 ConnectionMessage::Job(job) => {
-                    // The actor of a member that left may have ended; nothing was written.
+                    // The actor of a removed member may have ended; nothing was written.
                     if let Err(unsent) = self.pool.send(MemberMessage::Job(job))
                         && let MemberMessage::Job(job) = unsent.0
                     {
@@ -366,6 +375,7 @@
         }
     }
 
+    /// Opens or adopts the connection, then carries jobs until it ends.
     fn serve_jobs(&self, current: &mut Option<Job>, adopted: Option<TcpStream>) {
         let begun = self.context.clock.now();
         let first = match (current.as_ref(), adopted) {
@@ -397,13 +407,14 @@
             let result = self.run_job(&mut link, job);
             let peer_is_suspect =
                 matches!((job, result.outcome), (Job::Probe { .. }, AttemptOutcome::TimedOut));
-            // Given up is given up: the connection ends before the desk can send the txn again.
+            // Drops an unusable connection before the outcome is reported: it must have ended before the dispatcher
+            // can send the txn again.
             let reusable = result.usable.then_some(link);
             if let Some(job) = current.take() {
                 self.report_outcome(&job, result.outcome, result.reply);
             }
             if peer_is_suspect {
-                // A machine that has fallen silent resets its old connections when it is back.
+                // A machine that stopped responding resets its old connections when it is back.
                 let _ = self.pool.send(MemberMessage::CloseIdle);
             }
             let Some(back) = reusable.and_then(|link| self.wait_for_job(link, current)) else { return };
@@ -411,7 +422,7 @@
         }
     }
 
-    /// Stands idle until the next job is held; `None` once the connection is over or another process's.
+    /// Waits for the next job; `None` if the connection is over or belongs to another process.
     fn wait_for_job(&self, mut link: Link, current: &mut Option<Job>) -> Option<Link> {
         let _ = self.pool.send(MemberMessage::Idle(self.id));
         loop {
@@ -438,7 +449,7 @@
                     let _ = link.queue(&pg::terminate()).and_then(|()| link.pump());
                     return None;
                 }
-                // Nobody can use it any more.
+                // The pool has ended.
                 Err(TryRecvError::Disconnected) => return None,
                 Err(_) if !is_still_idle(&mut link) => return None,
                 Err(_) => link.wait(),
@@ -446,8 +457,8 @@
         }
     }
 
-    /// All that is ready to run does, and the desk takes what was posted to it. To give way alone would not do:
-    /// `may` takes up what other threads have woken only once nothing else runs.
+    /// Waits until the dispatcher has handled everything that was sent to it before. Yielding alone is not enough:
+    /// `may` takes up what other threads have woken only when nothing else runs.
     fn dispatcher_barrier(&self) {
         let (reply, done) = channel();
         if self.context.dispatcher.send(DispatcherMessage::Barrier(reply)).is_ok() {
@@ -459,12 +470,12 @@
         self.deferred.borrow_mut().pop_front().map_or_else(|| self.messages.try_recv(), Ok)
     }
 
-    /// Connects, and waits for the member's welcome; the error says how the job ended that wanted it.
+    /// Connects, and waits until the member is ready; the error is the outcome of the job that needed the connection.
     fn open_session(&self, job: &Job, begun: Duration) -> Result<Link, AttemptOutcome> {
         let (clock, limit) = (&self.context.clock, begun + self.context.connect_timeout);
         let deadline = self.deadline(job);
         let until = limit.min(deadline);
-        // Out of time for the txn is no word on the member.
+        // Running out of the txn's time proves nothing about the member.
         let late = |at: Duration| {
             if at >= deadline && at < limit { AttemptOutcome::Moot } else { AttemptOutcome::Unreachable }
         };
@@ -517,13 +528,14 @@
             if matches!(pumped, Ok(false)) {
                 link.wait();
             } else {
-                // It may talk without an end, and nobody else would have a turn.
+                // A member that sends without an end must not starve the others.
                 clock.yield_if_busy(busy, link.is_short());
             }
         }
         Err(AttemptOutcome::Unreachable)
     }
 
+    /// When the job is given up.
     fn deadline(&self, job: &Job) -> Duration {
         match job {
             Job::Submit(submit) => submit.deadline,
@@ -531,6 +543,7 @@
         }
     }
 
+    /// Whether the job has been cancelled; all other messages are kept for later.
     fn cancelled(&self, job: &Job) -> bool {
         let mut deferred = self.deferred.borrow_mut();
         deferred.extend(std::iter::from_fn(|| self.messages.try_recv().ok()));
@@ -544,7 +557,7 @@
     /// Carries one job to its end.
     fn run_job(&self, link: &mut Link, job: &Job) -> JobResult {
         let (clock, deadline, mut reply) = (&self.context.clock, self.deadline(job), Reply::default());
-        // After a standstill its client's end may lie unread: the client's actor has its turn first, then the desk.
+        // After a stall the client's end may still be unread: its actor gets a turn first, then the dispatcher.
         clock.note_running();
         (0..BARRIERS_AFTER_STALL)
             .take_while(|_| clock.recently_stalled())
@@ -565,14 +578,15 @@
         }
         let mut written = false;
         for busy in 1u32.. {
-            // What the machine did not take at once begins only with its last byte.
+            // The statement takes effect only with its last byte: if it was not written at once, check again before
+            // each further write.
             if busy > 1 && !link.flushed() && !self.may_continue(job) {
                 return JobResult { outcome: AttemptOutcome::Moot, reply, usable: false };
             }
             let pumped = link.pump();
             if let Err(why) = self.read(link, &mut reply, now) {
                 slog::warn!(self.context.log, "a member talks nonsense"; "member" => self.member, "why" => why);
-                // Nothing that such an answer says is believed.
+                // Nothing in such an answer is used.
                 return JobResult { outcome: AttemptOutcome::Spoilt, reply: Reply::default(), usable: false };
             }
             let unsent = !link.flushed();
@@ -585,7 +599,7 @@
                 self.context.request_log.request(submit.request_id, event);
             }
             if reply.ready {
-                // Ready without an answer is no proof of anything.
+                // Ready without an answer proves nothing.
                 let Some(outcome) = reply.outcome().filter(|_| !unsent) else {
                     return JobResult {
                         outcome: AttemptOutcome::Spoilt,
@@ -618,14 +632,14 @@
             if matches!(pumped, Ok(false)) {
                 self.wait_until(link, deadline);
             } else {
-                // An answer without an end, as fast as it is read: nobody else would have a turn.
+                // An answer without an end must not starve the others.
                 clock.yield_if_busy(busy, link.is_short());
             }
         }
         JobResult { outcome: AttemptOutcome::Spoilt, reply: Reply::default(), usable: false }
     }
 
-    /// The last look before the first byte. Probes belong to no request.
+    /// The last check before the first byte is written. Probes belong to no request.
     fn permitted(&self, job: &Job, now: Duration) -> bool {
         let Job::Submit(submit) = job else { return true };
         let withheld = submit.permit.consume(now).err();
@@ -641,7 +655,8 @@
         submit.permit.may_continue(self.context.clock.now()).is_ok()
     }
 
-    /// Waits, until that time at the longest. One alarm is out at a time: most txns end long before theirs.
+    /// Waits for an event, until that time at most. Only one timer is pending at a time, as most txns end long before
+    /// theirs.
     fn wait_until(&self, link: &mut Link, until: Duration) {
         if self.timer_set_for.get() <= self.context.clock.now() || self.timer_set_for.get() > until {
             self.timer_set_for.set(until);
@@ -651,29 +666,30 @@
         link.wait();
     }
 
-    /// Takes up the positions of a whole answer, by the time as it is then.
+    /// Checks the positions of a complete answer, and dates them by the origin as it is then.
     fn judge(&self, reply: &mut Reply, asked: Duration) -> Result<(), String> {
         let (context, member) = (&self.context, self.member);
         let date = |reply: &Reply| reply.position_unix.and_then(|at| context.clock.origin().position(at));
         check_position(context, member, reply.role, date(reply), asked)?;
         if let Some(text) = &reply.load_text {
-            // One that can't be read takes nothing from the answer that it came with.
+            // An unreadable load report does not spoil the answer that it came with.
             let reported = load_report(context, member, text, asked);
             if let Err(why) = &reported {
                 slog::debug!(context.log, "a load can't be read"; "member" => member, "why" => why);
             }
             reply.load = reported.ok();
         }
-        // By the origin as it is now: either of the two may have corrected it. A load is judged last.
+        // Dated last, as either check may have corrected the origin.
         reply.position = date(reply);
         Ok(())
     }
 
+    /// Reads the messages that have come in.
     fn read(&self, link: &mut Link, reply: &mut Reply, asked: Duration) -> Result<(), String> {
         while let Some((kind, body, length)) =
             pg::message(link.inbound.make_contiguous(), self.context.max_message_bytes)?
         {
-            // In this order, each once: description, row, end; or an error and nothing else.
+            // The messages must come in this order, each once: description, row, completion; or one error.
             let next =
                 |whole: bool| if whole { Ok(()) } else { Err("expected one answer of one row".to_owned()) };
             match kind {
@@ -714,7 +730,7 @@
                 }
             }
             if matches!(kind, b'T' | b'D' | b'C' | b'E') {
-                // Contiguous since it was read.
+                // Contiguous since the message was read.
                 reply.raw.extend_from_slice(&link.inbound.as_slices().0[..length]);
             }
             link.inbound.drain(..length);
@@ -733,8 +749,8 @@
     }
 }
 
-/// What a member says of itself. One that has made no report yet says 0 to all: that tells nothing, its role
-/// neither.
+/// Parses a member's load report. A member that has made no report yet sends 0 in all fields: that tells nothing, not
+/// even its role.
 fn report(text: &str, origin: &Origin) -> Result<Report, String> {
     let fields = || text.split(',').filter_map(|part| part.trim().split_once('='));
     if fields().any(|(name, at)| name == "x0" && at.parse() == Ok(0.0)) {
@@ -743,15 +759,15 @@
     deployment::report(fields(), origin)
 }
 
-/// Reads what a server says of itself and judges its position; the report is dated by the origin as it is after that.
+/// Parses a server's load report and checks its position; the result is dated by the origin as it is after that.
 fn load_report(context: &PoolContext, server: usize, text: &str, asked: Duration) -> Result<Report, String> {
     let reported = report(text, &context.clock.origin())?;
     check_position(context, server, reported.role, reported.position, asked)?;
     report(text, &context.clock.origin())
 }
 
-/// No server can have a commit still to come: either its clock is wrong or this process is behind. What was known before
-/// is given up once that is proven.
+/// Checks a position against the time: no server can have a commit from the future, so either its clock is wrong or
+/// this process's is behind. If the latter is proven, the dispatcher discards what it knew before.
 fn check_position(
     context: &PoolContext,
     server: usize,
@@ -771,7 +787,7 @@
     }
 }
 
-/// Tells the desk how a job ended.
+/// Reports the outcome of a job to the dispatcher.
 fn report_outcome(context: &PoolContext, member: usize, job: &Job, outcome: AttemptOutcome, reply: Reply) {
     let message = match job {
         Job::Submit(submit) => {
@@ -811,8 +827,9 @@
     let _ = context.dispatcher.send(message);
 }
 
+/// The result of a job whose connection failed.
 fn result_of_failure(failure: &Failure, reply: Reply) -> JobResult {
-    // An answer that came whole counts, though the connection did not last; of another nothing is believed.
+    // A complete answer counts although the connection failed; nothing in an incomplete one is used.
     let lost = if failure.reached < Reached::Written {
         AttemptOutcome::Unreachable
     } else {
@@ -824,7 +841,7 @@
     }
 }
 
-/// Whether an idle connection has neither ended nor said anything out of turn.
+/// Whether an idle connection has neither ended nor received anything unexpected.
 fn is_still_idle(link: &mut Link) -> bool {
     link.pump().is_ok() && !link.ended && link.inbound.is_empty()
 }
--- a/crates/front/src/messages.rs
+++ b/crates/front/src/messages.rs
@@ -1,4 +1,4 @@
-//! The mail between actors. It stands below them all, so that none of them needs to know another.
+//! Messages between actors. This module is below the actors, so that none of them depends on another.
 
 use crate::mailbox::Mailbox;
 use juniperdock_connection::Bell;
@@ -17,21 +17,22 @@
 use std::sync::mpsc::SyncSender;
 use std::time::Duration;
 
-/// What a client is told at the end of its txn.
+/// The final answer to a request.
 pub enum Answer {
-    /// A member's row, as it came.
+    /// The member's answer, unchanged.
     Committed(Vec<u8>),
-    /// A member's error about the statement, as it came.
+    /// The member's error about the statement, unchanged.
     Invalid(Vec<u8>),
+    /// It has not run; the client may try again, after this time if one is given.
     Declined(Option<Duration>),
-    /// It is known not to have run, and trying again would not help.
+    /// It has not run, and trying again would not help.
     RolledBack(&'static str),
-    /// Given up, and whether it took effect is not known.
+    /// It was given up, and may have taken effect.
     Unknown(&'static str),
 }
 
 impl Answer {
-    /// What it is called in the log.
+    /// The name of the answer in the log.
     pub fn name(&self) -> &'static str {
         match self {
             Answer::Committed(_) => "served",
@@ -43,39 +44,48 @@
     }
 }
 
-/// A txn as its client's actor read it.
+/// A request as its client's actor read it.
 pub struct Arrival {
     pub request_id: u64,
+    /// When its last byte came in.
     pub at: Duration,
+    /// The index of its txn type.
     pub txn_type: usize,
+    /// The number of its group in the server list.
     pub group: u64,
+    /// When its client stops waiting.
     pub expiry: Duration,
+    /// Whether the client marked it as a retry.
     pub retried: bool,
+    /// A hash of its session key.
     pub session: Option<u64>,
+    /// How long ago its session last wrote: `None` if unknown, zero if it has not written.
     pub wrote_ago: Option<Duration>,
     pub statement: Arc<str>,
-    /// Where the statement tells the time left.
+    /// The byte range of the remaining time in the statement.
     pub left: Range<usize>,
     pub client: Mailbox<(u64, Answer)>,
-    /// What may still be done for it.
+    /// Says what may still be done for it.
     pub guard: RequestGuard,
 }
 
+/// The end of one attempt at a member.
 pub struct AttemptEnd {
     pub request_id: u64,
     pub member: usize,
     pub outcome: AttemptOutcome,
     pub role: Option<Role>,
     pub position: Option<Duration>,
-    /// The report of itself that the member's answer held, where answers hold one.
+    /// The load report in the member's answer, if there was one.
     pub load: Option<Report>,
+    /// When the dispatcher sent the attempt.
     pub sent: Duration,
     pub at: Duration,
-    /// What the member said to the client, as it came.
+    /// The member's answer, unchanged.
     pub row: Vec<u8>,
 }
 
-/// To the desk.
+/// Messages to the dispatcher.
 pub enum DispatcherMessage {
     RequestArrived(Box<Arrival>),
     ClientLeft(u64),
@@ -87,65 +97,67 @@
     },
     List(ServerList),
     DiscoveryLost,
-    /// Servers have proven that this process's idea of their time was behind by so much. Positions in later mail are
-    /// dated by the corrected origin, those in earlier mail by the one before.
+    /// Servers' positions prove that this process's clock was behind by this much. Positions in later messages are
+    /// dated by the corrected origin, those in earlier messages by the old one.
     ClockAdvanced(Duration),
-    /// The pace of probes lets the next one start.
+    /// The rate limit allows the next probe.
     ProbesDue,
-    /// Shows that the worker runs, and how late: when it was posted, by the monotonic clock.
+    /// A watchdog tick, sent at this time of the monotonic clock: shows that the worker runs, and how late.
     WatchdogTick {
         posted: Duration,
     },
-    /// Whoever posts this hears back once all that was posted before it has been taken.
+    /// Answered once all earlier messages have been handled.
     Barrier(Sender<()>),
-    /// Connections to members run short.
+    /// The limit of connections to members is reached: idle ones are to be closed.
     ConnectionsShort,
+    /// A timer of the router has fired.
     TimerDue {
         handle: u64,
         at: Duration,
     },
-    /// What is known, for the process after this one, as a snapshot.
+    /// Asks for a snapshot of the router's state.
     TakeSnapshot(SyncSender<Result<Vec<u8>, String>>),
-    /// What the process before this one knew.
+    /// A snapshot from the previous process.
     RestoreSnapshot(Vec<u8>),
-    /// How much may wait from now on, and how long what no member has had is held.
+    /// New limits of the wait queue, and the share of its time for which a request that no member has had may wait.
     SetWaitLimits(WaitLimits, f64),
-    /// Idle connections to members go to the process after this one, each with its member's id.
+    /// Sends idle connections to the next process, each with its member's id.
     TransferIdle(std::sync::mpsc::Sender<(String, OwnedFd)>),
-    /// A connection to a member that the process before this one had.
+    /// A connection to a member that the previous process had.
     AdoptConnection(String, TcpStream),
-    /// This front is to serve soon: who is primary has to be known.
+    /// This front is about to serve and needs to know the primaries: probes all members.
     ProbeAll,
-    /// Work is shared with other fronts: how to post to the actor that speaks with them.
+    /// Turns on work that is shared among the fronts, with a way to send to the membership actor.
     EnableFleetTasks(Box<dyn Fn(MembershipMessage) + Send>),
-    /// Whether this front hears a majority, and which members it asks for all; what is to be told goes back.
+    /// The state of the membership for health observation; new observations are sent back to the membership actor.
     ObserveHealth {
         has_majority: bool,
-        /// How many fronts are there.
+        /// The number of fronts that are up.
         present_fronts: usize,
+        /// This front's role for each shard of members.
         shard_roles: [ProbeRole; SHARDS as usize],
     },
-    /// What another front told of members.
+    /// Observations of members by another front.
     PeerObservations(Vec<u8>),
-    /// What stands in place of a probe.
+    /// Another front's observation, in place of a probe.
     PeerReport {
         member: usize,
         report: Report,
     },
-    /// A planned change that another front orders of all; `off`: it lets go.
+    /// A planned change that another front orders of all fronts, or its cancellation.
     PlannedChange {
         group: u64,
         order: u64,
         successor: Option<String>,
         cancel: bool,
     },
-    /// From the control socket: how groups stand; one of them, or all up to a number.
+    /// From the control socket: asks for the state of one group, or of all up to a limit.
     Status {
         group: Option<u64>,
         max_groups: usize,
         reply: SyncSender<Value>,
     },
-    /// From the control socket: a change of a group's primary is ordered, or called off.
+    /// From the control socket: orders a change of a group's primary at this front, or cancels it.
     ChangePrimary {
         group: u64,
         successor: Option<String>,
@@ -154,109 +166,113 @@
     },
 }
 
-/// What an upgrade needs, as a call: a program, or the one that runs; gives the new process's id.
+/// Upgrades this front to the given program, or to the running one if none is given; returns the new process's id.
 pub type UpgradeFn = Arc<dyn Fn(Option<&str>) -> Result<u32, String> + Send + Sync>;
 
-/// To the actor that speaks with the other fronts.
+/// Messages to the membership actor, which speaks with the other fronts.
 pub enum MembershipMessage {
-    /// How they stand.
+    /// Asks for the state of all fronts.
     Status(SyncSender<Value>),
-    /// Other keys count from now on.
+    /// Replaces the keys.
     SetKeys(Keys),
-    /// What this front has to tell of members, each part's in pieces, and when it wants to be asked again.
+    /// This front's observations of members, in pieces of each shard, and how often it wants to observe.
     Observations {
         every: Duration,
         pieces: Vec<(usize, Vec<u8>)>,
     },
-    /// How far this front is with a planned change that was ordered of all.
+    /// This front's progress with a planned change that was ordered of all fronts.
     ChangeProgress {
         group: u64,
         order: u64,
         step: HoldStep,
     },
-    /// From the control socket: a change of a group's primary at all fronts, or none.
+    /// From the control socket: orders a change of a group's primary at all fronts, or cancels it.
     ChangePrimary {
         group: u64,
         successor: Option<String>,
         cancel: bool,
         reply: SyncSender<Result<String, String>>,
     },
-    /// How this front is upgraded.
+    /// Sets the function that upgrades this front.
     SetUpgrade(UpgradeFn),
-    /// It could not be, in that roll.
+    /// The upgrade failed in the rolling upgrade with this number.
     UpgradeFailed(u64),
-    /// From the control socket: a rolling upgrade of all fronts, or none any more.
+    /// From the control socket: starts a rolling upgrade of all fronts, or cancels it.
     RollingUpgrade {
         program: Option<String>,
         at_once: usize,
         cancel: bool,
         reply: SyncSender<Result<String, String>>,
     },
-    /// From the control socket: which duties there are, and whose.
+    /// From the control socket: asks for the fleet tasks and their owners.
     FleetTasks(SyncSender<Value>),
-    /// Says farewell and lets go of the address; `Enter` takes it up again.
+    /// Leaves the membership and releases the socket; `Join` opens it again.
     Leave,
     Join,
 }
 
 #[derive(Clone)]
+/// An attempt at a member.
 pub struct Submit {
     pub request_id: u64,
     pub statement: Arc<str>,
+    /// The byte range of the remaining time in the statement.
     pub left: Range<usize>,
-    /// When the front stops waiting.
+    /// When the front stops waiting for the answer.
     pub deadline: Duration,
-    /// Whether it may still be written; the desk keeps it up to date.
+    /// Says whether it may still be written; the dispatcher keeps it up to date.
     pub permit: AttemptPermit,
     pub at: Duration,
 }
 
 #[derive(Clone)]
+/// Work for one connection to a member.
 pub enum Job {
     Submit(Submit),
     Probe { at: Duration },
 }
 
+/// Messages to the actor of a member.
 pub enum MemberMessage {
     Job(Job),
     Cancel(u64),
     Address(SocketAddr),
-    /// The list has it as gone: idle connections are closed, and the actor ends with the last one.
+    /// The list no longer has the member: idle connections are closed, and the actor ends with its last connection.
     Removed,
-    /// The list has it again.
+    /// The list has the member again.
     Relisted,
-    /// Those that stand idle are closed: connections run short, or the member has fallen silent.
+    /// Closes idle connections: connections run short, or the member stopped responding.
     CloseIdle,
-    /// Those that stand idle go to the process after this one, under this name.
+    /// Sends idle connections to the next process, with the member's id.
     TransferIdle(String, std::sync::mpsc::Sender<(String, OwnedFd)>),
-    /// One that the process before this one had.
+    /// A connection that the previous process had.
     Adopt(TcpStream),
-    /// From a connection: it can be woken.
+    /// From a connection: its waker.
     WakerReady(u64, Bell),
     /// From a connection: it is free for the next job.
     Idle(u64),
-    /// From a connection: it has ended, and waits for word that no job comes any more.
+    /// From a connection: it has ended, and waits for `Close` so that no job is lost on the way.
     Ended(u64),
 }
 
-/// To the discovery client.
+/// Messages to the discovery client.
 pub enum DiscoveryMessage {
-    /// A watch is wanted.
+    /// Opens a watch.
     OpenWatch,
-    /// The list is to be had at this address from now on.
+    /// Sets the address of discovery.
     SetAddress(SocketAddr),
-    /// From a watch: it can be woken.
+    /// From a watch: its waker.
     WakerReady(u64, Bell),
-    /// From a watch: a list, whole or of what changed.
+    /// From a watch: a full or partial server list.
     ListReceived(u64, ServerList),
-    /// From a watch: it has ended, and why.
+    /// From a watch: why it has ended.
     WatchEnded(u64, WatchEnd),
 }
 
 /// Why a watch has ended.
 #[derive(Debug)]
 pub enum WatchEnd {
-    /// Discovery says that it is overloaded.
+    /// Discovery answered that it is overloaded.
     Overloaded,
     Failed(String),
 }
--- a/crates/front/src/request_log.rs
+++ b/crates/front/src/request_log.rs
@@ -1,6 +1,6 @@
-//! What becomes of each request and connection, one line of the log for each change of state, at debug level
-//! (`JUNIPERDOCK_LOG=debug`). Every line of a request has its number in this process; the first also has the id that its
-//! client gave it. Every close names its reason.
+//! Logs each change of state of a request or connection as one line, at debug level (`JUNIPERDOCK_LOG=debug`). Each
+//! line of a request has its number in this process; the first one also has the id that its client gave it. Each
+//! closed connection names its reason.
 
 use crate::worker_watchdog::Delay;
 use juniperdock_request_guard::{Outstanding, Withheld};
@@ -10,27 +10,27 @@
 /// Why a client's connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The client closed it, reset it or ended its sending.
+    /// The client closed it, reset it or shut down its sending side.
     ClientLeft,
-    /// It broke while bytes were moved.
+    /// It failed while bytes were read or written.
     Broken,
-    /// The client said that it ends.
+    /// The client sent Terminate or a cancel request.
     Terminated,
     /// It was idle for long while many connections were open.
     Idle,
     /// It was idle, and another client needed its slot.
     MadeRoom,
-    /// It took no byte of its answer for long.
+    /// It read no byte of its answer for long.
     NotReading,
     /// There was no slot for it.
     NoSlot,
     /// This process ends.
     ShuttingDown,
-    /// It sent what is no message, or took too long over one.
+    /// It sent something that is no message, or took too long to complete one.
     ProtocolViolation,
     /// Another process serves it now.
     Transferred,
-    /// Its actor failed.
+    /// Its actor panicked.
     Panicked,
 }
 
@@ -40,10 +40,10 @@
     Received {
         id: &'a str,
         class: usize,
-        /// What its client still waited for then.
+        /// How long its client still waits.
         left: Duration,
     },
-    /// Over the limits of its connection: it gets its refusal in its turn.
+    /// Over the limits of its connection: it is refused when its turn to be answered comes.
     OverLimits,
     /// Handed to the dispatcher.
     Started,
@@ -57,12 +57,12 @@
         server: usize,
         why: Withheld,
     },
-    /// All of it is handed to the machine.
+    /// All of it has been handed to the operating system.
     Written {
         server: usize,
         connection: u64,
     },
-    /// An attempt is over.
+    /// An attempt has ended.
     AttemptEnded {
         server: usize,
         ending: AttemptOutcome,
@@ -72,11 +72,11 @@
     Answered {
         answer: &'static str,
     },
-    /// Its client has gone.
+    /// Its client has left.
     Abandoned,
 }
 
-/// Writes the lines; costs one comparison where they are off.
+/// Writes the lines; costs one comparison if they are off.
 #[derive(Clone)]
 pub struct RequestLog {
     log: slog::Logger,
@@ -84,22 +84,25 @@
 }
 
 impl RequestLog {
+    /// A log that writes if `enabled`.
     pub fn new(log: slog::Logger, enabled: bool) -> RequestLog {
         RequestLog { log, enabled }
     }
 
+    /// Whether lines are written.
     pub fn is_enabled(&self) -> bool {
         self.enabled
     }
 
+    /// A change of a request's state.
     pub fn request(&self, number: u64, event: RequestEvent) {
         if self.enabled {
             slog::debug!(self.log, "request"; "event" => ?event, "request" => number);
         }
     }
 
-    /// The requests that a client's connection has taken and not answered, and the bytes of answers and of requests
-    /// that it still held when it ended.
+    /// A client's connection has closed: the requests that were taken and not answered, and the bytes of answers and
+    /// of requests that were left.
     pub fn client_closed(&self, client: u64, reason: CloseReason, debt: Outstanding) {
         if self.enabled {
             slog::debug!(self.log, "client closed"; "half_read" => debt.half_read, "unsent" => debt.unsent,
@@ -107,20 +110,22 @@
         }
     }
 
-    /// A request of a client's connection.
+    /// A request that came on a client's connection.
     pub fn client_request(&self, client: u64, number: u64) {
         if self.enabled {
             slog::debug!(self.log, "request of client"; "client" => client, "request" => number);
         }
     }
 
+    /// A connection to a server has closed.
     pub fn server_closed(&self, server: usize, connection: u64, why: &str) {
         if self.enabled {
             slog::debug!(self.log, "server connection closed"; "why" => why, "connection" => connection, "server" => server);
         }
     }
 
-    /// A beat lay for long before it had its turn. `idle`: the worker slept meanwhile, though work was ready.
+    /// A watchdog tick was queued for long before it was handled. `idle`: the worker slept meanwhile although work
+    /// was ready.
     pub fn tick_delayed(&self, delay: Delay) {
         if self.enabled {
             let us = |span: Duration| span.as_micros() as u64;
@@ -130,8 +135,9 @@
         }
     }
 
-    /// The one worker did not run for that long. The kernel's account of the thread (nanoseconds on a processor,
-    /// nanoseconds ready and waiting for one, turns; since its start) tells a busy machine from work of its own.
+    /// The worker did not run for this long. The kernel's account of the thread (nanoseconds on a processor,
+    /// nanoseconds ready and waiting for one, turns; since its start) distinguishes a busy machine from long work of
+    /// its own.
     pub fn worker_stalled(&self, stall: Duration) {
         if self.enabled {
             let account = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
--- a/crates/front/src/worker_watchdog.rs
+++ b/crates/front/src/worker_watchdog.rs
@@ -1,27 +1,28 @@
-//! Tells a worker that sleeps although work is ready from one that works or waits for a processor. An alarm
-//! posts a beat to the dispatcher every [`WATCHDOG_PERIOD`](crate::clock::PULSE); a beat that lay for long was not looked at, and the
-//! kernel's account of the worker's thread says what the thread did meanwhile (`/proc/thread-self/schedstat`, proc(5)).
+//! Distinguishes a worker that sleeps although work is ready from one that works or waits for a processor. A timer
+//! sends the dispatcher a tick each [`WATCHDOG_PERIOD`](crate::clock::WATCHDOG_PERIOD); for a tick that was queued
+//! for long, the kernel's account of the worker's thread shows what the thread did meanwhile
+//! (`/proc/thread-self/schedstat`, proc(5)).
 
 use std::fs::File;
 use std::os::unix::fs::FileExt;
 use std::time::Duration;
 
-/// A beat that lay for longer was held up: two periods of it.
+/// A tick that was queued for longer was delayed: two periods.
 const MAX_DELAY: Duration = Duration::from_millis(40);
 
-/// A worker that ran, or waited for a processor, for this part of the delay or more was not asleep. Where a process has a
-/// part of a core only, its processor time is that much less than the time that passes.
+/// A worker that ran or waited for a processor for at least one part in this many of the delay was not asleep. Where
+/// the process has only a part of a core, its processor time is that much less than the time that passes.
 const MIN_ACTIVE_PART: u32 = 10;
 
-/// Longer than either file is.
+/// More bytes than either file has.
 const FILE_LENGTH: usize = 1024;
 
 /// What the kernel has counted for the worker's thread since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ThreadAccount {
-    /// On a processor.
+    /// Time on a processor.
     pub ran: Duration,
-    /// Ready to run, without a processor.
+    /// Time ready to run, waiting for a processor.
     pub waited: Duration,
 }
 
@@ -41,8 +42,8 @@
     }
 }
 
-/// What the worker's thread did, in more detail (`/proc/thread-self/stat`, proc(5)): tells work of its own from work that
-/// the kernel did for it. Processor times are exact to 10 ms only.
+/// More detail on what the worker's thread did (`/proc/thread-self/stat`, proc(5)): distinguishes its own work from
+/// work that the kernel did for it. Processor times are exact to 10 ms only.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ThreadDetails {
     pub user: Duration,
@@ -52,7 +53,7 @@
 }
 
 impl ThreadDetails {
-    /// The name before the fields may hold anything, spaces and brackets too.
+    /// The thread's name before the fields may contain anything, including spaces and brackets.
     fn parse(text: &str) -> Option<ThreadDetails> {
         let fields: Vec<&str> = text.rsplit_once(')')?.1.split_ascii_whitespace().collect();
         let number = |at: usize| fields.get(at)?.parse::<u64>().ok();
@@ -75,14 +76,14 @@
     }
 }
 
-/// A beat that lay for long.
+/// A tick that was queued for long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Delay {
-    /// From its post to its turn.
+    /// From sending it to handling it.
     pub queued_for: Duration,
-    /// What the worker did since the beat before it; nothing where the kernel keeps no account.
+    /// What the worker did since the tick before it; `None` if the kernel keeps no account.
     pub account: Option<ThreadAccount>,
-    /// Where they are asked for.
+    /// Only if the watchdog is detailed.
     pub details: Option<ThreadDetails>,
 }
 
@@ -94,9 +95,9 @@
     }
 }
 
-/// Made and asked on the worker's thread only.
+/// Measures delayed ticks. It must be made and used on the worker's thread.
 pub struct WorkerWatchdog {
-    /// Kept open: one call a beat. None where the kernel has no such file.
+    /// Kept open, so that a tick costs one system call. `None` if the kernel has no such file.
     file: Option<File>,
     last: ThreadAccount,
     details_file: Option<File>,
@@ -105,7 +106,7 @@
 }
 
 impl WorkerWatchdog {
-    /// With `detailed` two files are read a beat in place of one.
+    /// A watchdog for the calling thread. If `detailed`, it reads two files at each tick instead of one.
     pub fn new(detailed: bool) -> WorkerWatchdog {
         let file = File::open("/proc/thread-self/schedstat").ok();
         let details_file = detailed.then(|| File::open("/proc/thread-self/stat").ok()).flatten();
@@ -125,8 +126,8 @@
         read_text(self.details_file.as_ref()?, ThreadDetails::parse)
     }
 
-    /// Notes a beat that has its turn now. Gives the delay if it was held up; beats that were posted during one delay
-    /// count once.
+    /// Handles a tick that was sent at `posted`. Returns the delay if the tick was delayed; ticks that were sent
+    /// during one delay count once.
     pub fn tick(&mut self, posted: Duration, now: Duration) -> Option<Delay> {
         let account = self.read();
         let spent = account.map(|account| account.since(self.last));
