--- a/crates/front/src/acceptor.rs
+++ b/crates/front/src/acceptor.rs
@@ -22,7 +22,7 @@
                 link
             }
             Err(why) => {
-                slog::debug!(self.log, "a client is gone at once"; "why" => %why);
+                slog::debug!(self.log, "the connection to a new client failed"; "why" => %why);
                 return;
             }
         };
@@ -31,7 +31,7 @@
         if let Err(why) = spawn("client", client::CONNECTION_STACK_BYTES, move || {
             client::run(link, slot, has_slot, open, skipping, shared)
         }) {
-            slog::error!(self.log, "no client can be taken in"; "why" => why);
+            slog::error!(self.log, "the actor of a client can't be started"; "why" => why);
             self.slots().taken.remove(&slot);
         }
     }
@@ -54,7 +54,7 @@
                 Ok(None) => {}
                 Err(why) => {
                     // Out of descriptors despite the budget: try again when some may be free.
-                    slog::warn!(self.log, "a client was not taken in"; "why" => %why);
+                    slog::warn!(self.log, "a client can't be accepted"; "why" => %why);
                     self.pause_accepting();
                 }
             }
--- a/crates/front/src/client.rs
+++ b/crates/front/src/client.rs
@@ -185,7 +185,7 @@
     fn exchange(&mut self) -> Result<bool, Failure> {
         let moved = self.pump();
         if let Err(why) = &moved {
-            slog::debug!(self.shared.log, "a client is gone"; "why" => %why);
+            slog::debug!(self.shared.log, "the connection to a client failed"; "why" => %why);
         }
         let moved = moved?;
         while let Ok((request_id, answer)) = self.answers.try_recv() {
--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -89,7 +89,7 @@
     /// # Errors
     /// If the kernel's timer can't be opened.
     pub fn start(max_wait: Duration) -> Result<(Clock, impl FnOnce() + Send), String> {
-        let timer = Timer::open(max_wait).map_err(|e| format!("a timer: {e}"))?;
+        let timer = Timer::open(max_wait).map_err(|e| format!("opening a timer: {e}"))?;
         let (begun, unix) = read_both_clocks();
         let start_unix = Arc::new(AtomicI64::new(unix.as_micros() as i64));
         let timers = Timers { wheel: TimerWheel::new(TIMER_TICK), next_check: Duration::ZERO };
--- a/crates/front/src/connect.rs
+++ b/crates/front/src/connect.rs
@@ -34,10 +34,10 @@
 impl fmt::Display for ConnectFailure {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            ConnectFailure::Cancelled => write!(f, "not wanted any more"),
-            ConnectFailure::TimedOut => write!(f, "no answer in time"),
-            ConnectFailure::TooLate => write!(f, "its time was over before"),
-            ConnectFailure::LocalShortage(error) => write!(f, "this machine is short: {error}"),
+            ConnectFailure::Cancelled => write!(f, "cancelled"),
+            ConnectFailure::TimedOut => write!(f, "timed out"),
+            ConnectFailure::TooLate => write!(f, "no time left to connect"),
+            ConnectFailure::LocalShortage(error) => write!(f, "this machine is short of resources: {error}"),
             ConnectFailure::Failed(error) => write!(f, "{error}"),
         }
     }
--- a/crates/front/src/discovery_client.rs
+++ b/crates/front/src/discovery_client.rs
@@ -94,7 +94,7 @@
                 DiscoveryMessage::OpenWatch => self.open(),
                 DiscoveryMessage::SetAddress(address) => {
                     if address != self.address {
-                        slog::info!(self.log, "discovery has moved"; "to" => %address);
+                        slog::info!(self.log, "discovery has a new address"; "to" => %address);
                         self.address = address;
                         self.open();
                     }
@@ -126,7 +126,7 @@
         let started = spawn("watch", self.stack, move || {
             let why = catch_unwind(AssertUnwindSafe(|| watch.run(version))).unwrap_or_else(|_| {
                 counters.panics.add();
-                WatchEnd::Failed("its actor failed".to_owned())
+                WatchEnd::Failed("the watch's actor panicked".to_owned())
             });
             let _ = list.send(DiscoveryMessage::WatchEnded(number, why));
         });
@@ -158,7 +158,7 @@
             return;
         }
         if !std::mem::replace(&mut self.logged, true) {
-            slog::warn!(self.log, "the watch on the server list is lost"; "why" => %why);
+            slog::warn!(self.log, "lost the watch on the server list"; "why" => %why);
         }
         let wait = match why {
             WatchEnd::Overloaded => self.backoff.next_wait(),
@@ -227,12 +227,12 @@
             }
             match moved {
                 Err(why) => return failed(why.to_string()),
-                Ok(_) if link.ended || answer.over() => return failed("the watch ended".to_owned()),
-                Ok(_) if now >= silent => return failed("the watch fell silent".to_owned()),
+                Ok(_) if link.ended || answer.over() => return failed("the watch was closed".to_owned()),
+                Ok(_) if now >= silent => return failed("the watch timed out".to_owned()),
                 Ok(true) => self.clock.yield_if_busy(busy, link.is_short()),
                 Ok(false) => link.wait(),
             }
         }
-        failed("another has taken over".to_owned())
+        failed("replaced by a newer watch".to_owned())
     }
 }
--- a/crates/front/src/dispatcher.rs
+++ b/crates/front/src/dispatcher.rs
@@ -139,7 +139,7 @@
             if catch_unwind(AssertUnwindSafe(|| self.handle(message))).is_err() {
                 self.host.counters.panics.add();
                 if let Err(why) = self.restart_router() {
-                    slog::crit!(self.log, "the desk can't go on"; "why" => why);
+                    slog::crit!(self.log, "no new router can be made, exiting"; "why" => why);
                     std::process::exit(1);
                 }
             }
@@ -208,7 +208,7 @@
             Ok(_) if !cancel => self.fleet_changes.push((group, order, fleet_tasks::HoldStep::Asked)),
             Ok(_) => {}
             Err(why) => {
-                slog::info!(self.log, "a change for all fronts can't be had here"; "group" => group, "why" => why);
+                slog::info!(self.log, "a change of primary that was ordered of all fronts can't start here"; "group" => group, "why" => why);
                 let replies = self.membership.iter().filter(|_| !cancel);
                 replies.for_each(|membership| {
                     membership(MembershipMessage::ChangeProgress {
@@ -251,10 +251,10 @@
     fn clock_advanced(&mut self, now: Duration, by: Duration) {
         self.host.counters.clock_advanced.add();
         self.host.origin.start += by.as_micros() as i64;
-        slog::warn!(self.log, "the wall clock was behind the servers'"; "by_ms" => by.as_millis() as u64);
+        slog::warn!(self.log, "the wall clock is behind the servers'"; "by_ms" => by.as_millis() as u64);
         let waiting = self.host.remove_unattempted();
         if let Err(why) = self.restart_router() {
-            slog::crit!(self.log, "the desk can't go on"; "why" => why);
+            slog::crit!(self.log, "no new router can be made, exiting"; "why" => why);
             std::process::exit(1);
         }
         waiting.into_iter().for_each(|request| self.start_request(now, request.arrival));
@@ -382,7 +382,7 @@
                 if let Some(observer) = &mut self.host.observer {
                     self.host.counters.facts_in.add();
                     if let Err(why) = observer.apply_updates(now, unix, &piece) {
-                        slog::debug!(self.log, "facts of another front are passed over"; "why" => why);
+                        slog::debug!(self.log, "observations of another front are ignored"; "why" => why);
                     }
                 }
             }
--- a/crates/front/src/dispatcher/host.rs
+++ b/crates/front/src/dispatcher/host.rs
@@ -117,7 +117,7 @@
         let unknown_address = SocketAddr::from(([0; 4], 0));
         let address = self.servers.get(member).map_or(unknown_address, |server| server.address);
         if let Err(why) = (self.spawn_member)(member, address, receiver, sender.clone()) {
-            slog::error!(self.log, "a member has no actor"; "why" => why);
+            slog::error!(self.log, "the actor of a member can't be started"; "why" => why);
         }
         let _ = sender.send(first);
     }
--- a/crates/front/src/member.rs
+++ b/crates/front/src/member.rs
@@ -267,7 +267,7 @@
             .run(work);
         });
         if let Err(why) = started {
-            slog::error!(self.context.log, "no connection can be started"; "why" => why);
+            slog::error!(self.context.log, "the coroutine of a connection can't be started"; "why" => why);
             self.context.open_connections.fetch_sub(1, Ordering::Relaxed);
             self.connections.remove(&id);
             if let Some(wanted) = &wanted {
@@ -485,7 +485,7 @@
         let wanted = ConnectRequest { to: self.address, until, limits: self.context.buffers() };
         let connected = connect(clock, &wanted, &up, &|| self.cancelled(job));
         let mut link = connected.map_err(|why| {
-            slog::debug!(self.context.log, "no connection"; "why" => %why, "server" => self.member);
+            slog::debug!(self.context.log, "no connection to a server"; "why" => %why, "server" => self.member);
             match why {
                 ConnectFailure::Cancelled | ConnectFailure::TooLate | ConnectFailure::LocalShortage(_) => {
                     AttemptOutcome::Moot
@@ -585,7 +585,7 @@
             }
             let pumped = link.pump();
             if let Err(why) = self.read(link, &mut reply, now) {
-                slog::warn!(self.context.log, "a member talks nonsense"; "member" => self.member, "why" => why);
+                slog::warn!(self.context.log, "a member sent an invalid answer"; "member" => self.member, "why" => why);
                 // Nothing in such an answer is used.
                 return JobResult { outcome: AttemptOutcome::Spoilt, reply: Reply::default(), usable: false };
             }
@@ -614,7 +614,7 @@
                 Ok(_) if link.ended => {
                     let reached = if unsent { Reached::Connection } else { Reached::Written };
                     return result_of_failure(
-                        &Failure { reached, why: "the member ended".to_owned() },
+                        &Failure { reached, why: "the member closed the connection".to_owned() },
                         reply,
                     );
                 }
@@ -675,7 +675,7 @@
             // An unreadable load report does not spoil the answer that it came with.
             let reported = load_report(context, member, text, asked);
             if let Err(why) = &reported {
-                slog::debug!(context.log, "a load can't be read"; "member" => member, "why" => why);
+                slog::debug!(context.log, "the load report of an answer is invalid"; "member" => member, "why" => why);
             }
             reply.load = reported.ok();
         }
@@ -814,7 +814,7 @@
             match reported {
                 Ok(report) => DispatcherMessage::Probed { member, outcome, report },
                 Err(why) => {
-                    slog::warn!(context.log, "a report can't be read"; "why" => why);
+                    slog::warn!(context.log, "the load report of a probe is invalid"; "why" => why);
                     DispatcherMessage::Probed {
                         member,
                         outcome: AttemptOutcome::Spoilt,
