--- a/crates/front/tests/calls.rs
+++ b/crates/front/tests/calls.rs
@@ -12,9 +12,9 @@
 mod cluster;
 
 /// Every call that these faults can meet does.
-const ALL: u32 = 65_536;
+const EVERY_CALL: u32 = 65_536;
 /// One in eight.
-const SOME: u32 = ALL / 8;
+const ONE_IN_EIGHT: u32 = EVERY_CALL / 8;
 
 struct Faults(PathBuf);
 
@@ -48,9 +48,9 @@
 }
 
 #[test]
-fn a_process_that_starts_while_the_machine_has_no_sockets_serves_once_it_has() {
+fn front_that_starts_without_sockets_serves_once_there_are() {
     let cluster = TestCluster::new();
-    let faults = Faults::new("start", Controls { fails: ALL, ..Controls::default() });
+    let faults = Faults::new("start", Controls { fails: EVERY_CALL, ..Controls::default() });
     let front = faults.front(&cluster);
     let started = Instant::now();
     wait_until(|| started.elapsed() > Duration::from_millis(600));
@@ -59,10 +59,10 @@
 }
 
 #[test]
-fn a_failed_wait_for_a_signal_ends_no_process() {
+fn failed_wait_for_a_signal_does_not_end_the_process() {
     for seed in 1..9 {
         let cluster = TestCluster::new();
-        let faults = Faults::new("signal", Controls { seed, fails: ALL / 2, ..Controls::default() });
+        let faults = Faults::new("signal", Controls { seed, fails: EVERY_CALL / 2, ..Controls::default() });
         let front = faults.front(&cluster);
         // It waits for signals once it serves; every other read fails by then.
         wait_until(|| TcpStream::connect(front.at).is_ok());
@@ -76,14 +76,14 @@
 }
 
 #[test]
-fn a_disk_that_fails_leaves_the_last_whole_snapshot() {
+fn failing_disk_leaves_the_last_complete_snapshot() {
     let cluster = TestCluster::new();
     let faults = Faults::new("disk", Controls::default());
     let snapshot = std::env::temp_dir().join(format!("jd-calls-snapshot-{}", std::process::id()));
     let charter = format!("{{ snapshot: {{ path: {:?}, every_s: 1 }} }}", snapshot.display().to_string());
     let front = faults.front_with(&cluster, Some(&charter));
     wait_until(|| snapshot.exists());
-    faults.set(Controls { disk: ALL / 2, ..Controls::default() });
+    faults.set(Controls { disk: EVERY_CALL / 2, ..Controls::default() });
     // Five more are due; whichever of them comes to its end, what lies there is whole.
     let fails = Instant::now();
     wait_until(|| {
@@ -99,13 +99,18 @@
 }
 
 #[test]
-fn shortages_of_the_machine_end_no_connection_of_a_client() {
+fn shortages_do_not_end_client_connections() {
     let cluster = TestCluster::new();
     let faults = Faults::new("short", Controls::default());
     let front = faults.front(&cluster);
     wait_until(|| front.client().ask(&txn("order", 3000, "w")).value.is_some());
     let mut client = front.client();
-    faults.set(Controls { fails: SOME, short: SOME, interrupted: SOME, ..Controls::default() });
+    faults.set(Controls {
+        fails: ONE_IN_EIGHT,
+        short: ONE_IN_EIGHT,
+        interrupted: ONE_IN_EIGHT,
+        ..Controls::default()
+    });
     for i in 0..60 {
         let reply = client.ask(&txn("lookup", 4000, &format!("r{i}")));
         assert_eq!(reply.last, b'Z', "a whole answer on the same connection: {reply:?}");
@@ -119,13 +124,13 @@
 /// Statements of 64 KiB that the machine moves in parts, a few bytes to some thousand at a time, arrive as they were sent, each
 /// once and behind no piece of another; so do their answers.
 #[test]
-fn long_statements_that_are_moved_in_parts_arrive_whole() {
+fn long_statements_with_short_reads_and_writes_arrive_whole() {
     let cluster = TestCluster::new();
     let faults = Faults::new("parts", Controls::default());
     let front = faults.front(&cluster);
     wait_until(|| front.client().ask(&txn("order", 3000, "w")).value.is_some());
     cluster.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
-    faults.set(Controls { short: ALL, interrupted: SOME, ..Controls::default() });
+    faults.set(Controls { short: EVERY_CALL, interrupted: ONE_IN_EIGHT, ..Controls::default() });
     let mut client = front.client();
     let long = format!("\\x{}", "9f03".repeat(16 << 10));
     for i in 0..6 {
@@ -146,19 +151,19 @@
 }
 
 /// Well inside the 0.45 s for which a process that ends still takes clients in.
-const COMES_IN_TIME: Duration = Duration::from_millis(200);
+const ACCEPT_TIME: Duration = Duration::from_millis(200);
 
 #[test]
-fn who_comes_while_a_process_ends_is_answered_though_calls_are_interrupted() {
+fn clients_that_come_while_the_process_ends_are_answered_despite_interrupted_calls() {
     let cluster = TestCluster::new();
     let faults = Faults::new("ends", Controls::default());
     let front = faults.front(&cluster);
     wait_until(|| front.client().ask(&txn("lookup", 3000, "r")).value.is_some());
-    faults.set(Controls { interrupted: ALL / 2, ..Controls::default() });
+    faults.set(Controls { interrupted: EVERY_CALL / 2, ..Controls::default() });
     front.signal("-TERM");
-    let told = Instant::now();
+    let sigterm_sent = Instant::now();
     let mut clients = Vec::new();
-    while told.elapsed() < COMES_IN_TIME && clients.len() < 12 {
+    while sigterm_sent.elapsed() < ACCEPT_TIME && clients.len() < 12 {
         let mut stream = TcpStream::connect(front.at).expect("it still takes clients in");
         stream.set_read_timeout(Some(PATIENCE)).expect("a time");
         let statement = format!("{}\0", txn("lookup", 3000, &format!("c{}", clients.len())));
--- a/crates/front/tests/clocks.rs
+++ b/crates/front/tests/clocks.rs
@@ -13,11 +13,11 @@
 mod cluster;
 
 /// A front whose wall clock is off by so much, for as long as it runs.
-fn with_clock_off(cluster: &TestCluster, name: &str, off_ms: i64) -> Front {
-    with_clock_off_and(cluster, name, off_ms, None)
+fn front_with_clock_off(cluster: &TestCluster, name: &str, off_ms: i64) -> Front {
+    front_with_clock_off_and(cluster, name, off_ms, None)
 }
 
-fn with_clock_off_and(cluster: &TestCluster, name: &str, off_ms: i64, charter: Option<&str>) -> Front {
+fn front_with_clock_off_and(cluster: &TestCluster, name: &str, off_ms: i64, charter: Option<&str>) -> Front {
     let file = std::env::temp_dir().join(format!("jd-clock-{name}-{}", std::process::id()));
     Controls { wall_clock_ms: off_ms, ..Controls::default() }.write(&file).expect("a file");
     let environment = preload(&file).expect("the library");
@@ -35,10 +35,10 @@
 }
 
 #[test]
-fn a_wall_clock_that_is_off_at_the_start_keeps_nobody_from_being_served() {
+fn requests_are_served_with_a_wall_clock_that_is_off_at_the_start() {
     for (name, off_ms) in [("a", -3_600_000), ("b", -10_000), ("c", -1000), ("d", 1000), ("e", 3_600_000)] {
         let cluster = TestCluster::new();
-        let front = with_clock_off(&cluster, name, off_ms);
+        let front = front_with_clock_off(&cluster, name, off_ms);
         wait_until(|| front.client().ask(&txn("order", 3000, "w")).value.is_some());
         wait_until(|| front.client().ask(&txn("lookup", 3000, "r")).value.is_some());
         let served = reads_served(&front, 20);
@@ -48,10 +48,10 @@
 
 /// What waits for a server while the process finds out that its clock is behind goes on waiting, and is served.
 #[test]
-fn what_waits_while_a_clock_is_corrected_is_served() {
+fn requests_that_wait_during_a_clock_correction_are_served() {
     for (name, off_ms) in [("h", -3_600_000), ("i", -10_000), ("j", -1000)] {
         let cluster = TestCluster::new();
-        let front = with_clock_off(&cluster, name, off_ms);
+        let front = front_with_clock_off(&cluster, name, off_ms);
         let served = std::thread::scope(|scope| {
             let asked: Vec<_> = (0..24)
                 .map(|i| {
@@ -68,7 +68,7 @@
 
 /// What a process knew is as old as it is for the next one, whatever was done to the wall clock in between.
 #[test]
-fn a_snapshot_is_as_old_as_it_is_whatever_the_wall_clock_says() {
+fn snapshot_is_restored_whatever_the_wall_clock_says() {
     let cluster = TestCluster::new();
     let file = std::env::temp_dir().join(format!("jd-clocks-snapshot-{}", std::process::id()));
     let charter = format!("{{ snapshot: {{ path: {:?}, every_s: 1 }} }}", file.display().to_string());
@@ -76,13 +76,13 @@
         front.signal("-TERM");
         front.end().1
     };
-    let first = with_clock_off_and(&cluster, "k", 0, Some(&charter));
+    let first = front_with_clock_off_and(&cluster, "k", 0, Some(&charter));
     assert!(first.client().ask(&txn("order", 3000, "w")).value.is_some());
     wait_until(|| file.exists());
     ended(first);
     for (name, off_ms) in [("l", -3_600_000), ("m", 3_600_000)] {
         let kept = std::fs::read(&file).expect("a snapshot");
-        let text = ended(with_clock_off_and(&cluster, name, off_ms, Some(&charter)));
+        let text = ended(front_with_clock_off_and(&cluster, name, off_ms, Some(&charter)));
         assert!(text.contains("a snapshot is taken up"), "clock off by {off_ms} ms: {text}");
         std::fs::write(&file, kept).expect("a file");
     }
@@ -90,10 +90,10 @@
 }
 
 #[test]
-fn with_a_wall_clock_that_is_behind_no_replica_is_read_beyond_its_bound() {
+fn replicas_are_not_read_beyond_the_bound_with_a_wall_clock_behind() {
     for (name, off_ms) in [("f", -1000), ("g", -10_000)] {
         let cluster = TestCluster::new();
-        let front = with_clock_off(&cluster, name, off_ms);
+        let front = front_with_clock_off(&cluster, name, off_ms);
         wait_until(|| front.client().ask(&txn("order", 3000, "w")).value.is_some());
         cluster.members[1].stand_still();
         cluster.members[2].stand_still();
@@ -121,23 +121,23 @@
 
 /// What two primaries say that are ahead of this process by so much.
 fn ahead_by(clock: &Clock, by: Duration) -> Verdict {
-    let told = |server| {
+    let sample = |server| {
         let now = clock.now();
         PositionSample { server, position: now + by, primary: true, asked: now, now }
     };
-    clock.judge(told(0));
-    clock.judge(told(1))
+    clock.judge(sample(0));
+    clock.judge(sample(1))
 }
 
 #[test]
-fn a_correction_of_the_time_moves_no_deadline_and_no_alarm() {
+fn clock_correction_moves_no_timer_and_no_span() {
     const HOUR: Duration = Duration::from_secs(3600);
-    let (clock, ring) = Clock::start(Duration::ZERO).expect("a clock");
-    spawn("clock", 64 << 10, ring).expect("a coroutine");
-    let (rung, rings) = channel();
+    let (clock, run_timers) = Clock::start(Duration::ZERO).expect("a clock");
+    spawn("clock", 64 << 10, run_timers).expect("a coroutine");
+    let (fired, fires) = channel();
     let (begun, before) = (Instant::now(), clock.now());
     clock.run_at(before + HOUR / 2, move || {
-        let _ = rung.send(());
+        let _ = fired.send(());
     });
     assert!(matches!(ahead_by(&clock, HOUR), Verdict::Behind(by) if by >= HOUR));
     // One that is due soon rings all the same, so the thread has looked at all that is due.
@@ -146,6 +146,6 @@
         let _ = soon.send(());
     });
     is_due.recv_timeout(Duration::from_secs(20)).expect("it is due");
-    assert!(rings.try_recv().is_err(), "half an hour has not passed");
+    assert!(fires.try_recv().is_err(), "half an hour has not passed");
     assert!(clock.now() - before <= begun.elapsed() + Duration::from_secs(1), "spans are of real time");
 }
--- a/crates/front/tests/discovery.rs
+++ b/crates/front/tests/discovery.rs
@@ -10,7 +10,7 @@
 mod cluster;
 
 /// A change counts as told so long after discovery had it and could be reached.
-const TOLD_AFTER: Duration = Duration::from_secs(6);
+const UPDATE_LIMIT: Duration = Duration::from_secs(6);
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -29,14 +29,14 @@
 }
 
 /// Reads are served by nobody but the primary from some time on, within what counts as told.
-fn drains_are_in_force(cluster: &TestCluster, front: &Front, since: Instant) {
+fn assert_drains_in_force(cluster: &TestCluster, front: &Front, since: Instant) {
     let mut client = front.client();
     wait_until(|| {
         cluster.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
         let _ = client.ask(&txn("lookup", 20_000, "r"));
         cluster.members[0].seen.try_iter().count() > 0
     });
-    assert!(since.elapsed() < TOLD_AFTER, "{:?}", since.elapsed());
+    assert!(since.elapsed() < UPDATE_LIMIT, "{:?}", since.elapsed());
     for _ in 0..20 {
         assert!(client.ask(&txn("lookup", 20_000, "r")).value.is_some());
     }
@@ -57,7 +57,7 @@
 const DOWN: Duration = Duration::from_secs(4);
 
 /// Lets calls fail for a while; nothing of it is left open after.
-fn fail(at: SocketAddr, how: Failure) {
+fn fail_calls(at: SocketAddr, how: Failure) {
     let begun = Instant::now();
     if matches!(how, Failure::Refused) {
         std::thread::sleep(DOWN);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn whatever_calls_failed_before_a_change_is_in_force_in_time_once_discovery_is_back() {
+fn list_change_is_in_force_in_time_after_any_failure_of_discovery() {
     for how in [Failure::Refused, Failure::Reset, Failure::Error, Failure::Silent, Failure::EndlessHead] {
         let cluster = TestCluster::new();
         let at = address();
@@ -94,22 +94,22 @@
         let watch = answer_watch(&listener, &list(&cluster, 1, ["up"; 3]));
         wait_until(|| front.client().ask(&txn("order", 20_000, "first")).value.is_some());
         drop((watch, listener));
-        fail(at, how);
+        fail_calls(at, how);
         let listener = TcpListener::bind(at).expect("its address");
         let back = Instant::now();
         let _watch = answer_watch(&listener, &list(&cluster, 2, ["up", "draining", "draining"]));
-        drains_are_in_force(&cluster, &front, back);
+        assert_drains_in_force(&cluster, &front, back);
     }
 }
 
 /// Connections that say nothing, as many as the front has descriptors, and more.
-fn fill(front: &Front, sockets: usize) -> Vec<TcpStream> {
+fn fill_descriptors(front: &Front, sockets: usize) -> Vec<TcpStream> {
     let connect = || TcpStream::connect_timeout(&front.at, Duration::from_millis(200)).ok();
     (0..2 * sockets).filter_map(|_| connect()).collect()
 }
 
 #[test]
-fn while_idle_clients_fill_the_descriptors_the_watch_comes_back_and_servers_are_reached() {
+fn watch_and_servers_are_reached_while_idle_clients_fill_the_descriptors() {
     const SOCKETS: usize = 64;
     let cluster = TestCluster::new();
     let at = address();
@@ -120,11 +120,11 @@
     drop((watch, listener));
     // All that the front had open to its servers ends too.
     cluster.members.iter().for_each(juniperdock_test_support::Member::cut);
-    let mut idle = fill(&front, SOCKETS);
+    let mut idle = fill_descriptors(&front, SOCKETS);
     let listener = TcpListener::bind(at).expect("its address");
     let back = Instant::now();
     let _watch = answer_watch(&listener, &list(&cluster, 2, ["up", "draining", "draining"]));
-    assert!(back.elapsed() < TOLD_AFTER, "{:?}", back.elapsed());
+    assert!(back.elapsed() < UPDATE_LIMIT, "{:?}", back.elapsed());
     // Some of them were there to the end: their place is still filled.
     idle.retain_mut(|stream| {
         stream.set_nonblocking(true).expect("a stream");
@@ -132,9 +132,9 @@
     });
     assert!(idle.len() >= SOCKETS / 8, "{}", idle.len());
     // Who speaks finds a place, and its server is reached.
-    let patience = Duration::from_millis(500);
+    let max_wait = Duration::from_millis(500);
     wait_until(|| {
-        Client::open_within(front.at, patience)
+        Client::open_within(front.at, max_wait)
             .is_some_and(|mut c| c.ask(&txn("order", 2_000, "now")).value.is_some())
     });
     assert!(front.descriptors() <= SOCKETS);
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_discovery_that_says_it_is_overloaded_is_called_ever_less_often_and_in_time_when_it_is_not() {
+fn overloaded_discovery_is_called_less_often_and_in_time_once_it_recovers() {
     let cluster = TestCluster::new();
     let listener = TcpListener::bind(address()).expect("a free address");
     let at = listener.local_addr().expect("an address");
@@ -183,5 +183,5 @@
     assert!((3..=10).contains(&calls), "{calls}");
     let back = Instant::now();
     let _watch = answer_watch(&listener, &list(&cluster, 2, ["up", "draining", "draining"]));
-    drains_are_in_force(&cluster, &front, back);
+    assert_drains_in_force(&cluster, &front, back);
 }
--- a/crates/front/tests/dispatcher.rs
+++ b/crates/front/tests/dispatcher.rs
@@ -63,12 +63,12 @@
     ProbeQueue::new(1, ProbeLimits::for_connections(100))
 }
 
-fn make() -> Result<Router, String> {
+fn make_router() -> Result<Router, String> {
     let sla = Duration::from_secs(1);
     let (effect, consistency) = (Effect::OnceOnly, Consistency::Write);
-    let kinds = vec![TxnType { sla, value: 1.0, late_value: 0.0, effect, consistency }];
+    let txn_types = vec![TxnType { sla, value: 1.0, late_value: 0.0, effect, consistency }];
     let cold = ColdStart { share: 1.0, warm_up: sla, multiple: 2.0, window: sla };
-    Ok(Router::new(1, FrontInfo { index: 0, fronts: 1, zone: 0 }, kinds, cold))
+    Ok(Router::new(1, FrontInfo { index: 0, fronts: 1, zone: 0 }, txn_types, cold))
 }
 
 fn link_to(at: SocketAddr) -> Link {
@@ -77,93 +77,93 @@
 }
 
 #[test]
-fn after_a_panic_the_desk_answers_all_and_starts_anew() {
-    let (clock, _ring) = Clock::start(Duration::ZERO).expect("a clock");
-    let ((mail, read), (discovery, _discovery)) = (channel(), channel());
-    let hire: SpawnMember = Box::new(|_, _, _, _| Ok(()));
+fn after_a_panic_the_dispatcher_answers_all_and_goes_on() {
+    let (clock, _run_timers) = Clock::start(Duration::ZERO).expect("a clock");
+    let ((sender, messages), (discovery, _discovery)) = (channel(), channel());
+    let spawn_member: SpawnMember = Box::new(|_, _, _, _| Ok(()));
     let counters = Arc::new(Counters::default());
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    let (make, zones, now) = (Box::new(make), Vec::new(), clock.now());
-    let desk = Dispatcher::new(
-        make,
+    let (make_router, zones, now) = (Box::new(make_router), Vec::new(), clock.now());
+    let dispatcher = Dispatcher::new(
+        make_router,
         vec!["order".to_owned()],
         zones,
         clock,
-        mail.clone(),
+        sender.clone(),
         discovery,
-        hire,
+        spawn_member,
         probes(),
         counters.clone(),
         log.clone(),
         RequestLog::new(log, false),
     );
-    let desk = desk.expect("a desk");
-    std::thread::spawn(move || desk.run(&read));
+    let dispatcher = dispatcher.expect("a desk");
+    std::thread::spawn(move || dispatcher.run(&messages));
 
-    let door = std::net::TcpListener::bind("127.0.0.1:0").expect("a free address");
-    let at = door.local_addr().expect("an address");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free address");
+    let at = listener.local_addr().expect("an address");
     let link = link_to(at);
-    let (answers, told) = channel();
+    let (answers, received) = channel();
     let arrival = |request_id, left| {
         let client = Mailbox { sender: answers.clone(), waker: link.bell() };
         arrival(request_id, now, now + Duration::from_secs(left), client)
     };
-    let _ = mail.send(DispatcherMessage::List(list(at)));
-    let _ = mail.send(arrival(1, 9000));
+    let _ = sender.send(DispatcherMessage::List(list(at)));
+    let _ = sender.send(arrival(1, 9000));
     // An input that no router can take.
-    let _ = mail.send(DispatcherMessage::Probed {
+    let _ = sender.send(DispatcherMessage::Probed {
         member: 99,
         outcome: AttemptOutcome::Committed,
         report: Report::default(),
     });
-    assert!(matches!(told.recv(), Ok((1, Answer::Unknown(_)))));
-    let _ = mail.send(arrival(2, 0));
-    assert!(matches!(told.recv(), Ok((2, Answer::Declined(_)))), "it goes on");
+    assert!(matches!(received.recv(), Ok((1, Answer::Unknown(_)))));
+    let _ = sender.send(arrival(2, 0));
+    assert!(matches!(received.recv(), Ok((2, Answer::Declined(_)))), "it goes on");
     assert_eq!(counters.panics.read(), 1);
 }
 
 #[test]
-fn after_a_panic_nothing_is_written_for_what_has_its_answer() {
-    let (clock, _ring) = Clock::start(Duration::ZERO).expect("a clock");
-    let ((mail, read), (discovery, _discovery), (jobs, job)) = (channel(), channel(), channel());
+fn after_a_panic_no_answered_request_is_written() {
+    let (clock, _run_timers) = Clock::start(Duration::ZERO).expect("a clock");
+    let ((sender, messages), (discovery, _discovery), (jobs, job)) = (channel(), channel(), channel());
     // The member's actor is the story's own: what it is given stays unwritten.
-    let hire: SpawnMember = Box::new(move |_, _, read, _| {
+    let spawn_member: SpawnMember = Box::new(move |_, _, read, _| {
         let jobs = jobs.clone();
         std::thread::spawn(move || {
-            while let Ok(mail) = read.recv() {
-                let _ = jobs.send(mail);
+            while let Ok(sender) = read.recv() {
+                let _ = jobs.send(sender);
             }
         });
         Ok(())
     });
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    let kinds = vec!["order".to_owned()];
+    let txn_types = vec!["order".to_owned()];
     let (counters, zones) = (Arc::new(Counters::default()), Vec::new());
-    let desk = Dispatcher::new(
-        Box::new(make),
-        kinds,
+    let dispatcher = Dispatcher::new(
+        Box::new(make_router),
+        txn_types,
         zones,
         clock.clone(),
-        mail.clone(),
+        sender.clone(),
         discovery,
-        hire,
+        spawn_member,
         probes(),
         counters,
         log.clone(),
         RequestLog::new(log, false),
     );
-    let desk = desk.expect("a desk");
-    std::thread::spawn(move || desk.run(&read));
-    let door = std::net::TcpListener::bind("127.0.0.1:0").expect("a free address");
-    let at = door.local_addr().expect("an address");
+    let dispatcher = dispatcher.expect("a desk");
+    std::thread::spawn(move || dispatcher.run(&messages));
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free address");
+    let at = listener.local_addr().expect("an address");
     let link = link_to(at);
-    let (answers, told) = channel();
+    let (answers, received) = channel();
     let client = Mailbox { sender: answers, waker: link.bell() };
-    let _ = mail.send(DispatcherMessage::List(list(at)));
+    let _ = sender.send(DispatcherMessage::List(list(at)));
     let report = Report { role: Some(Role::Primary), position: Some(clock.now()), ..Report::default() };
-    let _ = mail.send(DispatcherMessage::Probed { member: 0, outcome: AttemptOutcome::Committed, report });
+    let _ = sender.send(DispatcherMessage::Probed { member: 0, outcome: AttemptOutcome::Committed, report });
     let now = clock.now();
-    let _ = mail.send(arrival(1, now, now + Duration::from_secs(900), client));
+    let _ = sender.send(arrival(1, now, now + Duration::from_secs(900), client));
     let submit = loop {
         if let MemberMessage::Job(Job::Submit(submit)) = job.recv().expect("a job") {
             break submit;
@@ -171,14 +171,14 @@
     };
     assert_eq!(submit.permit.check(clock.now()), Ok(()));
     // An input that no router can take: the txn gets its answer while its connection is still to come up.
-    let _ = mail.send(DispatcherMessage::Probed {
+    let _ = sender.send(DispatcherMessage::Probed {
         member: 99,
         outcome: AttemptOutcome::Committed,
         report: Report::default(),
     });
-    assert!(matches!(told.recv(), Ok((1, Answer::Unknown(_)))));
-    let (tell, taken) = channel();
-    let _ = mail.send(DispatcherMessage::Barrier(tell));
-    let _ = taken.recv();
+    assert!(matches!(received.recv(), Ok((1, Answer::Unknown(_)))));
+    let (reply, done) = channel();
+    let _ = sender.send(DispatcherMessage::Barrier(reply));
+    let _ = done.recv();
     assert!(submit.permit.consume(clock.now()).is_err(), "rule 1: nothing is sent after the answer");
 }
--- a/crates/front/tests/endings.rs
+++ b/crates/front/tests/endings.rs
@@ -15,7 +15,7 @@
 const FEW_DESCRIPTORS: u32 = 52;
 const CLIENTS: usize = 18;
 
-fn few_descriptors(cluster: &TestCluster) -> Front {
+fn front_with_few_descriptors(cluster: &TestCluster) -> Front {
     Front::start(PROGRAM, cluster.agent.at, &cluster.server_list, FEW_DESCRIPTORS)
 }
 
@@ -36,20 +36,20 @@
 }
 
 /// The front knows its primary and its replicas.
-fn begin(cluster: &TestCluster, front: &Front) {
+fn warm_up(cluster: &TestCluster, front: &Front) {
     wait_until(|| front.client().ask(&of_session("0", "order", 20_000, "first")).value.is_some());
     wait_until(|| front.client().ask(&of_session("0", "lookup", 20_000, "first")).value.is_some());
     cluster.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
 }
 
 /// The process has been told to end, and takes nobody in any more.
-fn shutting_down(front: &Front) {
+fn begin_shutdown(front: &Front) {
     front.signal("-TERM");
     wait_until(|| TcpStream::connect(front.at).is_err());
 }
 
 /// A client whose order hangs at the primary.
-fn with_a_hanging_order(cluster: &TestCluster, front: &Front, ms: u32) -> Client {
+fn client_with_a_hanging_order(cluster: &TestCluster, front: &Front, ms: u32) -> Client {
     cluster.members[0].set(Does::Hangs);
     let mut client = front.client();
     client.say(&of_session("a", "order", ms, "hangs"));
@@ -69,11 +69,11 @@
 fn half_a_statement_is_answered_when_the_process_ends() {
     let cluster = TestCluster::new();
     let front = cluster.start_front();
-    begin(&cluster, &front);
+    warm_up(&cluster, &front);
     let mut client = front.client();
     let (first, second) = halves(&txn("order", 20_000, "half"));
     client.stream.write_all(&first).expect("the front reads");
-    shutting_down(&front);
+    begin_shutdown(&front);
     client.stream.write_all(&second).expect("the front reads");
     let reply = client.reply();
     assert!(reply.value.is_some() || reply.code.is_some(), "{reply:?}");
@@ -81,10 +81,10 @@
 }
 
 #[test]
-fn half_a_statement_is_no_idle_connection() {
+fn connection_with_half_a_statement_is_not_closed_as_idle() {
     let cluster = TestCluster::new();
-    let front = few_descriptors(&cluster);
-    begin(&cluster, &front);
+    let front = front_with_few_descriptors(&cluster);
+    warm_up(&cluster, &front);
     let mut idle = front.client();
     let mut client = front.client();
     let (first, second) = halves(&txn("order", 20_000, "half"));
@@ -97,13 +97,13 @@
 }
 
 #[test]
-fn an_answer_that_is_half_out_is_not_cut_off_to_make_room() {
+fn half_sent_answer_is_not_cut_off_to_free_a_slot() {
     const LENGTH: usize = 16 << 20;
     let cluster = TestCluster::new();
     let config = Front::config(&cluster.server_list, FEW_DESCRIPTORS)
         .replace("\"memory_mb\":192", "\"memory_mb\":4096");
     let front = Front::with(PROGRAM, address(), cluster.agent.at, &config, None);
-    begin(&cluster, &front);
+    warm_up(&cluster, &front);
     let long = [row(&vec![b'x'; LENGTH]), juniperdock_test_support::wire::ready()].concat();
     cluster.members.iter().for_each(|member| member.once(Does::Says(long.clone())));
     // Its machine takes next to nothing that it does not read.
@@ -128,10 +128,10 @@
 }
 
 #[test]
-fn all_that_was_read_behind_a_first_statement_without_a_slot_is_refused_too() {
+fn all_statements_of_a_client_without_a_slot_are_refused() {
     let cluster = TestCluster::new();
-    let front = few_descriptors(&cluster);
-    begin(&cluster, &front);
+    let front = front_with_few_descriptors(&cluster);
+    warm_up(&cluster, &front);
     cluster.members[0].set(Does::Hangs);
     let _busy: Vec<Client> = (0..CLIENTS)
         .map(|i| {
@@ -155,18 +155,21 @@
 fn what_comes_behind_a_statement_in_hand_while_the_process_ends_is_answered() {
     let cluster = TestCluster::new();
     let front = cluster.start_front();
-    begin(&cluster, &front);
-    let mut client = with_a_hanging_order(&cluster, &front, 4900);
-    shutting_down(&front);
-    let shut = Instant::now();
-    wait_until(|| shut.elapsed() > Duration::from_millis(1500));
+    warm_up(&cluster, &front);
+    let mut client = client_with_a_hanging_order(&cluster, &front, 4900);
+    begin_shutdown(&front);
+    let ended = Instant::now();
+    wait_until(|| ended.elapsed() > Duration::from_millis(1500));
     // Its time is over only after the process has to be gone.
-    let said = shut.elapsed();
+    let sent_at = ended.elapsed();
     client.say(&of_session("b", "order", 4900, "behind"));
     assert_eq!(client.reply().last, b'Z', "the one in hand");
-    let (behind, told) = (client.reply(), shut.elapsed());
+    let (behind, answered_at) = (client.reply(), ended.elapsed());
     let (well, text) = front.end();
-    assert!(behind.code.is_some(), "said after {said:?}, told after {told:?}: {behind:?}\n{text}");
+    assert!(
+        behind.code.is_some(),
+        "sent after {sent_at:?}, answered after {answered_at:?}: {behind:?}\n{text}"
+    );
     assert!(well);
 }
 
@@ -174,9 +177,9 @@
 fn a_statement_with_more_time_than_the_process_has_left_is_answered_before_it_ends() {
     let cluster = TestCluster::new();
     let front = cluster.start_front();
-    begin(&cluster, &front);
-    let mut client = with_a_hanging_order(&cluster, &front, 60_000);
-    shutting_down(&front);
+    warm_up(&cluster, &front);
+    let mut client = client_with_a_hanging_order(&cluster, &front, 60_000);
+    begin_shutdown(&front);
     let reply = client.reply();
     assert_eq!(reply.code.as_deref(), Some("40003"), "{reply:?}");
     let _ = client.stream.shutdown(Shutdown::Both);
@@ -184,11 +187,11 @@
 }
 
 #[test]
-fn a_statement_that_crosses_being_asked_to_leave_is_answered_or_not_sent_on() {
+fn statement_that_crosses_an_idle_close_is_answered_or_not_sent() {
     for _ in 0..5 {
         let cluster = TestCluster::new();
-        let front = few_descriptors(&cluster);
-        begin(&cluster, &front);
+        let front = front_with_few_descriptors(&cluster);
+        warm_up(&cluster, &front);
         let mut clients: Vec<Client> = (0..CLIENTS - 5).map(|_| front.client()).collect();
         let rested = Instant::now();
         wait_until(|| rested.elapsed() > Duration::from_millis(300));
--- a/crates/front/tests/moments.rs
+++ b/crates/front/tests/moments.rs
@@ -17,13 +17,13 @@
 
 /// How a client leaves.
 #[derive(Clone, Copy, Debug)]
-enum Way {
+enum Departure {
     Closes,
     Resets,
     EndsItsSending,
 }
 
-const WAYS: [Way; 3] = [Way::Closes, Way::Resets, Way::EndsItsSending];
+const DEPARTURES: [Departure; 3] = [Departure::Closes, Departure::Resets, Departure::EndsItsSending];
 
 /// One socket of the machine's table, as one end sees it.
 struct Row {
@@ -39,7 +39,7 @@
 const CLOSE_WAIT: u8 = 8;
 const LISTEN: u8 = 10;
 
-fn table() -> Vec<Row> {
+fn socket_table() -> Vec<Row> {
     let text = std::fs::read_to_string("/proc/net/tcp").expect("the machine's sockets");
     let at = |text: &str| {
         let (ip, port) = text.split_once(':')?;
@@ -56,26 +56,26 @@
 }
 
 /// The end that the front has of a client's connection.
-fn end_of(front: &Front, client: SocketAddr) -> Option<Row> {
-    table().into_iter().find(|row| row.local == front.at && row.remote == client)
+fn front_socket_of(front: &Front, client: SocketAddr) -> Option<Row> {
+    socket_table().into_iter().find(|row| row.local == front.at && row.remote == client)
 }
 
 /// As `TestCluster::front`, with connects that may take as long as a story needs.
-fn patient(cluster: &TestCluster) -> Front {
+fn start_patient_front(cluster: &TestCluster) -> Front {
     let config = Front::config(&cluster.server_list, 1024)
         .replace("\"ConnectTimeout\":250.0", "\"ConnectTimeout\":20000.0");
     Front::with(PROGRAM, address(), cluster.agent.at, &config, None)
 }
 
 /// Leaves; what it gives back is still open where only the sending has ended.
-fn leave(client: Client, way: Way) -> Option<TcpStream> {
-    match way {
-        Way::Closes => None,
-        Way::Resets => {
+fn leave(client: Client, departure: Departure) -> Option<TcpStream> {
+    match departure {
+        Departure::Closes => None,
+        Departure::Resets => {
             SockRef::from(&client.stream).set_linger(Some(Duration::ZERO)).expect("a reset");
             None
         }
-        Way::EndsItsSending => {
+        Departure::EndsItsSending => {
             client.stream.shutdown(Shutdown::Write).expect("an end");
             Some(client.stream)
         }
@@ -83,10 +83,12 @@
 }
 
 /// Leaves, and the front has had its turn since.
-fn leave_noticed(front: &Front, client: Client, way: Way) -> Option<TcpStream> {
+fn leave_noticed(front: &Front, client: Client, departure: Departure) -> Option<TcpStream> {
     let at = client.stream.local_addr().expect("an address");
-    let kept = leave(client, way);
-    wait_until(|| end_of(front, at).is_none_or(|row| !matches!(row.state, ESTABLISHED | CLOSE_WAIT)));
+    let kept = leave(client, departure);
+    wait_until(|| {
+        front_socket_of(front, at).is_none_or(|row| !matches!(row.state, ESTABLISHED | CLOSE_WAIT))
+    });
     for _ in 0..3 {
         assert_eq!(front.client().ask("SET a = 1").last, b'Z');
     }
@@ -95,13 +97,13 @@
 
 /// An order is served: the front knows its members, and none of them has anything that a story has not seen. On a
 /// busy machine connections may come up too late for a first one.
-fn begin(cluster: &TestCluster, front: &Front) {
+fn warm_up(cluster: &TestCluster, front: &Front) {
     wait_until(|| front.client().ask(&txn("order", 20_000, "first")).value.is_some());
     cluster.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
 }
 
 /// An order of another client is served by now.
-fn next_is_served(front: &Front) {
+fn assert_next_order_is_served(front: &Front) {
     let mut other = front.client();
     wait_until(|| other.ask(&txn("order", 20_000, "next")).value.is_some());
 }
@@ -123,95 +125,97 @@
 }
 
 /// The front has taken in all that was said before.
-fn turn(front: &Front) {
+fn sync_with_front(front: &Front) {
     assert_eq!(front.client().ask("SET a = 1").last, b'Z');
 }
 
 #[test]
-fn who_leaves_while_there_is_no_writer_is_not_sent_on() {
-    for way in WAYS {
+fn request_of_a_client_that_leaves_while_there_is_no_primary_is_not_sent() {
+    for departure in DEPARTURES {
         let cluster = TestCluster::new();
         cluster.members[0].be_primary(false);
-        let front = patient(&cluster);
+        let front = start_patient_front(&cluster);
         // On a busy machine a report may be too old when it is read: then it is asked again.
         wait_until(|| front.client().ask(&txn("lookup", 20_000, "r")).value.is_some());
         let client = order(&front, "gone");
-        turn(&front);
-        let _kept = leave_noticed(&front, client, way);
+        sync_with_front(&front);
+        let _kept = leave_noticed(&front, client, departure);
         cluster.members[2].be_primary(true);
-        next_is_served(&front);
-        assert!(!was_sent(&cluster, "gone"), "{way:?}");
+        assert_next_order_is_served(&front);
+        assert!(!was_sent(&cluster, "gone"), "{departure:?}");
     }
 }
 
 #[test]
-fn who_leaves_while_there_is_no_room_is_not_sent_on() {
-    for way in WAYS {
+fn request_of_a_client_that_leaves_while_servers_are_full_is_not_sent() {
+    for departure in DEPARTURES {
         let cluster = TestCluster::new();
-        let front = patient(&cluster);
-        begin(&cluster, &front);
+        let front = start_patient_front(&cluster);
+        warm_up(&cluster, &front);
         cluster.members[0].set(Does::Hangs);
         let hang: Vec<Client> = (0..4).map(|i| order(&front, &format!("hangs{i}"))).collect();
         (0..4).for_each(|_| drop(cluster.next_txn(0)));
         let client = order(&front, "gone");
-        turn(&front);
+        sync_with_front(&front);
         assert!(cluster.received_nothing(0), "it waits for room");
-        let _kept = leave_noticed(&front, client, way);
+        let _kept = leave_noticed(&front, client, departure);
         cluster.members[0].set(Does::Serves);
         cluster.members[0].cut();
-        next_is_served(&front);
-        assert!(!was_sent(&cluster, "gone"), "{way:?}");
+        assert_next_order_is_served(&front);
+        assert!(!was_sent(&cluster, "gone"), "{departure:?}");
         drop(hang);
     }
 }
 
 /// The primary has been served by before, and a connection to it is being made: it has accepted, and says nothing.
-fn being_made(cluster: &TestCluster, front: &Front, id: &str) -> Client {
-    begin(cluster, front);
+fn order_during_handshake(cluster: &TestCluster, front: &Front, id: &str) -> Client {
+    warm_up(cluster, front);
     cluster.members[0].welcome(false);
     cluster.members[0].cut();
     // Nothing idle is left to be used.
-    wait_until(|| !table().iter().any(|row| row.remote == cluster.members[0].at && row.state == ESTABLISHED));
+    wait_until(|| {
+        !socket_table().iter().any(|row| row.remote == cluster.members[0].at && row.state == ESTABLISHED)
+    });
     let client = order(front, id);
     wait_until(|| cluster.members[0].connections() > 0);
     client
 }
 
 #[test]
-fn who_leaves_while_a_connection_is_being_made_is_not_sent_on() {
-    for way in WAYS {
+fn request_of_a_client_that_leaves_during_the_handshake_is_not_sent() {
+    for departure in DEPARTURES {
         let cluster = TestCluster::new();
-        let front = patient(&cluster);
-        let client = being_made(&cluster, &front, "gone");
-        let _kept = leave_noticed(&front, client, way);
+        let front = start_patient_front(&cluster);
+        let client = order_during_handshake(&cluster, &front, "gone");
+        let _kept = leave_noticed(&front, client, departure);
         cluster.members[0].welcome(true);
-        next_is_served(&front);
-        assert!(!was_sent(&cluster, "gone"), "{way:?}");
+        assert_next_order_is_served(&front);
+        assert!(!was_sent(&cluster, "gone"), "{departure:?}");
     }
 }
 
 #[test]
-fn who_leaves_after_an_unwritten_failure_is_not_sent_on() {
-    for way in WAYS {
+fn request_of_a_client_that_leaves_after_an_unwritten_failure_is_not_sent() {
+    for departure in DEPARTURES {
         let cluster = TestCluster::new();
-        let front = patient(&cluster);
-        let client = being_made(&cluster, &front, "gone");
+        let front = start_patient_front(&cluster);
+        let client = order_during_handshake(&cluster, &front, "gone");
         // It ends before the welcome: the txn is put back, and nobody is known as the primary.
         cluster.members.iter().for_each(|member| member.welcome(false));
         cluster.members[0].cut();
         wait_until(|| cluster.members[0].connections() > 0);
-        let _kept = leave_noticed(&front, client, way);
+        let _kept = leave_noticed(&front, client, departure);
         cluster.members.iter().for_each(|member| member.welcome(true));
-        next_is_served(&front);
-        assert!(!was_sent(&cluster, "gone"), "{way:?}");
+        assert_next_order_is_served(&front);
+        assert!(!was_sent(&cluster, "gone"), "{departure:?}");
     }
 }
 
 #[test]
-fn who_leaves_after_being_handed_to_a_connection_that_has_ended_is_not_sent_on() {
-    for way in WAYS {
+fn request_of_a_client_that_leaves_after_its_connection_ended_is_not_sent() {
+    for departure in DEPARTURES {
         let cluster = TestCluster::new();
-        let front = patient(&cluster);
+        let front = start_patient_front(&cluster);
         let mut client = front.client();
         assert!(client.ask(&txn("order", 20_000, "first")).value.is_some());
         cluster.next_txn(0);
@@ -221,25 +225,27 @@
         cluster.members[0].welcome(false);
         cluster.members[0].cut();
         client.say(&txn("order", 60_000, "gone"));
-        wait_until(|| end_of(&front, client.stream.local_addr().unwrap()).is_some_and(|row| row.unread > 0));
+        wait_until(|| {
+            front_socket_of(&front, client.stream.local_addr().unwrap()).is_some_and(|row| row.unread > 0)
+        });
         front.signal("-CONT");
         wait_until(|| cluster.members[0].connections() > 0);
-        let _kept = leave_noticed(&front, client, way);
+        let _kept = leave_noticed(&front, client, departure);
         cluster.members[0].welcome(true);
-        next_is_served(&front);
-        assert!(!was_sent(&cluster, "gone"), "{way:?}");
+        assert_next_order_is_served(&front);
+        assert!(!was_sent(&cluster, "gone"), "{departure:?}");
     }
 }
 
 /// A primary whose machine answers no connect until it is told to.
-struct Late {
+struct SlowAcceptor {
     at: SocketAddr,
     listener: TcpListener,
     fill: Vec<TcpStream>,
 }
 
-impl Late {
-    fn new() -> Late {
+impl SlowAcceptor {
+    fn new() -> SlowAcceptor {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         let at = address();
         socket.bind(&at.into()).and_then(|()| socket.listen(0)).expect("an address");
@@ -249,7 +255,7 @@
         while let Ok(more) = TcpStream::connect_timeout(&at, Duration::from_millis(300)) {
             fill.push(more);
         }
-        Late { at, listener, fill }
+        SlowAcceptor { at, listener, fill }
     }
 
     /// From now on connects come up, when they are next tried.
@@ -285,17 +291,17 @@
 }
 
 #[test]
-fn who_leaves_while_a_connection_comes_up_late_is_not_sent_on() {
-    for way in WAYS {
+fn request_of_a_client_that_leaves_during_a_slow_connect_is_not_sent() {
+    for departure in DEPARTURES {
         let cluster = TestCluster::new();
-        let front = patient(&cluster);
-        begin(&cluster, &front);
+        let front = start_patient_front(&cluster);
+        warm_up(&cluster, &front);
         // The primary is at another address from now on.
-        let late = Late::new();
-        let moved = cluster.server_list.replace(&cluster.members[0].at.to_string(), &late.at.to_string());
+        let slow = SlowAcceptor::new();
+        let moved = cluster.server_list.replace(&cluster.members[0].at.to_string(), &slow.at.to_string());
         cluster.agent.tell(moved.replace("\"version\":1", "\"version\":2"));
-        let at = late.at;
-        let coming = || table().into_iter().any(|row| row.remote == at && row.state == SYN_SENT);
+        let at = slow.at;
+        let coming = || socket_table().into_iter().any(|row| row.remote == at && row.state == SYN_SENT);
         let mut client = front.client();
         // Once the list has come in, orders go there and wait.
         let mut tries = 0;
@@ -306,37 +312,37 @@
             while !coming() && begun.elapsed() < Duration::from_millis(50) {}
             coming()
         });
-        let _kept = leave_noticed(&front, client, way);
-        let seen = late.opens();
-        next_is_served(&front);
+        let _kept = leave_noticed(&front, client, departure);
+        let seen = slow.opens();
+        assert_next_order_is_served(&front);
         let next = seen.recv_timeout(PATIENCE).expect("an order");
-        assert!(next.contains("id=next,"), "{way:?}: {next}");
+        assert!(next.contains("id=next,"), "{departure:?}: {next}");
     }
 }
 
 #[test]
-fn what_stands_behind_a_clients_own_statement_is_not_sent_on_when_it_leaves() {
-    for way in WAYS {
+fn pipelined_request_of_a_client_that_leaves_is_not_sent() {
+    for departure in DEPARTURES {
         let cluster = TestCluster::new();
-        let front = patient(&cluster);
-        begin(&cluster, &front);
+        let front = start_patient_front(&cluster);
+        warm_up(&cluster, &front);
         cluster.members[0].once(Does::Hangs);
         let mut client = order(&front, "ahead");
         client.say(&txn("order", 60_000, "gone"));
         assert!(cluster.next_txn(0).contains("id=ahead,"));
-        let _kept = leave_noticed(&front, client, way);
+        let _kept = leave_noticed(&front, client, departure);
         cluster.members[0].cut();
-        next_is_served(&front);
-        assert!(!was_sent(&cluster, "gone"), "{way:?}");
+        assert_next_order_is_served(&front);
+        assert!(!was_sent(&cluster, "gone"), "{departure:?}");
     }
 }
 
 #[test]
-fn who_sends_much_at_once_and_leaves_is_noticed_while_its_first_txn_is_out() {
-    for way in WAYS {
+fn client_that_leaves_after_sending_more_than_is_buffered_is_noticed() {
+    for departure in DEPARTURES {
         let cluster = TestCluster::new();
-        let front = patient(&cluster);
-        begin(&cluster, &front);
+        let front = start_patient_front(&cluster);
+        warm_up(&cluster, &front);
         cluster.members[0].once(Does::Hangs);
         let mut client = order(&front, "ahead");
         assert!(cluster.next_txn(0).contains("id=ahead,"));
@@ -346,47 +352,52 @@
         for _ in 0..300 {
             client.say(&long);
         }
-        let _kept = leave_noticed(&front, client, way);
+        let _kept = leave_noticed(&front, client, departure);
         front.signal("-TERM");
         let (well, text) = front.end();
-        assert!(well && !text.contains(" left=0 ") && text.contains(" guard_acts=0 "), "{way:?}: {text}");
+        assert!(
+            well && !text.contains(" left=0 ") && text.contains(" guard_acts=0 "),
+            "{departure:?}: {text}"
+        );
         cluster.members[0].cut();
-        assert!(!was_sent(&cluster, "gone"), "{way:?}");
+        assert!(!was_sent(&cluster, "gone"), "{departure:?}");
     }
 }
 
 #[test]
-fn who_leaves_while_the_front_has_no_turn_is_not_sent_on() {
-    for way in WAYS {
+fn request_of_a_client_that_leaves_while_the_front_is_stopped_is_not_sent() {
+    for departure in DEPARTURES {
         let cluster = TestCluster::new();
-        let front = patient(&cluster);
+        let front = start_patient_front(&cluster);
         let mut client = front.client();
         assert!(client.ask(&txn("order", 20_000, "first")).value.is_some());
         let at = client.stream.local_addr().expect("an address");
         front.signal("-STOP");
         wait_until(|| front.stopped());
         client.say(&txn("order", 60_000, "gone"));
-        wait_until(|| end_of(&front, at).is_some_and(|row| row.unread > 0));
-        let _kept = leave(client, way);
-        wait_until(|| end_of(&front, at).is_none_or(|row| row.state != ESTABLISHED));
+        wait_until(|| front_socket_of(&front, at).is_some_and(|row| row.unread > 0));
+        let _kept = leave(client, departure);
+        wait_until(|| front_socket_of(&front, at).is_none_or(|row| row.state != ESTABLISHED));
         front.signal("-CONT");
-        next_is_served(&front);
-        assert!(!was_sent(&cluster, "gone"), "{way:?}");
+        assert_next_order_is_served(&front);
+        assert!(!was_sent(&cluster, "gone"), "{departure:?}");
     }
 }
 
 #[test]
-fn who_leaves_while_the_front_has_no_turn_is_seen_before_the_welcome_that_lies_there() {
-    for (way, welcome_first) in WAYS.into_iter().flat_map(|way| [(way, false), (way, true)]) {
+fn end_of_a_client_is_seen_before_a_welcome_that_came_while_the_front_was_stopped() {
+    for (departure, welcome_first) in
+        DEPARTURES.into_iter().flat_map(|departure| [(departure, false), (departure, true)])
+    {
         let cluster = TestCluster::new();
-        let front = patient(&cluster);
-        let client = being_made(&cluster, &front, "gone");
+        let front = start_patient_front(&cluster);
+        let client = order_during_handshake(&cluster, &front, "gone");
         let at = client.stream.local_addr().expect("an address");
         front.signal("-STOP");
         wait_until(|| front.stopped());
         // For longer than the front takes for a turn of its own.
         let stopped = std::time::Instant::now();
-        let lies = || table().iter().any(|row| row.remote == cluster.members[0].at && row.unread > 0);
+        let lies = || socket_table().iter().any(|row| row.remote == cluster.members[0].at && row.unread > 0);
         let welcome = || {
             cluster.members[0].welcome(true);
             wait_until(lies);
@@ -397,20 +408,20 @@
             if (step == 0) == welcome_first {
                 welcome();
             } else if let Some(client) = client.take() {
-                kept = leave(client, way);
-                wait_until(|| end_of(&front, at).is_none_or(|row| row.state != ESTABLISHED));
+                kept = leave(client, departure);
+                wait_until(|| front_socket_of(&front, at).is_none_or(|row| row.state != ESTABLISHED));
             }
         }
         wait_until(|| stopped.elapsed() > Duration::from_millis(100));
         front.signal("-CONT");
-        next_is_served(&front);
-        assert!(!was_sent(&cluster, "gone"), "{way:?}, welcome first: {welcome_first}");
+        assert_next_order_is_served(&front);
+        assert!(!was_sent(&cluster, "gone"), "{departure:?}, welcome first: {welcome_first}");
         drop(kept);
     }
 }
 
 #[test]
-fn a_member_that_the_list_lets_go_is_asked_all_the_same_where_that_is_advice_only() {
+fn removed_member_is_still_probed_where_removal_is_advice() {
     let cluster = TestCluster::new();
     cluster.members[0].be_primary(false);
     let config =
@@ -432,15 +443,15 @@
         assert!(client.ask(&txn("lookup", 20_000, "r")).value.is_some());
     }
     cluster.members[0].be_primary(true);
-    next_is_served(&front);
+    assert_next_order_is_served(&front);
 }
 
 #[test]
-fn who_has_come_when_the_front_ends_is_answered_and_nobody_is_let_in_after() {
+fn client_that_connected_before_the_end_is_answered_and_later_ones_are_not_accepted() {
     for _ in 0..5 {
         let cluster = TestCluster::new();
         let front = cluster.start_front();
-        begin(&cluster, &front);
+        warm_up(&cluster, &front);
         front.signal("-TERM");
         front.signal("-STOP");
         wait_until(|| front.stopped());
@@ -465,11 +476,11 @@
 }
 
 #[test]
-fn who_came_last_has_a_while_for_its_first_txn_when_the_front_ends() {
+fn last_client_has_a_while_for_its_first_txn_when_the_front_ends() {
     let served = || {
         let cluster = TestCluster::new();
         let front = cluster.start_front();
-        begin(&cluster, &front);
+        warm_up(&cluster, &front);
         front.signal("-TERM");
         front.signal("-STOP");
         let stopped = std::time::Instant::now();
@@ -494,14 +505,14 @@
 }
 
 #[test]
-fn the_last_answer_is_not_lost_to_a_statement_that_crosses_the_end() {
+fn last_answer_is_not_lost_to_a_statement_that_crosses_the_close() {
     let cluster = TestCluster::new();
-    let front = patient(&cluster);
-    begin(&cluster, &front);
+    let front = start_patient_front(&cluster);
+    warm_up(&cluster, &front);
     let mut client = front.client();
     client.say(&txn("order", 20_000, "last"));
     let at = client.stream.local_addr().expect("an address");
-    let end = || table().into_iter().find(|row| row.local == at && row.remote == front.at);
+    let end = || socket_table().into_iter().find(|row| row.local == at && row.remote == front.at);
     wait_until(|| end().is_some_and(|row| row.unread > 0));
     let idle = |row: Row| row.unread > 0 && row.state == CLOSE_WAIT;
     front.signal("-TERM");
@@ -517,19 +528,23 @@
 }
 
 #[test]
-fn an_address_that_does_not_answer_is_tried_again_before_what_it_has_counts_as_told() {
+fn unresponsive_discovery_address_is_retried_within_the_update_limit() {
     let cluster = TestCluster::new();
     let front = cluster.start_front();
     cluster.agent.asked.recv_timeout(PATIENCE).expect("a watch");
-    let watched = || table().iter().any(|row| row.remote == cluster.agent.at && row.state == ESTABLISHED);
+    let watched =
+        || socket_table().iter().any(|row| row.remote == cluster.agent.at && row.state == ESTABLISHED);
     wait_until(watched);
-    let late = Late::new();
-    let (mut tried, at) = (BTreeSet::new(), late.at);
+    let slow = SlowAcceptor::new();
+    let (mut tried, at) = (BTreeSet::new(), slow.at);
     front.reconfigure(&format!("{{\"discovery\":\"{at}\"}}"));
     // The watch in hand is silent from now on: the front ends it before the 6 s are over.
     while watched() {
         tried.extend(
-            table().iter().filter(|row| row.remote == at && row.state == SYN_SENT).map(|row| row.local),
+            socket_table()
+                .iter()
+                .filter(|row| row.remote == at && row.state == SYN_SENT)
+                .map(|row| row.local),
         );
         std::thread::sleep(Duration::from_millis(5));
     }
@@ -537,7 +552,7 @@
 }
 
 #[test]
-fn connections_that_came_and_went_leave_no_stacks_behind() {
+fn closed_connections_leave_no_stacks_behind() {
     let cluster = TestCluster::new();
     let front = cluster.start_front();
     for i in 0..300 {
@@ -552,7 +567,7 @@
 }
 
 #[test]
-fn who_sends_without_a_pause_keeps_no_other_from_its_turn() {
+fn client_that_sends_without_pause_does_not_starve_others() {
     let cluster = TestCluster::new();
     let front = cluster.start_front();
     assert!(front.client().ask(&txn("lookup", 20_000, "r")).value.is_some());
@@ -574,10 +589,10 @@
 }
 
 #[test]
-fn an_answer_without_an_end_keeps_no_other_from_its_turn_and_ends_with_its_time() {
+fn endless_answer_does_not_starve_others() {
     let cluster = TestCluster::new();
     let front = cluster.start_front();
-    begin(&cluster, &front);
+    warm_up(&cluster, &front);
     // A stand-in in place of a replica, which has a great deal to say and never comes to its end.
     let listener = TcpListener::bind(address()).expect("a free address");
     let talks = cluster
@@ -637,7 +652,7 @@
 }
 
 /// As `TestCluster::front`, where members may not be probed.
-fn unasked(cluster: &TestCluster, more: impl Fn(String) -> String) -> Front {
+fn start_front_without_probes(cluster: &TestCluster, more: impl Fn(String) -> String) -> Front {
     let config = Front::config(&cluster.server_list, 1024).replace("\"MayProbe\":true", "\"MayProbe\":false");
     Front::with(PROGRAM, address(), cluster.agent.at, &more(config), None)
 }
@@ -648,11 +663,11 @@
 }
 
 #[test]
-fn where_nothing_may_be_asked_a_write_finds_its_primary_and_finds_it_again() {
+fn without_probes_a_write_finds_the_primary_and_a_new_one() {
     let cluster = TestCluster::new();
     cluster.members[0].be_primary(false);
     cluster.members[2].be_primary(true);
-    let front = unasked(&cluster, |config| config);
+    let front = start_front_without_probes(&cluster, |config| config);
     let mut client = front.client();
     assert!(client.ask(&txn("order", 20_000, "first")).value.is_some());
     let sent: Vec<usize> = (0..3).map(|member| orders(&cluster, member)).collect();
@@ -673,10 +688,10 @@
 }
 
 #[test]
-fn where_nothing_may_be_asked_and_there_is_no_primary_a_write_is_declined_and_tried_sparingly() {
+fn without_probes_and_primary_a_write_is_declined_after_few_tries() {
     let cluster = TestCluster::new();
     cluster.members[0].be_primary(false);
-    let front = unasked(&cluster, |config| config);
+    let front = start_front_without_probes(&cluster, |config| config);
     let mut client = front.client();
     let reply = client.ask(&txn("order", 2_000, "none"));
     assert_eq!(reply.code.as_deref(), Some("53300"), "it never ran: {reply:?}");
@@ -684,31 +699,31 @@
     let sent: usize = (0..3).map(|member| orders(&cluster, member)).sum();
     assert!((3..=12).contains(&sent), "{sent}");
     cluster.members[1].be_primary(true);
-    next_is_served(&front);
+    assert_next_order_is_served(&front);
 }
 
 #[test]
-fn who_leaves_while_its_write_looks_for_a_primary_is_not_sent_on() {
-    for way in WAYS {
+fn write_of_a_client_that_leaves_while_it_searches_the_primary_is_not_sent() {
+    for departure in DEPARTURES {
         let cluster = TestCluster::new();
         cluster.members[0].be_primary(false);
-        let front = unasked(&cluster, |config| config);
+        let front = start_front_without_probes(&cluster, |config| config);
         let client = order(&front, "gone");
         // All have turned it away.
         wait_until(|| was_sent_to(&cluster, 0, "gone"));
-        turn(&front);
-        let _kept = leave_noticed(&front, client, way);
+        sync_with_front(&front);
+        let _kept = leave_noticed(&front, client, departure);
         cluster.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
         cluster.members[2].be_primary(true);
-        next_is_served(&front);
-        assert!(!was_sent(&cluster, "gone"), "{way:?}");
+        assert_next_order_is_served(&front);
+        assert!(!was_sent(&cluster, "gone"), "{departure:?}");
     }
 }
 
 #[test]
-fn a_repeat_whose_commit_is_older_than_the_front_binds_the_reads_of_its_session() {
+fn retried_write_committed_before_the_front_started_binds_its_sessions_reads() {
     let cluster = TestCluster::new();
-    let front = unasked(&cluster, |config| {
+    let front = start_front_without_probes(&cluster, |config| {
         config
             .replace("\"SessionMarks\":\"client\"", "\"SessionMarks\":\"router\"")
             .replace("[\"recent\",\"update\",", "[\"own_writes\",\"update\",")
@@ -727,12 +742,12 @@
 }
 
 #[test]
-fn a_load_that_cannot_be_read_takes_nothing_from_its_answer() {
+fn unreadable_load_report_does_not_spoil_its_answer() {
     let loads: [&[u8]; 6] =
         [b"x0=soon,x1=1", b"util=,x0", b"=,=,=", b"x0=99999999999.0,x1=0", b"util=1e999", b"\xff\xfe"];
     for load in loads {
         let cluster = TestCluster::new();
-        let front = unasked(&cluster, |config| config);
+        let front = start_front_without_probes(&cluster, |config| config);
         let told = [&b"server_load\0"[..], load, &[0]].concat();
         cluster.members[0].set(Does::Says([row(b"whole"), message(b'S', &told)].concat()));
         let mut client = front.client();
@@ -748,13 +763,13 @@
 
 /// An agent of which a story says what each watch is answered with, in turn; the last answer goes for all that follow.
 /// A watch stays open, and says nothing more.
-struct Scripted {
+struct ScriptedAgent {
     at: SocketAddr,
     asked: Receiver<String>,
 }
 
-impl Scripted {
-    fn start(answers: Vec<String>) -> Scripted {
+impl ScriptedAgent {
+    fn start(answers: Vec<String>) -> ScriptedAgent {
         let listener = TcpListener::bind(address()).expect("a free address");
         let (at, (tell, asked)) = (listener.local_addr().expect("an address"), channel());
         std::thread::spawn(move || {
@@ -768,25 +783,25 @@
                 open.push(stream);
             }
         });
-        Scripted { at, asked }
+        ScriptedAgent { at, asked }
     }
 }
 
 /// The head of an answer and one list in one piece.
-fn told(list: &str) -> String {
+fn watch_response(list: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{list}\n\r\n", list.len() + 1)
 }
 
 #[test]
-fn a_watch_that_is_opened_anew_and_says_nothing_is_not_waited_for_as_long_as_one_that_has_spoken() {
+fn reopened_watch_without_a_list_is_replaced_sooner_than_one_that_sent_a_list() {
     let cluster = TestCluster::new();
     let drains = TestCluster::list(&cluster.members, 9, ["up", "draining", "draining"]);
-    let cut = told(&drains);
+    let cut = watch_response(&drains);
     // The first falls silent. The next has nothing to say, or only the beginning of a list.
     for next in [String::new(), cut[..cut.len() / 2].to_owned()] {
-        let agent = Scripted::start(vec![told(&cluster.server_list), next, cut.clone()]);
+        let agent = ScriptedAgent::start(vec![watch_response(&cluster.server_list), next, cut.clone()]);
         let front = Front::start(PROGRAM, agent.at, &cluster.server_list, 1024);
-        begin(&cluster, &front);
+        warm_up(&cluster, &front);
         let mut client = front.client();
         agent.asked.recv_timeout(PATIENCE).expect("a watch");
         let silent = std::time::Instant::now();
@@ -807,14 +822,14 @@
 }
 
 #[test]
-fn of_two_new_addresses_the_last_counts_and_the_watch_in_hand_does_until_then() {
+fn last_of_two_new_discovery_addresses_counts_and_the_old_watch_until_then() {
     let cluster = TestCluster::new();
     let front = cluster.start_front();
     let mut client = front.client();
     assert!(client.ask(&txn("lookup", 20_000, "r")).value.is_some());
     cluster.agent.asked.recv_timeout(PATIENCE).expect("a watch");
     // The first new address takes the watch and says nothing; the second comes while it is waited for.
-    let (mute, last) = (Scripted::start(vec![String::new()]), Scripted::start(vec![String::new()]));
+    let (mute, last) = (ScriptedAgent::start(vec![String::new()]), ScriptedAgent::start(vec![String::new()]));
     front.reconfigure(&format!("{{\"discovery\":\"{}\"}}", mute.at));
     mute.asked.recv_timeout(PATIENCE).expect("a watch");
     front.reconfigure(&format!("{{\"discovery\":\"{}\"}}", last.at));
@@ -832,14 +847,14 @@
 }
 
 /// How much of a process is in memory, in KB.
-fn resident(front: &Front) -> u64 {
+fn resident_kb(front: &Front) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", front.id())).expect("its memory");
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("a line");
     line.trim().trim_end_matches(" kB").parse().expect("a number")
 }
 
 /// Ten of each kind of bad client, a good one among them. All are gone at its end.
-fn bad_clients(front: &Front, round: usize) {
+fn run_misbehaving_clients(front: &Front, round: usize) {
     let raw = |bytes: &[u8]| {
         let mut stream = TcpStream::connect(front.at).expect("a connection");
         stream.set_read_timeout(Some(PATIENCE)).expect("a time");
@@ -875,22 +890,22 @@
 }
 
 #[test]
-fn bad_clients_leave_no_descriptor_no_seat_and_no_memory_behind() {
+fn misbehaving_clients_leave_no_descriptor_slot_or_memory_behind() {
     let cluster = TestCluster::new();
     let front = cluster.start_front();
     // What the machine keeps of connections that have ended is not the front's.
     let ended = |row: &Row| matches!(row.state, TIME_WAIT | LISTEN);
-    let clients = || table().iter().filter(|row| row.local == front.at && !ended(row)).count();
-    bad_clients(&front, 0);
+    let clients = || socket_table().iter().filter(|row| row.local == front.at && !ended(row)).count();
+    run_misbehaving_clients(&front, 0);
     wait_until(|| clients() == 0);
-    let (held, memory) = (front.descriptors(), resident(&front));
+    let (descriptors_before, memory) = (front.descriptors(), resident_kb(&front));
     for round in 1..6 {
-        bad_clients(&front, round);
+        run_misbehaving_clients(&front, round);
     }
     wait_until(|| clients() == 0);
     // Connections to members may be one more or less.
-    wait_until(|| front.descriptors() <= held + 3);
-    let grown = resident(&front).saturating_sub(memory);
+    wait_until(|| front.descriptors() <= descriptors_before + 3);
+    let grown = resident_kb(&front).saturating_sub(memory);
     assert!(grown < 4 << 10, "{grown} KB more than {memory}");
     assert!(front.client().ask(&txn("order", 20_000, "after")).value.is_some());
     front.signal("-TERM");
@@ -899,14 +914,14 @@
 }
 
 #[test]
-fn a_read_that_comes_while_its_sessions_write_is_out_sees_what_that_may_have_committed() {
+fn read_during_its_sessions_write_sees_what_that_may_have_committed() {
     let cluster = TestCluster::new();
     let marks = |config: String| {
         config
             .replace("\"SessionMarks\":\"client\"", "\"SessionMarks\":\"router\"")
             .replace("[\"recent\",\"update\",", "[\"own_writes\",\"update\",")
     };
-    let front = unasked(&cluster, marks);
+    let front = start_front_without_probes(&cluster, marks);
     let other = |id: &str| txn("order", 2_000, id).replace("'7f3a'", "'8a41'");
     wait_until(|| front.client().ask(&other("first")).value.is_some() && was_sent_to(&cluster, 0, "first"));
     // The primary has it, may have committed it, and the answer does not come.
--- a/crates/front/tests/pipeline.rs
+++ b/crates/front/tests/pipeline.rs
@@ -10,7 +10,7 @@
 
 /// What one connection may have in hand, in bytes, as `docs/front.md` says: statements, and a part beside each.
 const MAX_IN_HAND: usize = 272 << 10;
-const BESIDE_EACH: usize = 512;
+const OVERHEAD_OF_EACH: usize = 512;
 
 /// A txn of a session of its own.
 fn of_session(session: &str, kind: &str, ms: u32, id: &str) -> String {
@@ -18,7 +18,7 @@
 }
 
 /// A front that knows its primary and its replicas, and a client whose first order hangs at the primary.
-fn behind_a_hanging_order(cluster: &TestCluster, front: &Front) -> Client {
+fn client_with_a_hanging_order(cluster: &TestCluster, front: &Front) -> Client {
     wait_until(|| front.client().ask(&of_session("0", "order", 20_000, "first")).value.is_some());
     wait_until(|| front.client().ask(&of_session("0", "lookup", 20_000, "first")).value.is_some());
     cluster.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
@@ -35,19 +35,19 @@
     seen.filter(|text| text.contains(&id)).count() > 0
 }
 
-fn unknown(reply: &Reply) -> bool {
+fn is_unknown(reply: &Reply) -> bool {
     reply.code.as_deref() == Some("40003")
 }
 
-fn declined(reply: &Reply) -> bool {
+fn is_declined(reply: &Reply) -> bool {
     reply.code.as_deref() == Some("53300")
 }
 
 #[test]
-fn a_slow_statement_keeps_none_behind_it_from_being_worked_on() {
+fn statements_behind_a_slow_one_are_worked_on() {
     let cluster = TestCluster::new();
     let front = cluster.start_front();
-    let mut client = behind_a_hanging_order(&cluster, &front);
+    let mut client = client_with_a_hanging_order(&cluster, &front);
     for id in ["b", "c", "d"] {
         client.say(&of_session(id, "order", 60_000, id));
     }
@@ -58,7 +58,7 @@
         assert!(text.contains(&format!("id={id},")), "while the first is out: {text}");
     }
     cluster.members[0].end_hanging();
-    assert!(unknown(&client.reply()));
+    assert!(is_unknown(&client.reply()));
     for id in ["b", "c", "d"] {
         let reply = client.reply();
         let value = String::from_utf8(reply.value.expect("a row")).expect("its statement");
@@ -68,10 +68,10 @@
 }
 
 #[test]
-fn time_runs_from_the_arrival_of_a_statement_also_behind_a_slow_one() {
+fn deadline_runs_from_the_arrival_of_a_statement_behind_a_slow_one() {
     let cluster = TestCluster::new();
     let front = cluster.start_front();
-    let mut client = behind_a_hanging_order(&cluster, &front);
+    let mut client = client_with_a_hanging_order(&cluster, &front);
     // One waits for the write before it in its session, one is out as well.
     cluster.members[0].once(Does::Hangs);
     client.say(&of_session("a", "order", 300, "waits"));
@@ -80,11 +80,11 @@
     // Their time has passed once a statement that came later, and had as much, has been answered.
     let mut other = front.client();
     cluster.members[0].once(Does::Hangs);
-    assert!(unknown(&other.ask(&of_session("c", "order", 320, "later"))));
+    assert!(is_unknown(&other.ask(&of_session("c", "order", 320, "later"))));
     cluster.members[0].cut();
-    assert!(unknown(&client.reply()), "the first may have run");
-    assert!(declined(&client.reply()), "its time was over before it could begin");
-    assert!(unknown(&client.reply()), "its time was over while it was out");
+    assert!(is_unknown(&client.reply()), "the first may have run");
+    assert!(is_declined(&client.reply()), "its time was over before it could begin");
+    assert!(is_unknown(&client.reply()), "its time was over while it was out");
     assert!(!sent_anywhere(&cluster, "waits"));
 }
 
@@ -93,7 +93,7 @@
     let cluster = TestCluster::new();
     let config = Front::config(&cluster.server_list, 1024).replace("[\"recent\",", "[\"own_writes\",");
     let front = Front::with(PROGRAM, address(), cluster.agent.at, &config, None);
-    let mut client = behind_a_hanging_order(&cluster, &front);
+    let mut client = client_with_a_hanging_order(&cluster, &front);
     // Replicas that are told nothing of it must not serve this one; another session's they may.
     client.say(&of_session("a", "lookup", 60_000, "own"));
     client.say(&of_session("b", "lookup", 60_000, "other"));
@@ -106,24 +106,24 @@
     // Replicas stay where they are from now on.
     cluster.members[1..].iter().for_each(Member::stand_still);
     cluster.members[0].cut();
-    assert!(unknown(&client.reply()));
+    assert!(is_unknown(&client.reply()));
     assert!(client.reply().value.is_some() && client.reply().value.is_some());
     let at_replicas = |member: &Member| member.seen.try_iter().any(|text| text.contains("id=own,"));
     assert!(!cluster.members[1..].iter().any(at_replicas), "they can't have what it wrote");
 }
 
 #[test]
-fn what_is_sent_beyond_the_limit_is_refused_in_its_turn_and_the_connection_goes_on() {
+fn statements_beyond_the_limit_are_refused_in_order_and_the_connection_goes_on() {
     let cluster = TestCluster::new();
     let front = cluster.start_front();
-    let mut client = behind_a_hanging_order(&cluster, &front);
+    let mut client = client_with_a_hanging_order(&cluster, &front);
     // All of one session: they wait for the write before them.
     let statement = |i: usize| {
         let long = format!("\\x{}", "9f".repeat(4 << 10));
         of_session("a", "lookup", 60_000, &format!("n{i:03}")) + &format!(" AND blob <> '{long}'")
     };
-    let ahead = of_session("a", "order", 60_000, "ahead").len() + BESIDE_EACH;
-    let fit = (MAX_IN_HAND - ahead) / (statement(0).len() + BESIDE_EACH);
+    let ahead = of_session("a", "order", 60_000, "ahead").len() + OVERHEAD_OF_EACH;
+    let fit = (MAX_IN_HAND - ahead) / (statement(0).len() + OVERHEAD_OF_EACH);
     for i in 0..100 {
         client.say(&statement(i));
     }
@@ -131,10 +131,10 @@
     // All of it has been read: another client's turn comes after.
     (0..3).for_each(|_| assert_eq!(front.client().ask("SET a = 1").last, b'Z'));
     cluster.members[0].end_hanging();
-    assert!(unknown(&client.reply()));
+    assert!(is_unknown(&client.reply()));
     for i in 0..100 {
         let reply = client.reply();
-        assert_eq!((reply.value.is_some(), declined(&reply)), (i < fit, i >= fit), "{i}: {reply:?}");
+        assert_eq!((reply.value.is_some(), is_declined(&reply)), (i < fit, i >= fit), "{i}: {reply:?}");
     }
     assert!(client.ask(&of_session("a", "order", 20_000, "after")).value.is_some());
     let seen: Vec<String> = cluster.members.iter().flat_map(|member| member.seen.try_iter()).collect();
@@ -142,10 +142,10 @@
 }
 
 #[test]
-fn when_the_client_leaves_none_of_them_is_sent_again_and_none_begins() {
+fn when_the_client_leaves_no_statement_is_resent_or_started() {
     let cluster = TestCluster::new();
     let front = cluster.start_front();
-    let mut client = behind_a_hanging_order(&cluster, &front);
+    let mut client = client_with_a_hanging_order(&cluster, &front);
     cluster.members.iter().for_each(|member| member.set(Does::Hangs));
     for id in ["b", "c", "d"] {
         client.say(&of_session(id, "lookup", 60_000, id));
@@ -171,10 +171,10 @@
 }
 
 #[test]
-fn a_client_is_seen_to_leave_whatever_it_has_sent_before() {
+fn client_that_leaves_is_noticed_whatever_it_has_sent() {
     let cluster = TestCluster::new();
     let front = cluster.start_front();
-    let mut client = behind_a_hanging_order(&cluster, &front);
+    let mut client = client_with_a_hanging_order(&cluster, &front);
     // Far more than the front keeps of it and the machine's buffers hold: it is read all the same.
     let long = of_session("a", "order", 60_000, "behind")
         .replace("\\x9f03", &format!("\\x{}", "9f".repeat(60 << 10)));
@@ -191,11 +191,11 @@
 }
 
 #[test]
-fn statements_in_pieces_behind_others_count_from_their_last_byte() {
+fn deadline_of_a_statement_in_pieces_runs_from_its_last_byte() {
     use std::io::Write;
     let cluster = TestCluster::new();
     let front = cluster.start_front();
-    let mut client = behind_a_hanging_order(&cluster, &front);
+    let mut client = client_with_a_hanging_order(&cluster, &front);
     let slow = message(b'Q', format!("{}\0", of_session("b", "order", 1000, "slow")).as_bytes());
     let (head, tail) = slow.split_at(slow.len() - 1);
     client.stream.write_all(head).expect("a part");
@@ -203,5 +203,5 @@
     client.stream.write_all(tail).expect("the rest");
     assert!(cluster.next_txn(0).contains("id=slow,"), "its time has just begun");
     cluster.members[0].end_hanging();
-    assert!(unknown(&client.reply()) && client.reply().value.is_some());
+    assert!(is_unknown(&client.reply()) && client.reply().value.is_some());
 }
--- a/crates/front/tests/sockets.rs
+++ b/crates/front/tests/sockets.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_write_turned_away_untouched_goes_to_the_next_primary() {
+fn refused_write_goes_to_the_next_primary() {
     let cluster = TestCluster::new();
     let front = cluster.start_front();
     let mut client = front.client();
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn what_may_have_run_goes_again_only_where_its_type_allows() {
+fn request_that_may_have_run_is_retried_only_if_its_type_allows() {
     let cluster = TestCluster::new();
     let front = cluster.start_front();
     let mut client = front.client();
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn nonsense_from_a_member_never_reaches_a_client() {
+fn invalid_answers_of_a_member_never_reach_a_client() {
     let cluster = TestCluster::new();
     let front = cluster.start_front();
     let mut client = front.client();
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_drained_member_gets_nothing_new() {
+fn draining_member_gets_no_new_requests() {
     let cluster = TestCluster::new();
     let front = cluster.start_front();
     let mut client = front.client();
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_drain_is_seen_by_what_waits_for_a_connection() {
+fn drain_stops_a_request_that_waits_for_a_connection() {
     let cluster = TestCluster::new();
     cluster.members.iter().for_each(|m| m.welcome(false));
     // The only primary is asked for by a probe and then for the write; neither gets its connection yet.
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_member_that_never_welcomes_costs_one_connect() {
+fn reads_are_served_while_a_member_never_completes_its_handshake() {
     let cluster = TestCluster::new();
     let front = cluster.start_front();
     let mut client = front.client();
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn a_list_that_is_no_list_leaves_the_one_in_hand() {
+fn invalid_list_leaves_the_current_one_in_force() {
     for head in
         ["HTTP/1.1 500 no\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", WATCH]
     {
@@ -337,7 +337,7 @@
 }
 
 #[test]
-fn members_come_and_go_and_nothing_of_them_is_kept() {
+fn removed_members_leave_no_descriptors_or_actors_behind() {
     let cluster = TestCluster::new();
     let front = cluster.start_front();
     let mut client = front.client();
@@ -360,7 +360,7 @@
 }
 
 #[test]
-fn sigterm_answers_all_that_was_taken() {
+fn sigterm_answers_all_requests_in_hand() {
     let cluster = TestCluster::new();
     let front = cluster.start_front();
     let mut idle = front.client();
@@ -378,7 +378,7 @@
 }
 
 #[test]
-fn what_came_in_while_the_front_stood_still_has_less_time_left() {
+fn request_that_came_while_the_front_was_stopped_has_less_time_left() {
     let cluster = TestCluster::new();
     let front = cluster.start_front();
     let mut client = front.client();
@@ -397,7 +397,7 @@
 }
 
 #[test]
-fn a_killed_front_comes_back_from_nothing() {
+fn killed_front_serves_after_a_restart() {
     let cluster = TestCluster::new();
     let front = cluster.start_front();
     let mut client = front.client();
@@ -414,7 +414,7 @@
 }
 
 #[test]
-fn when_descriptors_are_used_up_idle_clients_leave_first() {
+fn idle_clients_are_closed_first_when_descriptors_run_out() {
     let cluster = TestCluster::new();
     let front = Front::start(PROGRAM, cluster.agent.at, &cluster.server_list, 52);
     let mut clients: Vec<_> = (0..60).map(|_| front.client()).collect();
@@ -457,7 +457,7 @@
 }
 
 #[test]
-fn a_wrong_configuration_is_named() {
+fn wrong_configuration_is_reported() {
     let run = |config: &str| {
         let out = Command::new(env!("CARGO_BIN_EXE_juniperdock")).env("GW_CONFIG", config).output().unwrap();
         assert!(!out.status.success());
--- a/crates/front/tests/unit/member.rs
+++ b/crates/front/tests/unit/member.rs
@@ -4,7 +4,7 @@
 use juniperdock_request_guard::{ClientPresence, RequestGuard};
 
 fn context(dispatcher: Sender<DispatcherMessage>) -> PoolContext {
-    let (clock, _ring) = Clock::start(Duration::ZERO).expect("a clock");
+    let (clock, _run_timers) = Clock::start(Duration::ZERO).expect("a clock");
     let second = Duration::from_secs(1);
     PoolContext {
         clock,
@@ -42,9 +42,10 @@
 }
 
 #[test]
-fn mail_behind_the_word_to_leave_is_not_lost() {
-    let ((sender, receiver), (desk, reported)) = (channel(), channel());
-    let member = MemberPool::new(3, SocketAddr::from(([127, 0, 0, 1], 1)), sender.clone(), context(desk));
+fn messages_behind_a_removal_are_handled() {
+    let ((sender, receiver), (dispatcher, reported)) = (channel(), channel());
+    let member =
+        MemberPool::new(3, SocketAddr::from(([127, 0, 0, 1], 1)), sender.clone(), context(dispatcher));
     // All in one go: the list lets it go, and the router asks it all the same. There is no room for a connection.
     let _ = sender.send(MemberMessage::Removed);
     let _ = sender.send(MemberMessage::Job(Job::Probe { at: Duration::ZERO }));
@@ -56,9 +57,9 @@
 }
 
 #[test]
-fn nothing_is_connected_for_what_is_not_to_be_written_any_more() {
-    let ((sender, _receiver), (desk, reported)) = (channel(), channel());
-    let mut context = context(desk);
+fn no_connection_is_opened_for_an_expired_permit() {
+    let ((sender, _receiver), (dispatcher, reported)) = (channel(), channel());
+    let mut context = context(dispatcher);
     context.max_connections = 9;
     let mut member = MemberPool::new(3, SocketAddr::from(([127, 0, 0, 1], 1)), sender, context);
     member.handle(MemberMessage::Job(submit(Duration::ZERO)));
@@ -68,8 +69,8 @@
 }
 
 #[test]
-fn a_look_for_a_cancel_takes_no_other_mail_away() {
-    let ((pool, _pool), (desk, _desk), (sender, receiver)) = (channel(), channel(), channel());
+fn cancel_check_keeps_other_messages() {
+    let ((pool, _pool), (dispatcher, _dispatcher), (sender, receiver)) = (channel(), channel(), channel());
     let (deferred, timer_set_for) = (RefCell::default(), Cell::default());
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     let connection = ServerConnection {
@@ -77,7 +78,7 @@
         member: 3,
         address,
         pool,
-        context: context(desk),
+        context: context(dispatcher),
         messages: receiver,
         deferred,
         timer_set_for,
@@ -97,7 +98,7 @@
 }
 
 #[test]
-fn a_report_not_made_yet_tells_no_role() {
+fn report_of_a_member_that_made_none_has_no_role() {
     let origin = Origin { start: 1_796_135_196_000_000, zero: 0 };
     let reported = |text| report(text, &origin).expect("a report");
     let none = reported("x0=0.000,x1=0,q=0,busy=0");
@@ -110,9 +111,9 @@
 
 /// Carries one job over a connection of its own, as its coroutine does; gives what the dispatcher is told.
 fn carry(address: SocketAddr, messages: Receiver<ConnectionMessage>) -> Vec<DispatcherMessage> {
-    let ((pool, _pool), (desk, reported)) = (channel(), channel());
+    let ((pool, _pool), (dispatcher, reported)) = (channel(), channel());
     let (ended, end) = std::sync::mpsc::channel();
-    let context = context(desk);
+    let context = context(dispatcher);
     spawn("line", context.stack_bytes, move || {
         let (deferred, timer_set_for) = (RefCell::default(), Cell::default());
         let connection =
@@ -130,12 +131,12 @@
 }
 
 #[test]
-fn what_is_called_off_while_its_connection_comes_up_is_not_written() {
-    let door = std::net::TcpListener::bind("127.0.0.1:0").expect("a free address");
-    let address = door.local_addr().expect("an address");
+fn request_cancelled_during_the_handshake_is_not_written() {
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free address");
+    let address = listener.local_addr().expect("an address");
     let (sender, receiver) = channel();
     let seen = std::thread::spawn(move || {
-        let (mut stream, _) = door.accept().expect("a connection");
+        let (mut stream, _) = listener.accept().expect("a connection");
         let mut all = vec![0; pg::startup("api", "ledger").len()];
         std::io::Read::read_exact(&mut stream, &mut all).expect("an opening");
         // Nobody rings: the cancel lies in the mail when the welcome comes.
@@ -152,12 +153,12 @@
 }
 
 #[test]
-fn nothing_is_connected_for_what_is_called_off_before() {
-    let door = std::net::TcpListener::bind("127.0.0.1:0").expect("a free address");
-    let address = door.local_addr().expect("an address");
+fn no_connection_is_opened_for_a_request_cancelled_before() {
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free address");
+    let address = listener.local_addr().expect("an address");
     let (sender, receiver) = channel();
     let _ = sender.send(ConnectionMessage::Cancel(7));
     assert!(carry(address, receiver).iter().any(is_moot), "it never ran");
-    door.set_nonblocking(true).expect("a socket");
-    assert!(door.accept().is_err(), "no handshake for nobody");
+    listener.set_nonblocking(true).expect("a socket");
+    assert!(listener.accept().is_err(), "no handshake for nobody");
 }
--- a/crates/front/tests/unit/worker_watchdog.rs
+++ b/crates/front/tests/unit/worker_watchdog.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn an_account_is_read_as_the_kernel_writes_it() {
+fn account_is_parsed_as_the_kernel_writes_it() {
     let account = ThreadAccount { ran: Duration::from_nanos(1_234), waited: Duration::from_nanos(56) };
     assert_eq!(ThreadAccount::parse("1234 56 7\n"), Some(account));
     assert_eq!(ThreadAccount::parse("1234"), None);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn details_are_read_whatever_the_thread_is_called() {
+fn details_are_parsed_whatever_the_thread_is_called() {
     let text = "42 (a) b) R 1 2 3 4 5 6 70 8 9 10 11 12 0 0 20 0\n";
     let details = ThreadDetails { user: ms(110), system: ms(120), minor_faults: 70, major_faults: 9 };
     assert_eq!(ThreadDetails::parse(text), Some(details));
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn beats_of_one_delay_count_once() {
+fn ticks_of_one_delay_count_once() {
     let mut watchdog = WorkerWatchdog::new(true);
     assert_eq!(watchdog.tick(ms(20), ms(21)), None);
     assert_eq!(watchdog.tick(ms(40), ms(150)).map(|delay| delay.queued_for), Some(ms(110)));
--- a/crates/front/tests/worker.rs
+++ b/crates/front/tests/worker.rs
@@ -7,34 +7,34 @@
 use std::thread::{ThreadId, current};
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(20);
-const STACK: usize = 64 << 10;
+const MAX_WAIT: Duration = Duration::from_secs(20);
+const STACK_BYTES: usize = 64 << 10;
 
 /// The thread that runs coroutines.
 fn worker() -> ThreadId {
-    let (tell, told) = channel();
-    spawn("who", STACK, move || {
-        let _ = tell.send(current().id());
+    let (sender, receiver) = channel();
+    spawn("who", STACK_BYTES, move || {
+        let _ = sender.send(current().id());
     })
     .expect("a coroutine");
-    told.recv_timeout(PATIENCE).expect("it runs")
+    receiver.recv_timeout(MAX_WAIT).expect("it runs")
 }
 
 #[test]
-fn alarms_ring_on_the_worker() {
+fn timers_fire_on_the_worker() {
     may::config().set_workers(1);
-    let (clock, ring) = Clock::start(Duration::ZERO).expect("a clock");
-    spawn("clock", STACK, ring).expect("a coroutine");
+    let (clock, run_timers) = Clock::start(Duration::ZERO).expect("a clock");
+    spawn("clock", STACK_BYTES, run_timers).expect("a coroutine");
     let worker = worker();
-    let (tell, told) = channel();
+    let (sender, receiver) = channel();
     for ms in [0, 1, 5, 30, 60] {
-        let tell = tell.clone();
+        let sender = sender.clone();
         clock.run_at(clock.now() + Duration::from_millis(ms), move || {
-            let _ = tell.send(current().id());
+            let _ = sender.send(current().id());
         });
     }
     for _ in 0..5 {
-        let ringing = told.recv_timeout(PATIENCE).expect("it rings");
-        assert!(ringing == worker, "another thread than the worker's wakes who waits for an alarm");
+        let callback_thread = receiver.recv_timeout(MAX_WAIT).expect("it rings");
+        assert!(callback_thread == worker, "another thread than the worker's wakes who waits for an alarm");
     }
 }
