--- a/crates/front/tests/clocks.rs
+++ b/crates/front/tests/clock_skew.rs
@@ -1,5 +1,5 @@
-//! The wall clock of a process is off when it starts, by seconds or an hour: it serves all the same, and reads nothing
-//! that is older than allowed.
+//! The wall clock of a process is off by seconds or an hour when it starts: it still serves, and reads nothing that
+//! is older than allowed.
 
 use cluster::{PROGRAM, TestCluster, wait_until};
 use juniperdock_connection::spawn;
@@ -12,7 +12,7 @@
 
 mod cluster;
 
-/// A front whose wall clock is off by so much, for as long as it runs.
+/// A front whose wall clock is off by this much for as long as it runs.
 fn front_with_clock_off(cluster: &TestCluster, name: &str, off_ms: i64) -> Front {
     front_with_clock_off_and(cluster, name, off_ms, None)
 }
@@ -28,7 +28,7 @@
     front
 }
 
-/// So many reads in a row are served.
+/// How many of this many reads in a row are served.
 fn reads_served(front: &Front, times: usize) -> usize {
     let mut client = front.client();
     (0..times).filter(|i| client.ask(&txn("lookup", 3000, &format!("r{i}"))).value.is_some()).count()
@@ -46,7 +46,7 @@
     }
 }
 
-/// What waits for a server while the process finds out that its clock is behind goes on waiting, and is served.
+/// Requests that wait for a server while the process finds out that its clock is behind keep waiting, and are served.
 #[test]
 fn requests_that_wait_during_a_clock_correction_are_served() {
     for (name, off_ms) in [("h", -3_600_000), ("i", -10_000), ("j", -1000)] {
@@ -66,7 +66,7 @@
     }
 }
 
-/// What a process knew is as old as it is for the next one, whatever was done to the wall clock in between.
+/// The age of a snapshot is determined correctly by the next process, whatever was done to the wall clock in between.
 #[test]
 fn snapshot_is_restored_whatever_the_wall_clock_says() {
     let cluster = TestCluster::new();
@@ -97,7 +97,7 @@
         wait_until(|| front.client().ask(&txn("order", 3000, "w")).value.is_some());
         cluster.members[1].stand_still();
         cluster.members[2].stand_still();
-        // The bound is 300 ms; what the replicas have is older by then.
+        // The bound is 300 ms; the replicas' data is older by then.
         let stood = Instant::now();
         wait_until(|| stood.elapsed() > Duration::from_millis(700));
         cluster.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
@@ -119,7 +119,7 @@
     assert!(front.client().ask(&txn("order", 3000, "w2")).value.is_some());
 }
 
-/// What two primaries say that are ahead of this process by so much.
+/// The verdict on the positions of two primaries that are ahead of this process by this much.
 fn ahead_by(clock: &Clock, by: Duration) -> Verdict {
     let sample = |server| {
         let now = clock.now();
@@ -140,7 +140,7 @@
         let _ = fired.send(());
     });
     assert!(matches!(ahead_by(&clock, HOUR), Verdict::Behind(by) if by >= HOUR));
-    // One that is due soon rings all the same, so the thread has looked at all that is due.
+    // A timer that is due soon fires, so all due timers have been checked.
     let (soon, is_due) = channel();
     clock.run_at(clock.now() + Duration::from_millis(50), move || {
         let _ = soon.send(());
--- a/crates/front/tests/connects.rs
+++ b/crates/front/tests/connect_timeouts.rs
@@ -1,4 +1,4 @@
-//! Connections to servers that never come up: their time-outs keep nobody else from having its turn.
+//! Connections to servers that never come up: their time-outs must not starve anything else.
 
 use cluster::{PROGRAM, wait_until};
 use juniperdock_test_support::{Front, address, list, txn};
@@ -9,13 +9,13 @@
 
 mod cluster;
 
-/// A machine that is itself stopped for a moment looks the same to the process.
+/// Delays that may have another cause: a machine that is itself stopped for a moment looks the same to the process.
 const FOREIGN_DELAYS: u64 = 2;
 
-/// A server whose queue of new connections is full: the next one stays pending, as if its machine said nothing.
+/// A server with a full backlog: further connects stay pending, as if the server did not answer.
 struct SilentServer {
     at: SocketAddr,
-    /// Listens, and has who fills its queue.
+    /// The listener, and the connections that fill its backlog.
     _sockets: Vec<Socket>,
 }
 
@@ -29,7 +29,7 @@
         for _ in 0..4 {
             let filler = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
             filler.set_nonblocking(true).expect("a socket");
-            // Those beyond the queue stay pending.
+            // Those beyond the backlog stay pending.
             let _ = filler.connect(&SockAddr::from(at));
             sockets.push(filler);
         }
@@ -56,11 +56,11 @@
     let servers: Vec<SilentServer> = (0..3).map(|_| SilentServer::start()).collect();
     let names = ["m-0", "m-1", "m-2"];
     let entries: Vec<_> = names.iter().zip(&servers).map(|(name, server)| (*name, server.at, "up")).collect();
-    // Its connects time out too, after another time than those to servers.
+    // Connects to discovery time out, too, with another limit than those to servers.
     let discovery = SilentServer::start();
     let config = Front::config(&list(1, true, &entries), 1024);
     let front = Front::with(PROGRAM, address(), discovery.at, &config, None);
-    // While a write waits for its primary, servers are asked.
+    // While a write waits for its primary, members are probed.
     let mut client = front.client();
     client.say(&txn("order", 30_000, "waits"));
     let begun = Instant::now();
--- a/crates/front/tests/discovery.rs
+++ b/crates/front/tests/discovery.rs
@@ -1,5 +1,4 @@
-//! Discovery that goes away and comes back, by several ways of failing, while descriptors are short and while fronts
-//! start.
+//! Discovery fails in several ways and comes back, while descriptors are short and while fronts start.
 
 use cluster::{PROGRAM, TestCluster, wait_until};
 use juniperdock_test_support::{Client, Front, PATIENCE, address, txn};
@@ -9,12 +8,12 @@
 
 mod cluster;
 
-/// A change counts as told so long after discovery had it and could be reached.
+/// The time after which a change has to be in force once discovery has it and is reachable.
 const UPDATE_LIMIT: Duration = Duration::from_secs(6);
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// Takes the next watch, and answers it with these bytes.
+/// Accepts the next watch, and answers it with these bytes.
 fn answer_watch(listener: &TcpListener, answer: &str) -> TcpStream {
     let (mut stream, _) = listener.accept().expect("a watch");
     let mut request = [0; 4096];
@@ -28,7 +27,7 @@
     format!("{HEAD}{:x}\r\n{list}\n\r\n", list.len() + 1)
 }
 
-/// Reads are served by nobody but the primary from some time on, within what counts as told.
+/// Asserts that only the primary serves reads within the limit, and that it stays so.
 fn assert_drains_in_force(cluster: &TestCluster, front: &Front, since: Instant) {
     let mut client = front.client();
     wait_until(|| {
@@ -53,10 +52,10 @@
     EndlessHead,
 }
 
-/// Discovery is down for so long: long enough for waits between calls to grow, were they to.
+/// How long discovery is down: long enough for back-off between calls to grow, if there were any.
 const DOWN: Duration = Duration::from_secs(4);
 
-/// Lets calls fail for a while; nothing of it is left open after.
+/// Lets calls fail for a while; no connection is left open afterwards.
 fn fail_calls(at: SocketAddr, how: Failure) {
     let begun = Instant::now();
     if matches!(how, Failure::Refused) {
@@ -72,7 +71,7 @@
             continue;
         };
         match how {
-            // Closed over an unread request.
+            // Closed with an unread request, which resets the connection.
             Failure::Reset => std::thread::sleep(Duration::from_millis(1)),
             Failure::Error => drop(stream.write_all(b"HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n")),
             Failure::EndlessHead => {
@@ -102,7 +101,7 @@
     }
 }
 
-/// Connections that say nothing, as many as the front has descriptors, and more.
+/// Opens silent connections, twice as many as the front has descriptors.
 fn fill_descriptors(front: &Front, sockets: usize) -> Vec<TcpStream> {
     let connect = || TcpStream::connect_timeout(&front.at, Duration::from_millis(200)).ok();
     (0..2 * sockets).filter_map(|_| connect()).collect()
@@ -118,20 +117,20 @@
     let watch = answer_watch(&listener, &list(&cluster, 1, ["up"; 3]));
     wait_until(|| front.client().ask(&txn("order", 20_000, "first")).value.is_some());
     drop((watch, listener));
-    // All that the front had open to its servers ends too.
+    // All of the front's connections to its servers end, too.
     cluster.members.iter().for_each(juniperdock_test_support::Member::cut);
     let mut idle = fill_descriptors(&front, SOCKETS);
     let listener = TcpListener::bind(at).expect("its address");
     let back = Instant::now();
     let _watch = answer_watch(&listener, &list(&cluster, 2, ["up", "draining", "draining"]));
     assert!(back.elapsed() < UPDATE_LIMIT, "{:?}", back.elapsed());
-    // Some of them were there to the end: their place is still filled.
+    // Some of them stayed to the end: their slots are still taken.
     idle.retain_mut(|stream| {
         stream.set_nonblocking(true).expect("a stream");
         matches!(stream.read(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock)
     });
     assert!(idle.len() >= SOCKETS / 8, "{}", idle.len());
-    // Who speaks finds a place, and its server is reached.
+    // A client that sends a request finds a slot, and its server is reached.
     let max_wait = Duration::from_millis(500);
     wait_until(|| {
         Client::open_within(front.at, max_wait)
@@ -143,10 +142,10 @@
 #[test]
 fn nine_of_ten_fronts_that_are_killed_at_once_are_ready_in_time_without_discovery() {
     let cluster = TestCluster::new();
-    // It takes connections and never answers.
+    // It accepts connections and never answers.
     let silent = TcpListener::bind(address()).expect("a free address");
     let agent = silent.local_addr().expect("an address");
-    // Most of the servers are gone, too.
+    // Most of the servers are down, too.
     cluster.members[1].welcome(false);
     cluster.members[2].welcome(false);
     let start = |at| Front::again(PROGRAM, at, agent, &cluster.server_list, 1024, None);
@@ -163,7 +162,7 @@
         in_time += usize::from(begun.elapsed() < Duration::from_secs(10));
     }
     assert!(in_time >= 9, "{in_time} of 10");
-    // Ready is not only up: writes are served.
+    // Ready means more than accepting: writes are served.
     assert!(fronts.iter().all(|front| front.client().ask(&txn("order", 20_000, "w")).value.is_some()));
 }
 
@@ -179,7 +178,7 @@
         drop(answer_watch(&listener, "HTTP/1.1 503 overloaded\r\nContent-Length: 0\r\n\r\n"));
         calls += 1;
     }
-    // Some times a second, as after other failures, would be eighty.
+    // Several calls a second, as after other failures, would be eighty.
     assert!((3..=10).contains(&calls), "{calls}");
     let back = Instant::now();
     let _watch = answer_watch(&listener, &list(&cluster, 2, ["up", "draining", "draining"]));
--- a/crates/front/tests/dispatcher.rs
+++ b/crates/front/tests/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher alone, with actors of the test's own round it.
+//! The dispatcher alone, surrounded by actors of the test.
 
 use juniperdock_connection::{BufferLimits, Link};
 use juniperdock_front::clock::Clock;
@@ -33,7 +33,7 @@
     }
 }
 
-/// An order that came in then.
+/// An order that came in at that time.
 fn arrival(
     request_id: u64,
     at: Duration,
@@ -97,7 +97,7 @@
         log.clone(),
         RequestLog::new(log, false),
     );
-    let dispatcher = dispatcher.expect("a desk");
+    let dispatcher = dispatcher.expect("a dispatcher");
     std::thread::spawn(move || dispatcher.run(&messages));
 
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free address");
@@ -110,7 +110,7 @@
     };
     let _ = sender.send(DispatcherMessage::List(list(at)));
     let _ = sender.send(arrival(1, 9000));
-    // An input that no router can take.
+    // An input with which any router panics.
     let _ = sender.send(DispatcherMessage::Probed {
         member: 99,
         outcome: AttemptOutcome::Committed,
@@ -126,12 +126,12 @@
 fn after_a_panic_no_answered_request_is_written() {
     let (clock, _run_timers) = Clock::start(Duration::ZERO).expect("a clock");
     let ((sender, messages), (discovery, _discovery), (jobs, job)) = (channel(), channel(), channel());
-    // The member's actor is the story's own: what it is given stays unwritten.
-    let spawn_member: SpawnMember = Box::new(move |_, _, read, _| {
+    // The test plays the member's actor: the job stays unwritten.
+    let spawn_member: SpawnMember = Box::new(move |_, _, receiver, _| {
         let jobs = jobs.clone();
         std::thread::spawn(move || {
-            while let Ok(sender) = read.recv() {
-                let _ = jobs.send(sender);
+            while let Ok(message) = receiver.recv() {
+                let _ = jobs.send(message);
             }
         });
         Ok(())
@@ -152,7 +152,7 @@
         log.clone(),
         RequestLog::new(log, false),
     );
-    let dispatcher = dispatcher.expect("a desk");
+    let dispatcher = dispatcher.expect("a dispatcher");
     std::thread::spawn(move || dispatcher.run(&messages));
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free address");
     let at = listener.local_addr().expect("an address");
@@ -170,7 +170,7 @@
         }
     };
     assert_eq!(submit.permit.check(clock.now()), Ok(()));
-    // An input that no router can take: the txn gets its answer while its connection is still to come up.
+    // An input with which any router panics: the txn is answered while its connection is still being opened.
     let _ = sender.send(DispatcherMessage::Probed {
         member: 99,
         outcome: AttemptOutcome::Committed,
--- a/crates/front/tests/endings.rs
+++ b/crates/front/tests/draining.rs
@@ -1,5 +1,5 @@
-//! A connection or a process ends while something is owed on it: an answer that is not out yet, a statement that is
-//! half read, statements behind one that is refused. Whatever was taken gets its final answer first.
+//! A connection or a process ends while something is outstanding on it: an answer that is not sent yet, a statement
+//! that is half read, statements behind one that is refused. Every request that was read gets its final answer first.
 
 use cluster::{PROGRAM, TestCluster, wait_until};
 use juniperdock_test_support::{Client, Does, Front, PATIENCE, address, message, row, txn};
@@ -10,8 +10,8 @@
 
 mod cluster;
 
-/// Descriptors of a front that has room for 18 clients, closes idle ones soon beyond 13, and asks one to leave for
-/// each that comes beyond 18.
+/// Descriptors of a front that has slots for 18 clients, closes idle ones soon above 13, and asks one to leave for
+/// each that comes above 18.
 const FEW_DESCRIPTORS: u32 = 52;
 const CLIENTS: usize = 18;
 
@@ -19,7 +19,7 @@
     Front::start(PROGRAM, cluster.agent.at, &cluster.server_list, FEW_DESCRIPTORS)
 }
 
-/// As `txn`, of a session of its own.
+/// Like `txn`, of a session of its own.
 fn of_session(session: &str, kind: &str, ms: u32, id: &str) -> String {
     txn(kind, ms, id).replace("'7f3a'", &format!("'{session}'"))
 }
@@ -35,14 +35,14 @@
     (first, second)
 }
 
-/// The front knows its primary and its replicas.
+/// Waits until the front knows its primary and its replicas.
 fn warm_up(cluster: &TestCluster, front: &Front) {
     wait_until(|| front.client().ask(&of_session("0", "order", 20_000, "first")).value.is_some());
     wait_until(|| front.client().ask(&of_session("0", "lookup", 20_000, "first")).value.is_some());
     cluster.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
 }
 
-/// The process has been told to end, and takes nobody in any more.
+/// Sends SIGTERM, and waits until no new client is accepted.
 fn begin_shutdown(front: &Front) {
     front.signal("-TERM");
     wait_until(|| TcpStream::connect(front.at).is_err());
@@ -57,7 +57,7 @@
     client
 }
 
-/// Whether the other side has ended the connection; what it says is passed over.
+/// Whether the other side has closed the connection; anything that it sent is skipped.
 fn has_ended(client: &mut Client) -> bool {
     client.stream.set_nonblocking(true).expect("a socket");
     let ended = matches!(client.stream.read(&mut [0; 64]), Ok(0));
@@ -106,7 +106,7 @@
     warm_up(&cluster, &front);
     let long = [row(&vec![b'x'; LENGTH]), juniperdock_test_support::wire::ready()].concat();
     cluster.members.iter().for_each(|member| member.once(Does::Says(long.clone())));
-    // Its machine takes next to nothing that it does not read.
+    // Its receive buffer takes next to nothing that it does not read.
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.set_recv_buffer_size(4096).expect("a size");
     socket.connect(&front.at.into()).expect("the front is there");
@@ -116,9 +116,9 @@
     assert_eq!(client.reply().last, b'Z');
     client.say(&txn("order", 20_000, "long"));
     assert!(cluster.next_txn(0).contains("id=long,"));
-    // The first byte has come, so all of it has been handed on as far as it goes.
+    // The first byte has arrived, so the front has written as much as it can.
     assert_eq!(client.stream.peek(&mut [0]).expect("an answer"), 1);
-    // Others come until somebody has been asked to leave for them, more than once.
+    // Others connect until clients have been asked to leave for them, more than once.
     let mut others: Vec<Client> = (0..CLIENTS).map(|_| front.client()).collect();
     let waited = Instant::now();
     wait_until(|| waited.elapsed() > Duration::from_millis(400));
@@ -160,7 +160,7 @@
     begin_shutdown(&front);
     let ended = Instant::now();
     wait_until(|| ended.elapsed() > Duration::from_millis(1500));
-    // Its time is over only after the process has to be gone.
+    // Its deadline is later than the time by which the process must have ended.
     let sent_at = ended.elapsed();
     client.say(&of_session("b", "order", 4900, "behind"));
     assert_eq!(client.reply().last, b'Z', "the one in hand");
@@ -195,8 +195,8 @@
         let mut clients: Vec<Client> = (0..CLIENTS - 5).map(|_| front.client()).collect();
         let rested = Instant::now();
         wait_until(|| rested.elapsed() > Duration::from_millis(300));
-        // While the process has no turn the client that has rested longest says something, and others come that
-        // need its slot.
+        // While the process is stopped, the client that has been idle longest sends a statement, and others connect
+        // that need its slot.
         front.signal("-STOP");
         wait_until(|| front.stopped());
         clients[0].say(&txn("order", 20_000, "crosses"));
--- a/crates/front/tests/sockets.rs
+++ b/crates/front/tests/end_to_end.rs
@@ -1,4 +1,5 @@
-//! Stories on sockets: the built program among stand-ins. Each waits for what is to happen, never for a time.
+//! End-to-end tests on sockets: the built program among simulated servers and discovery. Tests wait for events, never
+//! for a fixed time.
 
 use cluster::{PROGRAM, TestCluster, wait_until};
 use juniperdock_test_support::{Agent, Does, Front, PATIENCE, WATCH, error, list, message, row, txn};
@@ -25,14 +26,14 @@
         assert!(first.windows(4).any(|w| w == b"id=r") && second.windows(4).any(|w| w == b"id=w"));
         let sent = cluster.next_txn(0);
         assert_eq!(second, sent.as_bytes());
-        // Unchanged, but for what is left of its time.
+        // Unchanged, except for the time that is left.
         let left: u32 = sent.split(",d=").nth(1).and_then(|s| s.split(',').next()).unwrap().parse().unwrap();
         assert!(left <= 2000);
         assert_eq!(sent, write.replace("d=2000", &format!("d={left}")));
     }
     assert!(cluster.received_nothing(0), "no read went to the primary");
     let bytes: Vec<u8> = (0..=255).cycle().take(60_000).collect();
-    // A member may give more than a client may send, as far as memory allows.
+    // A member's answer may be longer than a client's statement, as far as memory allows.
     let more = bytes.repeat(10);
     for bytes in [bytes, more] {
         for i in [1, 2] {
@@ -49,7 +50,7 @@
     let front = cluster.start_front();
     let mut client = front.client();
     client.say(&txn("order", 2000, "w"));
-    // Reads are served meanwhile, by members that have said that they are replicas.
+    // Reads are served meanwhile, by members that have reported that they are replicas.
     assert!(front.client().ask(&txn("lookup", 2000, "r")).value.is_some());
     cluster.members[2].be_primary(true);
     assert!(client.reply().value.is_some());
@@ -75,13 +76,13 @@
     let mut client = front.client();
     assert!(client.ask(&txn("order", 2000, "first")).value.is_some());
     cluster.next_txn(0);
-    // The connection ends after the last byte: the order may have run.
+    // The connection ends after the last byte of the request: the order may have run.
     cluster.members[0].once(Does::Breaks(Vec::new()));
     let reply = client.ask(&txn("order", 2000, "once"));
     assert!(reply.value.is_none() && reply.code.is_some());
     assert!(!["53300", "57P03"].contains(&reply.code.as_deref().unwrap()), "no decline: it may have run");
     assert!(cluster.next_txn(0).contains("id=once"));
-    // A referenced one goes again, inside its group and window; half a row is no answer.
+    // A referenced one is retried within its group and window; half a row is no answer.
     let half = row(b"half a value")[..50].to_vec();
     cluster.members[0].once(Does::Breaks(half));
     let reply = client.ask(&txn("mark", 2000, "again"));
@@ -113,19 +114,19 @@
         swapped,
         [message(b'S', b"replay_position\08e12\0"), row(b"a")].concat(),
     ] {
-        // The member lives, and keeps its slot.
+        // The member stays up and keeps its slot.
         assert!(client.ask(&txn("order", 2000, "good")).value.is_some());
         cluster.members[0].once(Does::Says(says.clone()));
         let reply = client.ask(&txn("order", 2000, "bad"));
         assert_eq!((reply.value, reply.last), (None, b'Z'), "{says:?}");
         assert!(reply.code.is_some_and(|code| code != "53300"), "no decline, it may have run: {says:?}");
     }
-    // An error about the statement is the client's, as it came; no other member is tried.
+    // An error about the statement goes to the client unchanged; no other member is tried.
     cluster.members[0].once(Does::Fails("42601"));
     assert_eq!(client.ask(&txn("mark", 2000, "syntax")).code.as_deref(), Some("42601"));
     wait_until(|| cluster.next_txn(0).contains("id=syntax"));
     assert!(cluster.received_nothing(0));
-    // Turned away unseen, it goes again; an error is one.
+    // A refusal before execution is retried; an error is not.
     cluster.members[0].once(Does::Fails("53300"));
     assert!(client.ask(&txn("order", 2000, "full")).value.is_some());
     cluster.members[0].once(Does::Fails("XX000"));
@@ -138,7 +139,7 @@
     let front = cluster.start_front();
     let mut client = front.client();
     cluster.publish_list(2, ["up", "draining", "up"]);
-    // Once the list has come in, none goes there any more.
+    // Once the list is in force, no request goes there any more.
     let mut since = 0;
     wait_until(|| {
         assert!(client.ask(&txn("lookup", 2000, "r")).value.is_some());
@@ -151,7 +152,7 @@
 fn drain_stops_a_request_that_waits_for_a_connection() {
     let cluster = TestCluster::new();
     cluster.members.iter().for_each(|m| m.welcome(false));
-    // The only primary is asked for by a probe and then for the write; neither gets its connection yet.
+    // The primary is needed by a probe and then by the write; neither gets its connection yet.
     let front = cluster.start_front();
     let mut client = front.client();
     cluster.members[0].welcome(true);
@@ -191,7 +192,7 @@
     let reply = client.ask(&txn("order", 300, "w"));
     assert!(reply.code.is_some_and(|code| code != "53300" && code != "57P03"));
     assert!(begun.elapsed() >= Duration::from_millis(290), "it waits for its answer");
-    // Out of time on arrival: answered all the same, and nothing is sent.
+    // Out of time on arrival: it is answered, and nothing is sent.
     assert!(client.ask(&txn("lookup", 0, "late")).code.is_some());
     assert!(client.ask(&txn("lookup", u32::MAX, "long")).value.is_some());
 }
@@ -232,12 +233,12 @@
     }
     let reply = good.ask("/* id=1,c=lookup,d=900,cluster=7 */ SELECT 1");
     assert!(reply.value.is_none() && reply.code.is_some(), "no such group");
-    // Extended queries are passed by up to Sync.
+    // Extended queries are skipped up to Sync.
     let parse = [message(b'P', b"\0\0\0\0"), message(b'B', b"\0\0\0\0\0\0\0\0"), message(b'S', b"")].concat();
     good.stream.write_all(&parse).unwrap();
     let reply = good.reply();
     assert_eq!((reply.code.as_deref(), reply.last), (Some("0A000"), b'Z'));
-    // Where the stream can't be followed, the connection ends with a fatal error.
+    // If the stream can't be parsed, the connection ends with a fatal error.
     for bytes in [&b"Q\0\0\0\x01"[..], b"Q\x7f\0\0\0", b"\0\0\0\0\0", b"~\0\0\0\x05a"] {
         let mut bad = front.client();
         bad.stream.write_all(bytes).unwrap();
@@ -259,7 +260,7 @@
     assert!(text.is_empty(), "a cancel is closed without a word");
     open(b"GET / HTTP/1.1\r\n\r\n").read_to_end(&mut text).unwrap();
     assert!(text.starts_with(b"E"));
-    // What is begun has to be ended: nothing said, half an opening, half a message.
+    // Nothing sent, half a startup, half a message: each must be completed in time.
     let begun = Instant::now();
     let mut idle = front.client();
     let mut halves = [open(b""), open(&[0, 0, 0, 9, 0]), front.client().stream];
@@ -271,7 +272,7 @@
     }
     assert!(begun.elapsed() >= Duration::from_secs(2), "each has its time");
     assert!(idle.ask(&txn("lookup", 2000, "r")).value.is_some(), "one between txns may stay");
-    // One byte at a time, with nobody held up.
+    // One byte at a time, without delaying others.
     let whole = txn("lookup", 2000, "slow");
     let mut slow = front.client();
     for byte in message(b'Q', format!("{whole}\0").as_bytes()) {
@@ -290,7 +291,7 @@
         cluster.agent.tell("{\"version\":9".to_owned());
         let front = cluster.start_front();
         let mut client = front.client();
-        // It is asked for again, and again.
+        // The front asks for it again and again.
         for _ in 0..3 {
             cluster.agent.asked.recv_timeout(PATIENCE).expect("another watch");
         }
@@ -309,7 +310,7 @@
         front.reconfigure(bad);
         assert!(client.ask(&txn("lookup", 2000, "r")).value.is_some(), "{bad}");
     }
-    // What is in hand does not notice.
+    // A request in hand is not affected.
     cluster.members[0].set(Does::Hangs);
     client.say(&txn("order", 500, "w"));
     wait_until(|| cluster.next_txn(0).contains("id=w"));
@@ -317,7 +318,7 @@
     front.reconfigure(&format!("{{\"discovery\":\"{}\"}}", moved.at));
     moved.asked.recv_timeout(PATIENCE).expect("a watch at the new address");
     assert!(client.reply().code.is_some());
-    // From its first word on only the new address counts.
+    // From its first list on, only the new address counts.
     moved.tell(TestCluster::list(&cluster.members, 2, ["up", "draining", "up"]));
     let mut since = 0;
     wait_until(|| {
@@ -343,7 +344,7 @@
     let mut client = front.client();
     let (at, descriptors) = (cluster.members[0].at, front.descriptors());
     for version in 2..102 {
-        // Another primary at the same address each time, the one before it gone.
+        // Another primary at the same address each time, after the previous one is removed.
         let names = [version - 1, version].map(|v| if v == 1 { "m-0".to_owned() } else { format!("p-{v}") });
         let before = cluster.members[0].connections();
         cluster.agent.tell(list(version, false, &[(&names[0], at, "removed"), (&names[1], at, "up")]));
@@ -418,18 +419,18 @@
     let cluster = TestCluster::new();
     let front = Front::start(PROGRAM, cluster.agent.at, &cluster.server_list, 52);
     let mut clients: Vec<_> = (0..60).map(|_| front.client()).collect();
-    // Those that came last are here, those idle longest were asked to leave.
+    // The last clients are still connected; those idle longest were asked to leave.
     wait_until(|| front.client().ask(&txn("lookup", 2000, "r")).value.is_some());
     assert_eq!(clients[0].reply().last, 0);
     drop(clients);
     wait_until(|| front.descriptors() < 25);
-    // Clients have a budget of their own, idle connections too: those idle for long are closed in time.
+    // Clients have a budget of their own, including idle connections: those idle for long are closed in time.
     let mut clients: Vec<_> = (0..11).map(|_| front.client()).collect();
     clients.iter().for_each(|client| client.stream.set_nonblocking(true).unwrap());
     wait_until(|| clients.iter_mut().filter_map(|client| client.stream.read(&mut [0]).ok()).count() == 3);
     drop(clients);
     wait_until(|| front.descriptors() < 25);
-    // Busy ones stay; who finds no seat is told so.
+    // Busy clients stay; a client that finds no slot gets an error.
     for member in &cluster.members {
         member.set(Does::Hangs);
     }
@@ -440,7 +441,7 @@
             client
         })
         .collect();
-    // Also where more than the opening came straight away, and goes on coming.
+    // This holds as well if more than the startup is sent at once, and more keeps coming.
     let mut extra = TcpStream::connect(front.at).unwrap();
     extra.set_read_timeout(Some(PATIENCE)).unwrap();
     let query = message(b'Q', format!("{}\0", txn("order", 2000, "extra")).as_bytes());
--- a/crates/front/tests/pipeline.rs
+++ b/crates/front/tests/pipeline.rs
@@ -1,5 +1,5 @@
-//! Statements that a client sends before its earlier ones are answered: worked on at once, answered in their order,
-//! each in its own time.
+//! Statements that a client sends before its earlier ones are answered: they are worked on at once and answered in
+//! order, each with its own deadline.
 
 use cluster::{PROGRAM, TestCluster, wait_until};
 use juniperdock_test_support::{Client, Does, Front, Member, PATIENCE, Reply, address, message, txn};
@@ -8,16 +8,17 @@
 
 mod cluster;
 
-/// What one connection may have in hand, in bytes, as `docs/front.md` says: statements, and a part beside each.
+/// The most bytes that one connection may have in hand, as `docs/front.md` says: statements, and an overhead for
+/// each.
 const MAX_IN_HAND: usize = 272 << 10;
 const OVERHEAD_OF_EACH: usize = 512;
 
-/// A txn of a session of its own.
+/// A txn of the given session.
 fn of_session(session: &str, kind: &str, ms: u32, id: &str) -> String {
     txn(kind, ms, id).replace("'7f3a'", &format!("'{session}'"))
 }
 
-/// A front that knows its primary and its replicas, and a client whose first order hangs at the primary.
+/// Waits until the front knows its primary and its replicas; returns a client whose first order hangs at the primary.
 fn client_with_a_hanging_order(cluster: &TestCluster, front: &Front) -> Client {
     wait_until(|| front.client().ask(&of_session("0", "order", 20_000, "first")).value.is_some());
     wait_until(|| front.client().ask(&of_session("0", "lookup", 20_000, "first")).value.is_some());
@@ -72,12 +73,12 @@
     let cluster = TestCluster::new();
     let front = cluster.start_front();
     let mut client = client_with_a_hanging_order(&cluster, &front);
-    // One waits for the write before it in its session, one is out as well.
+    // One waits for the write before it in its session, the other is sent.
     cluster.members[0].once(Does::Hangs);
     client.say(&of_session("a", "order", 300, "waits"));
     client.say(&of_session("b", "order", 300, "out"));
     assert!(cluster.next_txn(0).contains("id=out,"));
-    // Their time has passed once a statement that came later, and had as much, has been answered.
+    // Their deadlines have passed once a statement that came later, with as much time, has been answered.
     let mut other = front.client();
     cluster.members[0].once(Does::Hangs);
     assert!(is_unknown(&other.ask(&of_session("c", "order", 320, "later"))));
@@ -94,7 +95,7 @@
     let config = Front::config(&cluster.server_list, 1024).replace("[\"recent\",", "[\"own_writes\",");
     let front = Front::with(PROGRAM, address(), cluster.agent.at, &config, None);
     let mut client = client_with_a_hanging_order(&cluster, &front);
-    // Replicas that are told nothing of it must not serve this one; another session's they may.
+    // Replicas that have not proven the write must not serve this one; they may serve another session's.
     client.say(&of_session("a", "lookup", 60_000, "own"));
     client.say(&of_session("b", "lookup", 60_000, "other"));
     wait_until(|| {
@@ -103,7 +104,7 @@
             .any(|member| member.seen.try_iter().any(|text| text.contains("id=other,")))
     });
     assert!(!sent_anywhere(&cluster, "own"), "its write is still out");
-    // Replicas stay where they are from now on.
+    // The replicas' positions stay where they are from now on.
     cluster.members[1..].iter().for_each(Member::stand_still);
     cluster.members[0].cut();
     assert!(is_unknown(&client.reply()));
@@ -128,7 +129,7 @@
         client.say(&statement(i));
     }
     assert!((20..80).contains(&fit), "{fit}");
-    // All of it has been read: another client's turn comes after.
+    // Everything has been read: other clients are served only afterwards.
     (0..3).for_each(|_| assert_eq!(front.client().ask("SET a = 1").last, b'Z'));
     cluster.members[0].end_hanging();
     assert!(is_unknown(&client.reply()));
@@ -158,7 +159,7 @@
     });
     client.stream.shutdown(Shutdown::Both).expect("it leaves");
     (0..3).for_each(|_| assert_eq!(front.client().ask("SET a = 1").last, b'Z'));
-    // Reads whose connection ends are sent again, were it not for that.
+    // Reads whose connection ends would be sent again if the client were still there.
     cluster.members.iter().for_each(|member| member.set(Does::Serves));
     cluster.members.iter().for_each(Member::cut);
     wait_until(|| front.client().ask(&of_session("e", "order", 20_000, "next")).value.is_some());
@@ -175,7 +176,7 @@
     let cluster = TestCluster::new();
     let front = cluster.start_front();
     let mut client = client_with_a_hanging_order(&cluster, &front);
-    // Far more than the front keeps of it and the machine's buffers hold: it is read all the same.
+    // Far more than the front and the operating system buffer: it is read all the same.
     let long = of_session("a", "order", 60_000, "behind")
         .replace("\\x9f03", &format!("\\x{}", "9f".repeat(60 << 10)));
     client.stream.set_write_timeout(Some(PATIENCE)).expect("a limit");
--- a/crates/front/tests/moments.rs
+++ b/crates/front/tests/races.rs
@@ -1,6 +1,6 @@
-//! Rare moments on sockets: an input comes between two steps of the front. Each crossing is held open by the other
-//! side, or laid in wait while the front stands still; what a story waits for it sees, in the machine's own table of
-//! sockets where nothing else tells.
+//! Races on real sockets: an input arrives between two steps of the front. Each race is held open by the other side,
+//! or prepared while the front is stopped; tests wait for what they need to see, in the operating system's table of
+//! sockets where nothing else shows it.
 
 use cluster::{PROGRAM, TestCluster, wait_until};
 use juniperdock_test_support::wire::{Said, Store, parameter, ready, serve};
@@ -25,7 +25,7 @@
 
 const DEPARTURES: [Departure; 3] = [Departure::Closes, Departure::Resets, Departure::EndsItsSending];
 
-/// One socket of the machine's table, as one end sees it.
+/// One socket of the operating system's table, as one end sees it.
 struct Row {
     local: SocketAddr,
     remote: SocketAddr,
@@ -55,19 +55,19 @@
     text.lines().filter_map(row).collect()
 }
 
-/// The end that the front has of a client's connection.
+/// The front's end of a client's connection.
 fn front_socket_of(front: &Front, client: SocketAddr) -> Option<Row> {
     socket_table().into_iter().find(|row| row.local == front.at && row.remote == client)
 }
 
-/// As `TestCluster::front`, with connects that may take as long as a story needs.
+/// Like `TestCluster::start_front`, with a connect time-out that is long enough for each test.
 fn start_patient_front(cluster: &TestCluster) -> Front {
     let config = Front::config(&cluster.server_list, 1024)
         .replace("\"ConnectTimeout\":250.0", "\"ConnectTimeout\":20000.0");
     Front::with(PROGRAM, address(), cluster.agent.at, &config, None)
 }
 
-/// Leaves; what it gives back is still open where only the sending has ended.
+/// The client leaves; the returned stream is still open if only the sending side was shut down.
 fn leave(client: Client, departure: Departure) -> Option<TcpStream> {
     match departure {
         Departure::Closes => None,
@@ -82,7 +82,7 @@
     }
 }
 
-/// Leaves, and the front has had its turn since.
+/// The client leaves, and the front has run since.
 fn leave_noticed(front: &Front, client: Client, departure: Departure) -> Option<TcpStream> {
     let at = client.stream.local_addr().expect("an address");
     let kept = leave(client, departure);
@@ -95,20 +95,20 @@
     kept
 }
 
-/// An order is served: the front knows its members, and none of them has anything that a story has not seen. On a
-/// busy machine connections may come up too late for a first one.
+/// Waits until an order is served: the front knows its members then, and no statement is left in their logs. On a
+/// busy machine, connections may come up too late for the first one.
 fn warm_up(cluster: &TestCluster, front: &Front) {
     wait_until(|| front.client().ask(&txn("order", 20_000, "first")).value.is_some());
     cluster.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
 }
 
-/// An order of another client is served by now.
+/// Asserts that an order of another client is served.
 fn assert_next_order_is_served(front: &Front) {
     let mut other = front.client();
     wait_until(|| other.ask(&txn("order", 20_000, "next")).value.is_some());
 }
 
-/// Whether any member has been sent this one, up to now.
+/// Whether any member has received this statement by now.
 fn was_sent(cluster: &TestCluster, id: &str) -> bool {
     (0..cluster.members.len()).filter(|&member| was_sent_to(cluster, member, id)).count() > 0
 }
@@ -124,7 +124,7 @@
     client
 }
 
-/// The front has taken in all that was said before.
+/// Returns once the front has handled everything that was sent before.
 fn sync_with_front(front: &Front) {
     assert_eq!(front.client().ask("SET a = 1").last, b'Z');
 }
@@ -135,7 +135,7 @@
         let cluster = TestCluster::new();
         cluster.members[0].be_primary(false);
         let front = start_patient_front(&cluster);
-        // On a busy machine a report may be too old when it is read: then it is asked again.
+        // On a busy machine a report may be too old when it is read, and is asked for again.
         wait_until(|| front.client().ask(&txn("lookup", 20_000, "r")).value.is_some());
         let client = order(&front, "gone");
         sync_with_front(&front);
@@ -167,12 +167,13 @@
     }
 }
 
-/// The primary has been served by before, and a connection to it is being made: it has accepted, and says nothing.
+/// A client with an order for which a connection to the primary is being made: the primary has accepted it and sends
+/// nothing.
 fn order_during_handshake(cluster: &TestCluster, front: &Front, id: &str) -> Client {
     warm_up(cluster, front);
     cluster.members[0].welcome(false);
     cluster.members[0].cut();
-    // Nothing idle is left to be used.
+    // No idle connection is left.
     wait_until(|| {
         !socket_table().iter().any(|row| row.remote == cluster.members[0].at && row.state == ESTABLISHED)
     });
@@ -200,7 +201,7 @@
         let cluster = TestCluster::new();
         let front = start_patient_front(&cluster);
         let client = order_during_handshake(&cluster, &front, "gone");
-        // It ends before the welcome: the txn is put back, and nobody is known as the primary.
+        // The connection ends before the member is ready: the txn is queued again, and no primary is known.
         cluster.members.iter().for_each(|member| member.welcome(false));
         cluster.members[0].cut();
         wait_until(|| cluster.members[0].connections() > 0);
@@ -219,7 +220,7 @@
         let mut client = front.client();
         assert!(client.ask(&txn("order", 20_000, "first")).value.is_some());
         cluster.next_txn(0);
-        // The end of the idle connection and the next txn are laid in wait together.
+        // The front finds the end of the idle connection and the next txn at the same time.
         front.signal("-STOP");
         wait_until(|| front.stopped());
         cluster.members[0].welcome(false);
@@ -237,7 +238,7 @@
     }
 }
 
-/// A primary whose machine answers no connect until it is told to.
+/// A primary that completes no connect until `opens` is called.
 struct SlowAcceptor {
     at: SocketAddr,
     listener: TcpListener,
@@ -251,14 +252,14 @@
         socket.bind(&at.into()).and_then(|()| socket.listen(0)).expect("an address");
         let listener = TcpListener::from(socket);
         let mut fill = vec![TcpStream::connect(at).expect("the one that has room")];
-        // The machine may have room for one more than it was told.
+        // The operating system may accept one more than the backlog.
         while let Ok(more) = TcpStream::connect_timeout(&at, Duration::from_millis(300)) {
             fill.push(more);
         }
         SlowAcceptor { at, listener, fill }
     }
 
-    /// From now on connects come up, when they are next tried.
+    /// From now on connects succeed when they are next retried.
     fn opens(self) -> Receiver<String> {
         let (tell, seen) = channel();
         std::thread::spawn(move || {
@@ -303,7 +304,7 @@
         let at = slow.at;
         let coming = || socket_table().into_iter().any(|row| row.remote == at && row.state == SYN_SENT);
         let mut client = front.client();
-        // Once the list has come in, orders go there and wait.
+        // Once the list is in force, orders go there and wait.
         let mut tries = 0;
         wait_until(|| {
             tries += 1;
@@ -346,7 +347,7 @@
         cluster.members[0].once(Does::Hangs);
         let mut client = order(&front, "ahead");
         assert!(cluster.next_txn(0).contains("id=ahead,"));
-        // Far more than the front keeps of what a client sends and the machine takes beyond that.
+        // Far more than the front and the operating system buffer.
         let long = txn("order", 60_000, "gone").replace("\\x9f03", &format!("\\x{}", "9f".repeat(32 << 10)));
         client.stream.set_write_timeout(Some(PATIENCE)).expect("a limit");
         for _ in 0..300 {
@@ -395,7 +396,7 @@
         let at = client.stream.local_addr().expect("an address");
         front.signal("-STOP");
         wait_until(|| front.stopped());
-        // For longer than the front takes for a turn of its own.
+        // Longer than one turn of the front takes.
         let stopped = std::time::Instant::now();
         let lies = || socket_table().iter().any(|row| row.remote == cluster.members[0].at && row.unread > 0);
         let welcome = || {
@@ -429,7 +430,7 @@
     let front = Front::with(PROGRAM, address(), cluster.agent.at, &config, None);
     let mut client = front.client();
     assert!(client.ask(&txn("lookup", 20_000, "r")).value.is_some());
-    // Its actor is told to end and, right behind that, to ask it: its idle connection is closed by then.
+    // Its actor is told to end and, right after that, to probe: its idle connection is closed by then.
     wait_until(|| cluster.members[0].connections() > 0);
     for version in 2..12 {
         let gone = cluster.server_list.replace("\"version\":1", &format!("\"version\":{version}"));
@@ -455,7 +456,8 @@
         front.signal("-TERM");
         front.signal("-STOP");
         wait_until(|| front.stopped());
-        // It has come, and said all it wants; the front's wait for such is over when it goes on.
+        // The client connects and sends its request; the time for which the ending front accepts clients is over when
+        // the front continues.
         let stopped = std::time::Instant::now();
         let at = front.at;
         let asks = std::thread::spawn(move || {
@@ -492,7 +494,7 @@
         let stopped = std::time::Instant::now();
         let at = front.at;
         let asks = std::thread::spawn(move || {
-            // Its opening is answered by a front that closes its connections already.
+            // Its startup is answered by a front that already closes its connections.
             let mut client = Client::open(at)?;
             client.tell(&txn("order", 20_000, "last")).then(|| client.reply().value.is_some())
         });
@@ -500,7 +502,7 @@
         front.signal("-CONT");
         asks.join().expect("an end") == Some(true)
     };
-    // A busy machine may take longer than that while, now and then.
+    // A busy machine may exceed that time now and then.
     assert!((0..10).any(|_| served()));
 }
 
@@ -517,7 +519,7 @@
     let idle = |row: Row| row.unread > 0 && row.state == CLOSE_WAIT;
     front.signal("-TERM");
     wait_until(|| end().is_some_and(idle));
-    // It has not read its answer, nor the end behind it, and says the next.
+    // The client has read neither its answer nor the end behind it, and sends the next statement.
     client.say(&txn("order", 20_000, "crosses"));
     client.say(&txn("order", 20_000, "crosses"));
     assert!(client.reply().value.is_some());
@@ -538,7 +540,7 @@
     let slow = SlowAcceptor::new();
     let (mut tried, at) = (BTreeSet::new(), slow.at);
     front.reconfigure(&format!("{{\"discovery\":\"{at}\"}}"));
-    // The watch in hand is silent from now on: the front ends it before the 6 s are over.
+    // The old watch is silent from now on: the front ends it before the 6 s are over.
     while watched() {
         tried.extend(
             socket_table()
@@ -562,7 +564,7 @@
             cluster.members.iter().for_each(|member| member.cut());
         }
     }
-    // Its own actors' and a few that are free.
+    // Those of its own actors, and a few that are free.
     assert!((1..100).contains(&front.stacks(64 << 10)), "{}", front.stacks(64 << 10));
 }
 
@@ -593,7 +595,7 @@
     let cluster = TestCluster::new();
     let front = cluster.start_front();
     warm_up(&cluster, &front);
-    // A stand-in in place of a replica, which has a great deal to say and never comes to its end.
+    // In place of a replica, a server that sends notices without an end.
     let listener = TcpListener::bind(address()).expect("a free address");
     let talks = cluster
         .server_list
@@ -634,7 +636,7 @@
         .replace("[\"recent\",\"update\",", "[\"recent\",\"loose\",");
     let front = Front::with(PROGRAM, address(), cluster.agent.at, &config, None);
     let mut client = front.client();
-    // Loose reads go to replicas, whose answers tell how far they are.
+    // Loose reads go to replicas, whose answers report their positions.
     wait_until(|| {
         let report = format!("busy=0.1,x1=0,x0={:.3}", unix_ms() as f64 / 1000.0);
         for member in &cluster.members[1..] {
@@ -644,20 +646,20 @@
         assert!(client.ask(&loose).value.is_some());
         cluster.members[1].seen.try_iter().count() > 0
     });
-    // A read with a bound on its age goes there too, by that proof.
+    // A read with a bound on its age goes there too, because of that proof.
     wait_until(|| {
         let _ = client.ask(&txn("lookup", 200, "proven"));
         was_sent_to(&cluster, 1, "proven")
     });
 }
 
-/// As `TestCluster::front`, where members may not be probed.
+/// Like `TestCluster::start_front`, without permission to probe members.
 fn start_front_without_probes(cluster: &TestCluster, more: impl Fn(String) -> String) -> Front {
     let config = Front::config(&cluster.server_list, 1024).replace("\"MayProbe\":true", "\"MayProbe\":false");
     Front::with(PROGRAM, address(), cluster.agent.at, &more(config), None)
 }
 
-/// Orders that a member was sent, up to now.
+/// The number of orders that a member has received by now.
 fn orders(cluster: &TestCluster, member: usize) -> usize {
     cluster.members[member].seen.try_iter().filter(|text| text.contains("c=order,")).count()
 }
@@ -680,7 +682,7 @@
         (0, 0, 5),
         "it is known by now"
     );
-    // Another takes over: whoever was it turns the next away, untouched.
+    // Another member takes over: the old primary refuses the next order untouched.
     cluster.members[2].be_primary(false);
     cluster.members[1].be_primary(true);
     assert!(client.ask(&txn("order", 20_000, "after")).value.is_some());
@@ -695,7 +697,7 @@
     let mut client = front.client();
     let reply = client.ask(&txn("order", 2_000, "none"));
     assert_eq!(reply.code.as_deref(), Some("53300"), "it never ran: {reply:?}");
-    // Each was asked at most every 250 ms, for the part of its time in which it is held.
+    // Each member was asked at most every 250 ms, for the part of the request's time for which it may wait.
     let sent: usize = (0..3).map(|member| orders(&cluster, member)).sum();
     assert!((3..=12).contains(&sent), "{sent}");
     cluster.members[1].be_primary(true);
@@ -709,7 +711,7 @@
         cluster.members[0].be_primary(false);
         let front = start_front_without_probes(&cluster, |config| config);
         let client = order(&front, "gone");
-        // All have turned it away.
+        // All members have refused it.
         wait_until(|| was_sent_to(&cluster, 0, "gone"));
         sync_with_front(&front);
         let _kept = leave_noticed(&front, client, departure);
@@ -728,12 +730,13 @@
             .replace("\"SessionMarks\":\"client\"", "\"SessionMarks\":\"router\"")
             .replace("[\"recent\",\"update\",", "[\"own_writes\",\"update\",")
     });
-    // Its mark is known from a write through a front that has died since: the answer tells when that was committed.
+    // The session's mark comes from a write through a front that has died since: the answer contains when that was
+    // committed.
     let old = format!("{}", unix_ms() - 60_000);
     cluster.members[0].once(Does::Says([row(b"a"), parameter("replay_position", &old)].concat()));
     let mut client = front.client();
     assert!(client.ask(&txn("mark", 20_000, "again")).value.is_some());
-    // Nothing proves of the replicas that they have it.
+    // Nothing proves that the replicas have it.
     for i in 0..20 {
         assert!(client.ask(&txn("lookup", 20_000, &format!("own{i}"))).value.is_some());
     }
@@ -761,8 +764,8 @@
     }
 }
 
-/// An agent of which a story says what each watch is answered with, in turn; the last answer goes for all that follow.
-/// A watch stays open, and says nothing more.
+/// An agent that answers each watch with the next of the given texts; the last one goes for all that follow. A watch
+/// stays open, and nothing more is sent.
 struct ScriptedAgent {
     at: SocketAddr,
     asked: Receiver<String>,
@@ -787,7 +790,7 @@
     }
 }
 
-/// The head of an answer and one list in one piece.
+/// The head of a response, and one list in one chunk.
 fn watch_response(list: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{list}\n\r\n", list.len() + 1)
 }
@@ -797,7 +800,7 @@
     let cluster = TestCluster::new();
     let drains = TestCluster::list(&cluster.members, 9, ["up", "draining", "draining"]);
     let cut = watch_response(&drains);
-    // The first falls silent. The next has nothing to say, or only the beginning of a list.
+    // The first watch falls silent. The next one sends nothing, or only the beginning of a list.
     for next in [String::new(), cut[..cut.len() / 2].to_owned()] {
         let agent = ScriptedAgent::start(vec![watch_response(&cluster.server_list), next, cut.clone()]);
         let front = Front::start(PROGRAM, agent.at, &cluster.server_list, 1024);
@@ -806,9 +809,9 @@
         agent.asked.recv_timeout(PATIENCE).expect("a watch");
         let silent = std::time::Instant::now();
         (0..2).for_each(|_| drop(agent.asked.recv_timeout(PATIENCE).expect("a watch")));
-        // 5.5 s, and 10.5 s before: what there is to tell counts as told after 6 s.
+        // Takes 5.5 s (10.5 s with one time-out for all watches); a change has to be in force after 6 s.
         assert!(silent.elapsed() < Duration::from_secs(9), "{:?}", silent.elapsed());
-        // The replicas drain: all goes to the primary from now on.
+        // The replicas drain: all requests go to the primary from now on.
         wait_until(|| {
             cluster.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
             let _ = client.ask(&txn("lookup", 20_000, "r"));
@@ -828,32 +831,32 @@
     let mut client = front.client();
     assert!(client.ask(&txn("lookup", 20_000, "r")).value.is_some());
     cluster.agent.asked.recv_timeout(PATIENCE).expect("a watch");
-    // The first new address takes the watch and says nothing; the second comes while it is waited for.
+    // The first new address accepts the watch and sends nothing; the second one is set while the front waits for it.
     let (mute, last) = (ScriptedAgent::start(vec![String::new()]), ScriptedAgent::start(vec![String::new()]));
     front.reconfigure(&format!("{{\"discovery\":\"{}\"}}", mute.at));
     mute.asked.recv_timeout(PATIENCE).expect("a watch");
     front.reconfigure(&format!("{{\"discovery\":\"{}\"}}", last.at));
     last.asked.recv_timeout(PATIENCE).expect("a watch");
-    // Nobody new has told anything: the old one still does.
+    // No new watch has sent a list: the old one still counts.
     cluster.publish_list(2, ["draining", "up", "up"]);
     cluster.members[1].be_primary(true);
     let mut other = front.client();
     wait_until(|| {
         other.ask(&txn("order", 2_000, "moved")).value.is_some() && was_sent_to(&cluster, 1, "moved")
     });
-    // What has to be asked again is asked at the last.
+    // The next watch goes to the last address.
     last.asked.recv_timeout(PATIENCE).expect("another watch");
     assert!(mute.asked.try_iter().count() <= 1, "at most one was on its way");
 }
 
-/// How much of a process is in memory, in KB.
+/// The resident memory of a process, in KB.
 fn resident_kb(front: &Front) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", front.id())).expect("its memory");
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("a line");
     line.trim().trim_end_matches(" kB").parse().expect("a number")
 }
 
-/// Ten of each kind of bad client, a good one among them. All are gone at its end.
+/// Runs ten of each kind of misbehaving client, with a good one among them. All have left at the end.
 fn run_misbehaving_clients(front: &Front, round: usize) {
     let raw = |bytes: &[u8]| {
         let mut stream = TcpStream::connect(front.at).expect("a connection");
@@ -866,20 +869,21 @@
     let mut kept = Vec::new();
     let mut good = front.client();
     for i in 0..10 {
-        // What can't be followed is told so, or closed.
+        // Input that can't be parsed gets an error.
         for bytes in [&[0xff; 64][..], &[&open[..], b"Q\xff\xff\xff\xff"].concat()] {
             let mut text = Vec::new();
             let _ = raw(bytes).read_to_end(&mut text);
             assert!(text.windows(5).any(|at| at == b"08P01"), "{text:?}");
         }
-        // A message without its end, and gone; hundreds at once, and gone; one that never reads what it is sent.
+        // A client that leaves within a message; one that sends hundreds of requests and leaves; one that never
+        // reads.
         drop(raw(&[&open[..], b"Q\0\0\x10\0/* id="].concat()));
         drop(raw(&[&open[..], &said(&txn("order", 300, "much")).repeat(300)].concat()));
         kept.push(raw(&[&open[..], &said(&txn("lookup", 300, "unread")).repeat(300)].concat()));
         let half = raw(&[&open[..], &said(&txn("lookup", 300, "half"))].concat());
         half.shutdown(Shutdown::Write).expect("an end");
         kept.push(half);
-        // A type that does not exist is an error; the session goes on.
+        // An unknown txn type is an error; the session goes on.
         let unknown = good.ask(&txn("order", 20_000, "x").replace("c=order", "c=none"));
         assert_eq!(unknown.code.as_deref(), Some("08P01"));
         let id = format!("good{round}x{i}");
@@ -893,7 +897,7 @@
 fn misbehaving_clients_leave_no_descriptor_slot_or_memory_behind() {
     let cluster = TestCluster::new();
     let front = cluster.start_front();
-    // What the machine keeps of connections that have ended is not the front's.
+    // What the operating system keeps of closed connections is not the front's.
     let ended = |row: &Row| matches!(row.state, TIME_WAIT | LISTEN);
     let clients = || socket_table().iter().filter(|row| row.local == front.at && !ended(row)).count();
     run_misbehaving_clients(&front, 0);
@@ -903,7 +907,7 @@
         run_misbehaving_clients(&front, round);
     }
     wait_until(|| clients() == 0);
-    // Connections to members may be one more or less.
+    // There may be a connection to a member more or less.
     wait_until(|| front.descriptors() <= descriptors_before + 3);
     let grown = resident_kb(&front).saturating_sub(memory);
     assert!(grown < 4 << 10, "{grown} KB more than {memory}");
@@ -924,19 +928,19 @@
     let front = start_front_without_probes(&cluster, marks);
     let other = |id: &str| txn("order", 2_000, id).replace("'7f3a'", "'8a41'");
     wait_until(|| front.client().ask(&other("first")).value.is_some() && was_sent_to(&cluster, 0, "first"));
-    // The primary has it, may have committed it, and the answer does not come.
+    // The primary has the write, may have committed it, and does not answer.
     cluster.members[0].once(Does::Hangs);
     let write = order(&front, "out");
     assert!(cluster.next_txn(0).contains("id=out,"));
     cluster.members[1..].iter().for_each(|member| member.seen.try_iter().for_each(drop));
-    // Where the primary does not answer its reads are declined; none is answered from older data.
+    // While the primary does not answer, the session's reads are declined; none is answered from older data.
     let at_replicas = |id: &str| {
         let served =
             (0..20).filter(|i| front.client().ask(&txn("lookup", 500, &format!("{id}{i}"))).value.is_some());
         (served.count(), cluster.received_nothing(1) && cluster.received_nothing(2))
     };
     assert!(at_replicas("beside").1);
-    // Nor does it ever: its connection is reset. Another session's order finds the primary again.
+    // The answer never comes: the connection is reset. Another session's order finds the primary again.
     cluster.members[0].cut();
     let told = Client { stream: write.stream }.reply();
     assert!(told.value.is_none() && told.code.as_deref() != Some("53300"), "it may have run: {told:?}");
--- a/crates/front/tests/calls.rs
+++ b/crates/front/tests/syscall_faults.rs
@@ -1,4 +1,4 @@
-//! The machine's calls fail for a while, through a library of ours in the process: nothing that passes ends anything.
+//! System calls fail for a while, through a preloaded library: no passing fault may end a connection or the process.
 
 use cluster::{PROGRAM, TestCluster, wait_until};
 use juniperdock_fault_controls::{Controls, preload};
@@ -11,9 +11,9 @@
 
 mod cluster;
 
-/// Every call that these faults can meet does.
+/// Every call that these faults can affect fails.
 const EVERY_CALL: u32 = 65_536;
-/// One in eight.
+/// One call in eight.
 const ONE_IN_EIGHT: u32 = EVERY_CALL / 8;
 
 struct Faults(PathBuf);
@@ -33,7 +33,7 @@
         self.front_with(cluster, None)
     }
 
-    /// With the text of an operators' file.
+    /// Starts a front with the text of an operators' file.
     fn front_with(&self, cluster: &TestCluster, charter: Option<&str>) -> Front {
         let environment = preload(&self.0).expect("the library");
         let config = Front::config(&cluster.server_list, 1024);
@@ -64,7 +64,7 @@
         let cluster = TestCluster::new();
         let faults = Faults::new("signal", Controls { seed, fails: EVERY_CALL / 2, ..Controls::default() });
         let front = faults.front(&cluster);
-        // It waits for signals once it serves; every other read fails by then.
+        // The front waits for signals once it serves; every other read fails by then.
         wait_until(|| TcpStream::connect(front.at).is_ok());
         let serves = Instant::now();
         wait_until(|| serves.elapsed() > Duration::from_millis(100));
@@ -84,7 +84,7 @@
     let front = faults.front_with(&cluster, Some(&charter));
     wait_until(|| snapshot.exists());
     faults.set(Controls { disk: EVERY_CALL / 2, ..Controls::default() });
-    // Five more are due; whichever of them comes to its end, what lies there is whole.
+    // Five more snapshots are due; whichever of them is completed, the file is never partial.
     let fails = Instant::now();
     wait_until(|| {
         let shown = Command::new(PROGRAM).args(["snapshot", "show"]).arg(&snapshot).output();
@@ -121,8 +121,8 @@
     assert!(well && text.contains("violations=0"), "{text}");
 }
 
-/// Statements of 64 KiB that the machine moves in parts, a few bytes to some thousand at a time, arrive as they were sent, each
-/// once and behind no piece of another; so do their answers.
+/// Statements of 64 KiB that are read and written in parts of a few bytes to some thousand arrive as they were sent,
+/// each once and without bytes of another; so do their answers.
 #[test]
 fn long_statements_with_short_reads_and_writes_arrive_whole() {
     let cluster = TestCluster::new();
@@ -150,7 +150,7 @@
     assert!(well && text.contains("violations=0"), "{text}");
 }
 
-/// Well inside the 0.45 s for which a process that ends still takes clients in.
+/// Well within the 0.45 s for which a process that ends still accepts clients.
 const ACCEPT_TIME: Duration = Duration::from_millis(200);
 
 #[test]
--- a/crates/front/tests/unit/member.rs
+++ b/crates/front/tests/unit/member.rs
@@ -1,4 +1,4 @@
-//! A server's pool and its connections, one step at a time.
+//! A member's pool and its connections, one step at a time.
 
 use super::*;
 use juniperdock_request_guard::{ClientPresence, RequestGuard};
@@ -21,7 +21,7 @@
     }
 }
 
-/// Nobody who could leave.
+/// A client that never leaves.
 struct Stays;
 
 impl ClientPresence for Stays {
@@ -46,7 +46,7 @@
     let ((sender, receiver), (dispatcher, reported)) = (channel(), channel());
     let member =
         MemberPool::new(3, SocketAddr::from(([127, 0, 0, 1], 1)), sender.clone(), context(dispatcher));
-    // All in one go: the list lets it go, and the router asks it all the same. There is no room for a connection.
+    // Both at once: the list removes the member, and the router still probes it. The limit allows no connection.
     let _ = sender.send(MemberMessage::Removed);
     let _ = sender.send(MemberMessage::Job(Job::Probe { at: Duration::ZERO }));
     member.run(&receiver);
@@ -109,7 +109,7 @@
     assert!(report("x0=soon", &origin).is_err());
 }
 
-/// Carries one job over a connection of its own, as its coroutine does; gives what the dispatcher is told.
+/// Carries one job over a connection of its own, as its coroutine does; returns the messages to the dispatcher.
 fn carry(address: SocketAddr, messages: Receiver<ConnectionMessage>) -> Vec<DispatcherMessage> {
     let ((pool, _pool), (dispatcher, reported)) = (channel(), channel());
     let (ended, end) = std::sync::mpsc::channel();
@@ -139,7 +139,7 @@
         let (mut stream, _) = listener.accept().expect("a connection");
         let mut all = vec![0; pg::startup("api", "ledger").len()];
         std::io::Read::read_exact(&mut stream, &mut all).expect("an opening");
-        // Nobody rings: the cancel lies in the mail when the welcome comes.
+        // The waker is not used: the cancellation is in the queue when the welcome arrives.
         let _ = sender.send(ConnectionMessage::Cancel(7));
         drop(sender);
         let mut welcome = Vec::new();
--- a/crates/front/tests/unit/worker_watchdog.rs
+++ b/crates/front/tests/unit/worker_watchdog.rs
@@ -1,4 +1,4 @@
-//! Of a worker that slept, and of one that did not.
+//! Workers that slept, and workers that did not.
 
 use super::*;
 
@@ -44,7 +44,7 @@
     let mut watchdog = WorkerWatchdog::new(true);
     assert_eq!(watchdog.tick(ms(20), ms(21)), None);
     assert_eq!(watchdog.tick(ms(40), ms(150)).map(|delay| delay.queued_for), Some(ms(110)));
-    // Posted while the one before lay.
+    // Sent while the previous tick was queued.
     assert_eq!(watchdog.tick(ms(60), ms(150)), None);
     assert_eq!(watchdog.tick(ms(160), ms(161)), None);
     assert_eq!(watchdog.tick(ms(180), ms(230)).map(|delay| delay.queued_for), Some(ms(50)));
--- a/crates/front/tests/worker.rs
+++ b/crates/front/tests/worker.rs
@@ -1,5 +1,5 @@
-//! Who wakes the actors: the worker itself. Another thread that is stopped half-way through handing over what it has woken
-//! makes the worker spin until that thread runs again.
+//! Actors are woken by the worker itself. If another thread were stopped half-way through waking one, the worker
+//! would spin until that thread runs again.
 
 use juniperdock_connection::spawn;
 use juniperdock_front::clock::Clock;
