--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -73,7 +73,7 @@
 /// The clocks of this process and its timers.
 #[derive(Clone)]
 pub struct Clock {
-    begun: Instant,
+    started_at: Instant,
     /// Unix time at the start, in microseconds, as corrected so far.
     start_unix: Arc<AtomicI64>,
     queue: Arc<TimerQueue>,
@@ -90,19 +90,19 @@
     /// If the kernel's timer can't be opened.
     pub fn start(max_wait: Duration) -> Result<(Clock, impl FnOnce() + Send), String> {
         let timer = Timer::open(max_wait).map_err(|e| format!("opening a timer: {e}"))?;
-        let (begun, unix) = read_both_clocks();
+        let (started_at, unix) = read_both_clocks();
         let start_unix = Arc::new(AtomicI64::new(unix.as_micros() as i64));
         let timers = Timers { wheel: TimerWheel::new(TIMER_TICK), next_check: Duration::ZERO };
         let queue = Arc::new(TimerQueue { timers: Mutex::new(timers), timer: timer.setter() });
         let (activity, servers) = (Arc::default(), Arc::default());
-        let clock = Clock { begun, start_unix, queue, activity, servers };
+        let clock = Clock { started_at, start_unix, queue, activity, servers };
         let its_clock = clock.clone();
         Ok((clock, move || run_timers(&its_clock, &timer)))
     }
 
     /// The time since the start, by the monotonic clock.
     pub fn now(&self) -> Duration {
-        self.begun.elapsed()
+        self.started_at.elapsed()
     }
 
     /// The wall-clock time at the start, as corrected so far, which places positions on the monotonic clock.
@@ -242,11 +242,11 @@
 fn read_both_clocks() -> (Instant, Duration) {
     let mut tries = 0;
     loop {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         tries += 1;
-        if begun.elapsed() <= MAX_READ_SPAN || tries == MAX_READS {
-            return (begun, unix);
+        if started_at.elapsed() <= MAX_READ_SPAN || tries == MAX_READS {
+            return (started_at, unix);
         }
     }
 }
--- a/crates/front/src/discovery_client.rs
+++ b/crates/front/src/discovery_client.rs
@@ -188,12 +188,12 @@
     /// Watches until it fails or is stopped; returns why.
     fn run(&self, after: Option<u64>) -> WatchEnd {
         let failed = |why: String| WatchEnd::Failed(why);
-        let (request, begun) = (watch_request(&self.address.to_string(), after), self.clock.now());
+        let (request, started_at) = (watch_request(&self.address.to_string(), after), self.clock.now());
         let up = |waker| {
             let _ = self.list.send(DiscoveryMessage::WakerReady(self.number, waker));
         };
         let wanted =
-            ConnectRequest { to: self.address, until: begun + CONNECT_TIMEOUT, limits: BUFFER_LIMITS };
+            ConnectRequest { to: self.address, until: started_at + CONNECT_TIMEOUT, limits: BUFFER_LIMITS };
         let stopped = || self.stop.load(Ordering::Relaxed);
         let mut link = match connect(&self.clock, &wanted, &up, &stopped) {
             Ok(link) => link,
@@ -202,7 +202,7 @@
         if let Err(why) = link.queue(request.as_bytes()) {
             return failed(why.to_string());
         }
-        let (mut answer, mut signs, mut silent) = (Answer::default(), 0, begun + FIRST_LIST_TIMEOUT);
+        let (mut answer, mut signs, mut silent) = (Answer::default(), 0, started_at + FIRST_LIST_TIMEOUT);
         let waker = link.bell();
         self.clock.run_at(silent, move || waker.ring());
         for busy in 1u32.. {
--- a/crates/front/src/member.rs
+++ b/crates/front/src/member.rs
@@ -127,8 +127,8 @@
         match message {
             MemberMessage::Job(job) => self.assign(job),
             MemberMessage::Cancel(request_id) => {
-                let its = |c: &&Connection| c.request_id == Some(request_id);
-                if let Some(c) = self.connections.values().find(its) {
+                let has_request = |c: &&Connection| c.request_id == Some(request_id);
+                if let Some(c) = self.connections.values().find(has_request) {
                     send(c, ConnectionMessage::Cancel(request_id));
                 }
             }
@@ -377,9 +377,9 @@
 
     /// Opens or adopts the connection, then carries jobs until it ends.
     fn serve_jobs(&self, current: &mut Option<Job>, adopted: Option<TcpStream>) {
-        let begun = self.context.clock.now();
+        let started_at = self.context.clock.now();
         let first = match (current.as_ref(), adopted) {
-            (Some(job), _) => match self.open_session(job, begun) {
+            (Some(job), _) => match self.open_session(job, started_at) {
                 Ok(link) => Some(link),
                 Err(outcome) => {
                     if let Some(job) = current.take() {
@@ -398,7 +398,7 @@
             (None, None) => None,
         };
         let Some(mut link) = first else { return };
-        let took = (self.context.clock.now() - begun).as_micros() as u64;
+        let took = (self.context.clock.now() - started_at).as_micros() as u64;
         if current.is_some() {
             self.context.counters.connect_most_us.record_max(took);
         }
@@ -471,8 +471,8 @@
     }
 
     /// Connects, and waits until the member is ready; the error is the outcome of the job that needed the connection.
-    fn open_session(&self, job: &Job, begun: Duration) -> Result<Link, AttemptOutcome> {
-        let (clock, limit) = (&self.context.clock, begun + self.context.connect_timeout);
+    fn open_session(&self, job: &Job, started_at: Duration) -> Result<Link, AttemptOutcome> {
+        let (clock, limit) = (&self.context.clock, started_at + self.context.connect_timeout);
         let deadline = self.deadline(job);
         let until = limit.min(deadline);
         // Running out of the txn's time proves nothing about the member.
--- a/crates/front/tests/end_to_end.rs
+++ b/crates/front/tests/end_to_end.rs
@@ -100,7 +100,7 @@
     let two = [row(b"one"), row(b"two")].concat();
     let none = error("53300");
     let (wide, swapped) = (row(b"a")[1..].to_vec(), [&row(b"a")[27..], &row(b"a")].concat());
-    for says in [
+    for answer in [
         b"hello".to_vec(),
         two,
         message(b'D', &[0, 2]),
@@ -116,10 +116,10 @@
     ] {
         // The member stays up and keeps its slot.
         assert!(client.ask(&txn("order", 2000, "good")).value.is_some());
-        cluster.members[0].once(Does::Says(says.clone()));
+        cluster.members[0].once(Does::Says(answer.clone()));
         let reply = client.ask(&txn("order", 2000, "bad"));
-        assert_eq!((reply.value, reply.last), (None, b'Z'), "{says:?}");
-        assert!(reply.code.is_some_and(|code| code != "53300"), "no decline, it may have run: {says:?}");
+        assert_eq!((reply.value, reply.last), (None, b'Z'), "{answer:?}");
+        assert!(reply.code.is_some_and(|code| code != "53300"), "no decline, it may have run: {answer:?}");
     }
     // An error about the statement goes to the client unchanged; no other member is tried.
     cluster.members[0].once(Does::Fails("42601"));
@@ -257,7 +257,7 @@
     assert_eq!(&answer, b"N", "no encryption, said in plain");
     let mut text = Vec::new();
     open(&[0, 0, 0, 16, 4, 210, 22, 46, 0, 0, 0, 1, 0, 0, 0, 2]).read_to_end(&mut text).unwrap();
-    assert!(text.is_empty(), "a cancel is closed without a word");
+    assert!(text.is_empty(), "a cancel request is closed without an answer");
     open(b"GET / HTTP/1.1\r\n\r\n").read_to_end(&mut text).unwrap();
     assert!(text.starts_with(b"E"));
     // Nothing sent, half a startup, half a message: each must be completed in time.
@@ -477,8 +477,8 @@
         ),
     ] {
         std::fs::write(&file, text).unwrap();
-        let told = run(file.to_str().unwrap());
-        assert!(told.contains(names) && told.lines().count() == 1, "{text}: {told}");
+        let output = run(file.to_str().unwrap());
+        assert!(output.contains(names) && output.lines().count() == 1, "{text}: {output}");
     }
     let _ = std::fs::remove_file(file);
 }
--- a/crates/front/tests/races.rs
+++ b/crates/front/tests/races.rs
@@ -261,10 +261,10 @@
 
     /// From now on connects succeed when they are next retried.
     fn opens(self) -> Receiver<String> {
-        let (tell, seen) = channel();
+        let (sender, seen) = channel();
         std::thread::spawn(move || {
             drop(self.fill);
-            let store = std::sync::Arc::new(Primary(Mutex::new(tell)));
+            let store = std::sync::Arc::new(Primary(Mutex::new(sender)));
             for stream in self.listener.incoming().flatten() {
                 let store = store.clone();
                 std::thread::spawn(move || serve(stream, store.as_ref()));
@@ -460,7 +460,7 @@
         // the front continues.
         let stopped = std::time::Instant::now();
         let at = front.at;
-        let asks = std::thread::spawn(move || {
+        let request = std::thread::spawn(move || {
             let mut stream = TcpStream::connect(at).expect("the machine takes it in");
             stream.set_read_timeout(Some(PATIENCE)).expect("a time");
             let query = message(b'Q', format!("{}\0", txn("order", 20_000, "last")).as_bytes());
@@ -471,7 +471,7 @@
         });
         wait_until(|| stopped.elapsed() > Duration::from_millis(700));
         front.signal("-CONT");
-        let text = asks.join().expect("an end");
+        let text = request.join().expect("an end");
         assert!(text.contains("id=last,"), "{text:?}");
         assert!(front.end().0);
     }
@@ -493,14 +493,14 @@
         }
         let stopped = std::time::Instant::now();
         let at = front.at;
-        let asks = std::thread::spawn(move || {
+        let request = std::thread::spawn(move || {
             // Its startup is answered by a front that already closes its connections.
             let mut client = Client::open(at)?;
             client.tell(&txn("order", 20_000, "last")).then(|| client.reply().value.is_some())
         });
         wait_until(|| stopped.elapsed() > Duration::from_millis(700));
         front.signal("-CONT");
-        asks.join().expect("an end") == Some(true)
+        request.join().expect("an end") == Some(true)
     };
     // A busy machine may exceed that time now and then.
     assert!((0..10).any(|_| served()));
@@ -574,20 +574,20 @@
     let front = cluster.start_front();
     assert!(front.client().ask(&txn("lookup", 20_000, "r")).value.is_some());
     let flood = front.client();
-    let (mut says, mut hears) = (flood.stream.try_clone().expect("a copy"), flood.stream);
+    let (mut writer, mut reader) = (flood.stream.try_clone().expect("a copy"), flood.stream);
     let said = message(b'Q', b"SET a = 1\0").repeat(4096);
-    let says = std::thread::spawn(move || while says.write_all(&said).is_ok() {});
-    let stream = hears.try_clone().expect("a copy");
-    let hears = std::thread::spawn(move || {
+    let writer = std::thread::spawn(move || while writer.write_all(&said).is_ok() {});
+    let stream = reader.try_clone().expect("a copy");
+    let reader = std::thread::spawn(move || {
         let mut piece = vec![0; 1 << 16];
-        while hears.read(&mut piece).is_ok_and(|n| n > 0) {}
+        while reader.read(&mut piece).is_ok_and(|n| n > 0) {}
     });
     let mut other = front.client();
     for i in 0..20 {
         assert!(other.ask(&txn("order", 20_000, &format!("w{i}"))).value.is_some());
     }
     stream.shutdown(Shutdown::Both).expect("an end");
-    says.join().and(hears.join()).expect("no panic");
+    writer.join().and(reader.join()).expect("no panic");
 }
 
 #[test]
@@ -600,17 +600,17 @@
     let talks = cluster
         .server_list
         .replace(&cluster.members[1].at.to_string(), &listener.local_addr().unwrap().to_string());
-    let (tell, said) = channel();
+    let (sender, said) = channel();
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
-            let tell = tell.clone();
+            let sender = sender.clone();
             std::thread::spawn(move || {
                 let welcome = [message(b'R', &[0; 4]), ready()].concat();
                 let _ = stream.read(&mut [0; 512]).and_then(|_| stream.write_all(&welcome));
                 let asked = stream.read(&mut [0; 4096]);
                 let notice = message(b'N', b"SNOTICE\0C00000\0Mstill at it\0\0").repeat(4096);
                 if asked.is_ok_and(|n| n > 0) {
-                    let _ = tell.send(());
+                    let _ = sender.send(());
                     while stream.write_all(&notice).is_ok() {}
                 }
             });
@@ -751,8 +751,8 @@
     for load in loads {
         let cluster = TestCluster::new();
         let front = start_front_without_probes(&cluster, |config| config);
-        let told = [&b"server_load\0"[..], load, &[0]].concat();
-        cluster.members[0].set(Does::Says([row(b"whole"), message(b'S', &told)].concat()));
+        let parameter_body = [&b"server_load\0"[..], load, &[0]].concat();
+        cluster.members[0].set(Does::Says([row(b"whole"), message(b'S', &parameter_body)].concat()));
         let mut client = front.client();
         for i in 0..3 {
             let reply = client.ask(&txn("order", 20_000, &format!("o{i}")));
@@ -774,14 +774,14 @@
 impl ScriptedAgent {
     fn start(answers: Vec<String>) -> ScriptedAgent {
         let listener = TcpListener::bind(address()).expect("a free address");
-        let (at, (tell, asked)) = (listener.local_addr().expect("an address"), channel());
+        let (at, (sender, asked)) = (listener.local_addr().expect("an address"), channel());
         std::thread::spawn(move || {
             let mut open = Vec::new();
             for (i, mut stream) in listener.incoming().flatten().enumerate() {
-                let mut asks = [0; 4096];
-                let n = stream.read(&mut asks).unwrap_or(0);
-                let _ =
-                    tell.send(String::from_utf8_lossy(&asks[..n]).lines().next().unwrap_or("").to_owned());
+                let mut request = [0; 4096];
+                let n = stream.read(&mut request).unwrap_or(0);
+                let _ = sender
+                    .send(String::from_utf8_lossy(&request[..n]).lines().next().unwrap_or("").to_owned());
                 let _ = stream.write_all(answers[i.min(answers.len() - 1)].as_bytes());
                 open.push(stream);
             }
@@ -942,8 +942,8 @@
     assert!(at_replicas("beside").1);
     // The answer never comes: the connection is reset. Another session's order finds the primary again.
     cluster.members[0].cut();
-    let told = Client { stream: write.stream }.reply();
-    assert!(told.value.is_none() && told.code.as_deref() != Some("53300"), "it may have run: {told:?}");
+    let reply = Client { stream: write.stream }.reply();
+    assert!(reply.value.is_none() && reply.code.as_deref() != Some("53300"), "it may have run: {reply:?}");
     wait_until(|| front.client().ask(&other("next")).value.is_some());
     cluster.members[1..].iter().for_each(|member| member.seen.try_iter().for_each(drop));
     assert_eq!(at_replicas("after"), (20, true));
--- a/crates/front/tests/syscall_faults.rs
+++ b/crates/front/tests/syscall_faults.rs
@@ -141,9 +141,10 @@
     faults.set(Controls::default());
     let seen: Vec<String> = cluster.members.iter().flat_map(|member| member.seen.try_iter()).collect();
     for i in 0..6 {
-        let its: Vec<&String> = seen.iter().filter(|seen| seen.contains(&format!("id=part{i},"))).collect();
-        assert_eq!(its.len(), 1, "statement {i} arrives once");
-        assert!(its[0].contains(&format!("'{long}') RETURNING blob")), "statement {i} is whole");
+        let matching: Vec<&String> =
+            seen.iter().filter(|seen| seen.contains(&format!("id=part{i},"))).collect();
+        assert_eq!(matching.len(), 1, "statement {i} arrives once");
+        assert!(matching[0].contains(&format!("'{long}') RETURNING blob")), "statement {i} is whole");
     }
     front.signal("-TERM");
     let (well, text) = front.end();
--- a/crates/front/tests/unit/member.rs
+++ b/crates/front/tests/unit/member.rs
@@ -53,7 +53,7 @@
     let full = |message| {
         matches!(message, DispatcherMessage::Probed { member: 3, outcome: AttemptOutcome::Full, .. })
     };
-    assert!(reported.try_iter().any(full), "it hears what came of its probe");
+    assert!(reported.try_iter().any(full), "the outcome of the probe is reported");
 }
 
 #[test]
@@ -63,7 +63,7 @@
     context.max_connections = 9;
     let mut member = MemberPool::new(3, SocketAddr::from(([127, 0, 0, 1], 1)), sender, context);
     member.handle(MemberMessage::Job(submit(Duration::ZERO)));
-    assert!(member.connections.is_empty(), "no handshake for nobody");
+    assert!(member.connections.is_empty(), "no connection is opened");
     let moot = |message| matches!(message, DispatcherMessage::AttemptEnded(end) if end.request_id == 7 && end.outcome == AttemptOutcome::Moot);
     assert!(reported.try_iter().any(moot));
 }
@@ -93,7 +93,7 @@
     assert!(connection.cancelled(&job));
     drop(sender);
     let mut left = std::iter::from_fn(|| connection.next_message().ok());
-    assert!(left.any(|message| matches!(message, ConnectionMessage::Close)), "it is still told to close");
+    assert!(left.any(|message| matches!(message, ConnectionMessage::Close)), "Close is still delivered");
     assert!(connection.next_message().is_err());
 }
 
@@ -160,5 +160,5 @@
     let _ = sender.send(ConnectionMessage::Cancel(7));
     assert!(carry(address, receiver).iter().any(is_moot), "it never ran");
     listener.set_nonblocking(true).expect("a socket");
-    assert!(listener.accept().is_err(), "no handshake for nobody");
+    assert!(listener.accept().is_err(), "no connection is opened");
 }
