--- a/crates/front/src/client.rs
+++ b/crates/front/src/client.rs
@@ -32,7 +32,7 @@
 
 /// What a client may have sent and not been answered. What exceeds it is refused when its turn comes, but read all
 /// the same: the front could not notice that a client leaves while its bytes are unread.
-const PIPELINE: Limits = Limits { started: 64, request_bytes: MAX_INBOUND, answer_bytes: pg::LONGEST };
+const PIPELINE_LIMITS: Limits = Limits { started: 64, request_bytes: MAX_INBOUND, answer_bytes: pg::LONGEST };
 
 /// Bytes that a request takes beside its text, rounded up.
 const REQUEST_OVERHEAD: usize = 512;
@@ -108,7 +108,7 @@
         mailbox,
         open,
         no_txn_yet: true,
-        pipeline: Pipeline::new(PIPELINE),
+        pipeline: Pipeline::new(PIPELINE_LIMITS),
         guards: HashMap::new(),
         arrival_times: ArrivalTimes::default(),
         skipping,
--- a/crates/front/src/client/drain.rs
+++ b/crates/front/src/client/drain.rs
@@ -91,7 +91,7 @@
         let outstanding = self.outstanding();
         if outstanding.is_none() {
             self.closing = self.closing.or(self.draining);
-        } else if !active && outstanding.unanswered == 0 && outstanding.unsent == 0 && self.makes_room() {
+        } else if !active && outstanding.unanswered == 0 && outstanding.unsent == 0 && self.frees_slot() {
             self.refuse_half_read();
         }
         let done = self.pipeline.is_empty() && self.link.flushed();
@@ -103,7 +103,7 @@
     }
 
     /// Whether it ends because other clients need its slot.
-    fn makes_room(&self) -> bool {
+    fn frees_slot(&self) -> bool {
         matches!(self.draining, Some(CloseReason::MadeRoom | CloseReason::Idle)) && self.closing.is_none()
     }
 
@@ -163,8 +163,8 @@
             self.link.close();
             self.shared.mark_closing(self.slot);
         }
-        let makes_room = matches!(self.closing, Some(CloseReason::MadeRoom | CloseReason::Idle));
-        let span = if makes_room { SHORT_LINGER } else { LINGER };
+        let frees_slot = matches!(self.closing, Some(CloseReason::MadeRoom | CloseReason::Idle));
+        let span = if frees_slot { SHORT_LINGER } else { LINGER };
         let until = *self.linger_until.get_or_insert(now + span);
         self.link.inbound.clear();
         now >= until || self.link.ended
--- a/crates/front/src/clients.rs
+++ b/crates/front/src/clients.rs
@@ -116,7 +116,7 @@
     pub(crate) open: bool,
     asked_to_leave: bool,
     /// Its sending side is closed.
-    closing: bool,
+    sending_closed: bool,
 }
 
 impl ClientSlot {
@@ -242,7 +242,13 @@
         let id = slots.next;
         slots.taken.insert(
             id,
-            ClientSlot { waker, idle_since: Some(now), open: false, asked_to_leave: false, closing: false },
+            ClientSlot {
+                waker,
+                idle_since: Some(now),
+                open: false,
+                asked_to_leave: false,
+                sending_closed: false,
+            },
         );
         (id, found)
     }
@@ -256,7 +262,7 @@
         let Some(slot) = slots.taken.get_mut(&id) else { return IdleAction::CheckAt(Duration::MAX) };
         let since = slot.idle_since.unwrap_or(now).max(progress);
         // A closing client stays the first to go.
-        slot.idle_since = if slot.closing { slot.idle_since } else { idle.then_some(since) };
+        slot.idle_since = if slot.sending_closed { slot.idle_since } else { idle.then_some(since) };
         if slot.asked_to_leave {
             return IdleAction::Leave(CloseReason::MadeRoom);
         }
@@ -279,7 +285,7 @@
     /// Records that a client's connection is closing: it is the first to go when slots are needed.
     pub(crate) fn mark_closing(&self, id: u64) {
         if let Some(slot) = self.slots().taken.get_mut(&id) {
-            (slot.idle_since, slot.closing) = (Some(Duration::ZERO), true);
+            (slot.idle_since, slot.sending_closed) = (Some(Duration::ZERO), true);
         }
     }
 
