--- a/crates/front/src/counters.rs
+++ b/crates/front/src/counters.rs
@@ -1,4 +1,4 @@
-//! What the front has taken in, sent and answered; printed on request and at exit.
+//! Counters of what the front received, sent and answered. They are printed on request and at exit.
 
 use juniperdock_request_guard::Invariants;
 use std::fmt;
@@ -9,8 +9,8 @@
     ($($name:ident),+ $(,)?) => {
         #[derive(Debug, Default)]
         pub struct Counters {
-            $(pub $name: Count,)+
-            /// What must never happen.
+            $(pub $name: Counter,)+
+            /// Counts of violations that must never happen.
             pub invariants: Arc<Invariants>,
         }
 
@@ -24,9 +24,10 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Count(AtomicU64);
+/// One counter or gauge; safe to update from any thread.
+pub struct Counter(AtomicU64);
 
-impl Count {
+impl Counter {
     pub fn add(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
@@ -35,7 +36,8 @@
         self.0.fetch_add(u64::from(counts), Ordering::Relaxed);
     }
 
-    pub fn at_least(&self, amount: u64) {
+    /// Raises the value to `amount` if it is lower.
+    pub fn record_max(&self, amount: u64) {
         self.0.fetch_max(amount, Ordering::Relaxed);
     }
 
--- a/crates/front/tests/unit/member.rs
+++ b/crates/front/tests/unit/member.rs
@@ -1,10 +1,10 @@
-//! A server's pool and its connections, one step at a time.
+//! A member's pool and its connections, one step at a time.
 
 use super::*;
 use juniperdock_request_guard::{ClientPresence, RequestGuard};
 
-fn reach(dispatcher: Sender<DispatcherMessage>) -> PoolContext {
-    let (clock, _ring) = Clock::start(Duration::ZERO).expect("a clock");
+fn context(dispatcher: Sender<DispatcherMessage>) -> PoolContext {
+    let (clock, _run_timers) = Clock::start(Duration::ZERO).expect("a clock");
     let second = Duration::from_secs(1);
     PoolContext {
         clock,
@@ -21,7 +21,7 @@
     }
 }
 
-/// Nobody who could leave.
+/// A client that never leaves.
 struct Stays;
 
 impl ClientPresence for Stays {
@@ -36,117 +36,129 @@
 
 fn submit(until: Duration) -> Job {
     let (statement, left, at) = ("".into(), 0..0, Duration::ZERO);
-    let give_up = Duration::from_secs(3600);
+    let deadline = Duration::from_secs(3600);
     let permit = guard().permit(until);
-    Job::Submit(crate::messages::Submit { ticket: 7, statement, left, give_up, permit, at })
+    Job::Submit(crate::messages::Submit { request_id: 7, statement, left, deadline, permit, at })
 }
 
 #[test]
-fn mail_behind_the_word_to_leave_is_not_lost() {
-    let ((mail, read), (desk, told)) = (channel(), channel());
-    let member = MemberPool::new(3, SocketAddr::from(([127, 0, 0, 1], 1)), mail.clone(), reach(desk));
-    // All in one go: the list lets it go, and the router asks it all the same. There is no room for a connection.
-    let _ = mail.send(MemberMessage::Leave);
-    let _ = mail.send(MemberMessage::Job(Job::Probe { at: Duration::ZERO }));
-    member.run(&read);
-    let full =
-        |mail| matches!(mail, DispatcherMessage::Probed { member: 3, ending: AttemptOutcome::Full, .. });
-    assert!(told.try_iter().any(full), "it hears what came of its probe");
+fn messages_behind_a_removal_are_handled() {
+    let ((sender, receiver), (dispatcher, reported)) = (channel(), channel());
+    let member =
+        MemberPool::new(3, SocketAddr::from(([127, 0, 0, 1], 1)), sender.clone(), context(dispatcher));
+    // Both at once: the list removes the member, and the router still probes it. The limit allows no connection.
+    let _ = sender.send(MemberMessage::Removed);
+    let _ = sender.send(MemberMessage::Job(Job::Probe { at: Duration::ZERO }));
+    member.run(&receiver);
+    let full = |message| {
+        matches!(message, DispatcherMessage::Probed { member: 3, outcome: AttemptOutcome::Full, .. })
+    };
+    assert!(reported.try_iter().any(full), "the outcome of the probe is reported");
 }
 
 #[test]
-fn nothing_is_connected_for_what_is_not_to_be_written_any_more() {
-    let ((mail, _read), (desk, told)) = (channel(), channel());
-    let mut reach = reach(desk);
-    reach.max_connections = 9;
-    let mut member = MemberPool::new(3, SocketAddr::from(([127, 0, 0, 1], 1)), mail, reach);
-    member.take(MemberMessage::Job(submit(Duration::ZERO)));
-    assert!(member.connections.is_empty(), "no handshake for nobody");
-    let moot = |mail| matches!(mail, DispatcherMessage::Ended(end) if end.ticket == 7 && end.ending == AttemptOutcome::Moot);
-    assert!(told.try_iter().any(moot));
+fn no_connection_is_opened_for_an_expired_permit() {
+    let ((sender, _receiver), (dispatcher, reported)) = (channel(), channel());
+    let mut context = context(dispatcher);
+    context.max_connections = 9;
+    let mut member = MemberPool::new(3, SocketAddr::from(([127, 0, 0, 1], 1)), sender, context);
+    member.handle(MemberMessage::Job(submit(Duration::ZERO)));
+    assert!(member.connections.is_empty(), "no connection is opened");
+    let moot = |message| matches!(message, DispatcherMessage::AttemptEnded(end) if end.request_id == 7 && end.outcome == AttemptOutcome::Moot);
+    assert!(reported.try_iter().any(moot));
 }
 
 #[test]
-fn a_look_for_a_cancel_takes_no_other_mail_away() {
-    let ((pool, _pool), (desk, _desk), (mail, read)) = (channel(), channel(), channel());
-    let (kept, rings) = (RefCell::default(), Cell::default());
+fn cancel_check_keeps_other_messages() {
+    let ((pool, _pool), (dispatcher, _dispatcher), (sender, receiver)) = (channel(), channel(), channel());
+    let (deferred, timer_set_for) = (RefCell::default(), Cell::default());
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
-    let line = Line { id: 1, member: 3, address, pool, reach: reach(desk), mail: read, kept, rings };
+    let connection = ServerConnection {
+        id: 1,
+        member: 3,
+        address,
+        pool,
+        context: context(dispatcher),
+        messages: receiver,
+        deferred,
+        timer_set_for,
+    };
     let job = submit(Duration::MAX);
-    for ticket in [8, 9] {
-        let _ = mail.send(ToConnection::Cancel(ticket));
+    for request_id in [8, 9] {
+        let _ = sender.send(ConnectionMessage::Cancel(request_id));
     }
-    let _ = mail.send(ToConnection::Close);
-    assert!(!line.cancelled(&job), "another's");
-    let _ = mail.send(ToConnection::Cancel(7));
-    assert!(line.cancelled(&job));
-    drop(mail);
-    let mut left = std::iter::from_fn(|| line.next_mail().ok());
-    assert!(left.any(|mail| matches!(mail, ToConnection::Close)), "it is still told to close");
-    assert!(line.next_mail().is_err());
+    let _ = sender.send(ConnectionMessage::Close);
+    assert!(!connection.cancelled(&job), "another's");
+    let _ = sender.send(ConnectionMessage::Cancel(7));
+    assert!(connection.cancelled(&job));
+    drop(sender);
+    let mut left = std::iter::from_fn(|| connection.next_message().ok());
+    assert!(left.any(|message| matches!(message, ConnectionMessage::Close)), "Close is still delivered");
+    assert!(connection.next_message().is_err());
 }
 
 #[test]
-fn a_report_not_made_yet_tells_no_role() {
+fn report_of_a_member_that_made_none_has_no_role() {
     let origin = Origin { start: 1_796_135_196_000_000, zero: 0 };
-    let told = |text| report(text, &origin).expect("a report");
-    let none = told("x0=0.000,x1=0,q=0,busy=0");
+    let reported = |text| report(text, &origin).expect("a report");
+    let none = reported("x0=0.000,x1=0,q=0,busy=0");
     assert!(none.role.is_none() && none.position.is_none());
-    assert!(told("").role.is_none());
-    let made = told("x0=1796135196.444,x1=1,q=0,busy=0.056");
+    assert!(reported("").role.is_none());
+    let made = reported("x0=1796135196.444,x1=1,q=0,busy=0.056");
     assert_eq!((made.role, made.position), (Some(Role::Primary), Some(Duration::from_millis(444))));
     assert!(report("x0=soon", &origin).is_err());
 }
 
-/// Carries one job over a connection of its own, as its coroutine does; gives what the dispatcher is told.
-fn carry(address: SocketAddr, mail: Receiver<ToConnection>) -> Vec<DispatcherMessage> {
-    let ((pool, _pool), (desk, told)) = (channel(), channel());
+/// Carries one job over a connection of its own, as its coroutine does; returns the messages to the dispatcher.
+fn carry(address: SocketAddr, messages: Receiver<ConnectionMessage>) -> Vec<DispatcherMessage> {
+    let ((pool, _pool), (dispatcher, reported)) = (channel(), channel());
     let (ended, end) = std::sync::mpsc::channel();
-    let reach = reach(desk);
-    spawn("line", reach.stack_bytes, move || {
-        let (kept, rings) = (RefCell::default(), Cell::default());
-        let line = Line { id: 1, member: 3, address, pool, reach, mail, kept, rings };
-        line.live(&mut Some(submit(Duration::from_secs(3600))), None);
+    let context = context(dispatcher);
+    spawn("line", context.stack_bytes, move || {
+        let (deferred, timer_set_for) = (RefCell::default(), Cell::default());
+        let connection =
+            ServerConnection { id: 1, member: 3, address, pool, context, messages, deferred, timer_set_for };
+        connection.serve_jobs(&mut Some(submit(Duration::from_secs(3600))), None);
         let _ = ended.send(());
     })
     .expect("a coroutine");
     end.recv_timeout(Duration::from_secs(20)).expect("it ends");
-    told.try_iter().collect()
+    reported.try_iter().collect()
 }
 
-fn is_moot(mail: &DispatcherMessage) -> bool {
-    matches!(mail, DispatcherMessage::Ended(end) if end.ticket == 7 && end.ending == AttemptOutcome::Moot)
+fn is_moot(message: &DispatcherMessage) -> bool {
+    matches!(message, DispatcherMessage::AttemptEnded(end) if end.request_id == 7 && end.outcome == AttemptOutcome::Moot)
 }
 
 #[test]
-fn what_is_called_off_while_its_connection_comes_up_is_not_written() {
-    let door = std::net::TcpListener::bind("127.0.0.1:0").expect("a free address");
-    let address = door.local_addr().expect("an address");
-    let (mail, read) = channel();
+fn request_cancelled_during_the_handshake_is_not_written() {
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free address");
+    let address = listener.local_addr().expect("an address");
+    let (sender, receiver) = channel();
     let seen = std::thread::spawn(move || {
-        let (mut stream, _) = door.accept().expect("a connection");
+        let (mut stream, _) = listener.accept().expect("a connection");
         let mut all = vec![0; pg::startup("api", "ledger").len()];
         std::io::Read::read_exact(&mut stream, &mut all).expect("an opening");
-        // Nobody rings: the cancel lies in the mail when the welcome comes.
-        let _ = mail.send(ToConnection::Cancel(7));
-        drop(mail);
+        // The waker is not used: the cancellation is in the queue when the welcome arrives.
+        let _ = sender.send(ConnectionMessage::Cancel(7));
+        drop(sender);
         let mut welcome = Vec::new();
         pg::welcome(&mut welcome);
         let _ = std::io::Write::write_all(&mut stream, &welcome);
         let _ = std::io::Read::read_to_end(&mut stream, &mut all);
         all
     });
-    assert!(carry(address, read).iter().any(is_moot), "it never ran");
+    assert!(carry(address, receiver).iter().any(is_moot), "it never ran");
     assert_eq!(seen.join().expect("an end"), pg::startup("api", "ledger"), "nothing but the opening");
 }
 
 #[test]
-fn nothing_is_connected_for_what_is_called_off_before() {
-    let door = std::net::TcpListener::bind("127.0.0.1:0").expect("a free address");
-    let address = door.local_addr().expect("an address");
-    let (mail, read) = channel();
-    let _ = mail.send(ToConnection::Cancel(7));
-    assert!(carry(address, read).iter().any(is_moot), "it never ran");
-    door.set_nonblocking(true).expect("a socket");
-    assert!(door.accept().is_err(), "no handshake for nobody");
+fn no_connection_is_opened_for_a_request_cancelled_before() {
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free address");
+    let address = listener.local_addr().expect("an address");
+    let (sender, receiver) = channel();
+    let _ = sender.send(ConnectionMessage::Cancel(7));
+    assert!(carry(address, receiver).iter().any(is_moot), "it never ran");
+    listener.set_nonblocking(true).expect("a socket");
+    assert!(listener.accept().is_err(), "no connection is opened");
 }
