--- a/crates/attempt-outcome/src/lib.rs
+++ b/crates/attempt-outcome/src/lib.rs
@@ -10,17 +10,17 @@
 //! use std::time::Duration;
 //!
 //! let ms = Duration::from_millis;
-//! let mut fate = SubmissionHistory::new(Effect::OnceOnly);
-//! let at = Target { member: 0, group: 7, zone: 0, term: 1 };
-//! assert_eq!(fate.blocked_at(ms(5), 3, at), None);
-//! fate.sent(ms(5), at);
-//! assert_eq!(fate.final_answer(), FinalAnswer::Unknown);
-//! fate.ended(AttemptOutcome::Full);
-//! assert_eq!((fate.blocked_at(ms(9), 3, at), fate.final_answer()), (None, FinalAnswer::Decline));
-//! fate.sent(ms(9), at);
-//! fate.ended(AttemptOutcome::Dropped);
-//! assert!(fate.blocked_at(ms(12), 3, at).is_some());
-//! assert_eq!(fate.final_answer(), FinalAnswer::Unknown);
+//! let mut history = SubmissionHistory::new(Effect::OnceOnly);
+//! let target = Target { member: 0, group: 7, zone: 0, term: 1 };
+//! assert_eq!(history.blocked_at(ms(5), 3, target), None);
+//! history.sent(ms(5), target);
+//! assert_eq!(history.final_answer(), FinalAnswer::Unknown);
+//! history.ended(AttemptOutcome::Full);
+//! assert_eq!((history.blocked_at(ms(9), 3, target), history.final_answer()), (None, FinalAnswer::Decline));
+//! history.sent(ms(9), target);
+//! history.ended(AttemptOutcome::Dropped);
+//! assert!(history.blocked_at(ms(12), 3, target).is_some());
+//! assert_eq!(history.final_answer(), FinalAnswer::Unknown);
 //! ```
 
 use std::time::Duration;
@@ -94,18 +94,18 @@
 
 /// A submission that is out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Out {
+pub struct Submission {
     pub sent_at: Duration,
     pub target: Target,
 }
 
 /// What is known of a txn's effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum State {
+pub enum EffectState {
     /// No submission, or none that reached a member.
     NeverRan,
     /// One is out, and none before it may have run.
-    Out,
+    Submission,
     /// It may have run; a mark is remembered until the window ends.
     MayHaveRun,
     Ran,
@@ -113,17 +113,17 @@
 
 /// Why a txn may not be sent now, or not there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Barred {
+pub enum Blocked {
     /// One submission of a txn is out at a time.
-    IsOut,
+    InFlight,
     /// It had as many submissions as are allowed.
-    TooMany,
+    TooManySubmissions,
     /// It has run.
     Ran,
     /// It takes effect once only, and may have.
     OnceOnly,
     /// The stores no longer know its mark.
-    WindowOver,
+    WindowExpired,
     /// Stores there do not know its mark.
     OutOfScope,
 }
@@ -143,41 +143,41 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct SubmissionHistory {
     effect: Effect,
-    out: Option<Out>,
+    in_flight: Option<Submission>,
     /// The first submission that may have run.
-    first: Option<Out>,
+    first_possible_run: Option<Submission>,
     submissions: u32,
     ran: bool,
 }
 
 impl SubmissionHistory {
     pub fn new(effect: Effect) -> SubmissionHistory {
-        SubmissionHistory { effect, out: None, first: None, submissions: 0, ran: false }
+        SubmissionHistory { effect, in_flight: None, first_possible_run: None, submissions: 0, ran: false }
     }
 
-    /// Why a submission may not go to that place now; `None` where it may. `most`: submissions in all.
-    pub fn blocked_at(&self, now: Duration, most: u32, to: Target) -> Option<Barred> {
-        self.blocked_everywhere(now, most).or_else(|| {
+    /// Why a submission may not go to that place now; `None` where it may. `max_submissions`: submissions in all.
+    pub fn blocked_at(&self, now: Duration, max_submissions: u32, target: Target) -> Option<Blocked> {
+        self.blocked_everywhere(now, max_submissions).or_else(|| {
             let Effect::Referenced { scope, .. } = self.effect else { return None };
-            let first = self.first?.target;
+            let first_possible_run = self.first_possible_run?.target;
             let inside = match scope {
                 Scope::Everywhere => true,
-                Scope::Zone => first.zone == to.zone,
-                Scope::Group => first.group == to.group,
+                Scope::Zone => first_possible_run.zone == target.zone,
+                Scope::Group => first_possible_run.group == target.group,
             };
-            (!inside).then_some(Barred::OutOfScope)
+            (!inside).then_some(Blocked::OutOfScope)
         })
     }
 
     /// Why no submission may go anywhere now.
-    pub fn blocked_everywhere(&self, now: Duration, most: u32) -> Option<Barred> {
+    pub fn blocked_everywhere(&self, now: Duration, max_submissions: u32) -> Option<Blocked> {
         match self.effect {
-            _ if self.out.is_some() => Some(Barred::IsOut),
-            _ if self.submissions >= most => Some(Barred::TooMany),
-            _ if self.ran => Some(Barred::Ran),
-            Effect::OnceOnly if self.first.is_some() => Some(Barred::OnceOnly),
+            _ if self.in_flight.is_some() => Some(Blocked::InFlight),
+            _ if self.submissions >= max_submissions => Some(Blocked::TooManySubmissions),
+            _ if self.ran => Some(Blocked::Ran),
+            Effect::OnceOnly if self.first_possible_run.is_some() => Some(Blocked::OnceOnly),
             Effect::Referenced { .. } if self.window_end().is_some_and(|ends| now >= ends) => {
-                Some(Barred::WindowOver)
+                Some(Blocked::WindowExpired)
             }
             _ => None,
         }
@@ -185,8 +185,10 @@
 
     /// Until when it may be sent again, where it may have run and its stores remember marks for a while only.
     pub fn window_end(&self) -> Option<Duration> {
-        match (self.effect, self.first) {
-            (Effect::Referenced { window, .. }, Some(first)) => Some(first.sent_at + window),
+        match (self.effect, self.first_possible_run) {
+            (Effect::Referenced { window, .. }, Some(first_possible_run)) => {
+                Some(first_possible_run.sent_at + window)
+            }
             _ => None,
         }
     }
@@ -194,32 +196,34 @@
     /// Until when it could be sent again, should the submission that is out now turn out to be one that may
     /// have run. `None` where that would be its last.
     pub fn resendable_until(&self) -> Option<Duration> {
-        match (self.effect, self.first.or(self.out)) {
+        match (self.effect, self.first_possible_run.or(self.in_flight)) {
             (Effect::Repeatable, _) | (_, None) => Some(Duration::MAX),
-            (Effect::Referenced { window, .. }, Some(first)) => Some(first.sent_at + window),
+            (Effect::Referenced { window, .. }, Some(first_possible_run)) => {
+                Some(first_possible_run.sent_at + window)
+            }
             (Effect::OnceOnly, Some(_)) => None,
         }
     }
 
     /// A submission goes out. The caller has asked `bars`.
     pub fn sent(&mut self, now: Duration, target: Target) {
-        debug_assert!(self.out.is_none(), "one submission at a time");
-        self.out = Some(Out { sent_at: now, target });
+        debug_assert!(self.in_flight.is_none(), "one submission at a time");
+        self.in_flight = Some(Submission { sent_at: now, target });
         self.submissions += 1;
     }
 
     /// The submission that was out has ended; gives what it was.
-    pub fn ended(&mut self, ending: AttemptOutcome) -> Option<Out> {
-        let out = self.out.take()?;
-        self.ran |= ending == AttemptOutcome::Committed;
-        if !ending.never_ran() {
-            self.first.get_or_insert(out);
+    pub fn ended(&mut self, outcome: AttemptOutcome) -> Option<Submission> {
+        let in_flight = self.in_flight.take()?;
+        self.ran |= outcome == AttemptOutcome::Committed;
+        if !outcome.never_ran() {
+            self.first_possible_run.get_or_insert(in_flight);
         }
-        Some(out)
+        Some(in_flight)
     }
 
-    pub fn in_flight(&self) -> Option<&Out> {
-        self.out.as_ref()
+    pub fn in_flight(&self) -> Option<&Submission> {
+        self.in_flight.as_ref()
     }
 
     /// Submissions so far.
@@ -229,15 +233,15 @@
 
     /// No member has had it, as far as is known.
     pub fn none_may_have_run(&self) -> bool {
-        self.first.is_none()
+        self.first_possible_run.is_none()
     }
 
-    pub fn state(&self) -> State {
-        match (self.first, self.out) {
-            _ if self.ran => State::Ran,
-            (Some(_), _) => State::MayHaveRun,
-            (None, Some(_)) => State::Out,
-            (None, None) => State::NeverRan,
+    pub fn state(&self) -> EffectState {
+        match (self.first_possible_run, self.in_flight) {
+            _ if self.ran => EffectState::Ran,
+            (Some(_), _) => EffectState::MayHaveRun,
+            (None, Some(_)) => EffectState::Submission,
+            (None, None) => EffectState::NeverRan,
         }
     }
 
@@ -246,7 +250,9 @@
         let harmless = match self.effect {
             Effect::Repeatable => true,
             Effect::Referenced { scope: Scope::Everywhere, .. } => true,
-            Effect::Referenced { .. } | Effect::OnceOnly => self.first.is_none() && self.out.is_none(),
+            Effect::Referenced { .. } | Effect::OnceOnly => {
+                self.first_possible_run.is_none() && self.in_flight.is_none()
+            }
         };
         match self.effect {
             Effect::Repeatable => FinalAnswer::Decline,
--- a/crates/attempt-outcome/tests/histories.rs
+++ b/crates/attempt-outcome/tests/histories.rs
@@ -1,12 +1,12 @@
 //! The record of a txn beside a plain list of all that happened to it, on long random histories.
 
 use juniperdock_attempt_outcome::{
-    AttemptOutcome, Barred, Effect, FinalAnswer, Scope, State, SubmissionHistory, Target,
+    AttemptOutcome, Blocked, Effect, EffectState, FinalAnswer, Scope, SubmissionHistory, Target,
 };
 use proptest::prelude::*;
 use std::time::Duration;
 
-const ENDINGS: [AttemptOutcome; 11] = [
+const OUTCOMES: [AttemptOutcome; 11] = [
     AttemptOutcome::Committed,
     AttemptOutcome::Errored,
     AttemptOutcome::Invalid,
@@ -37,60 +37,60 @@
     #[test]
     fn sends_and_answers_follow_from_what_happened(
         effect in effect(),
-        steps in proptest::collection::vec((0..200u64, 0..3usize, 0..ENDINGS.len() + 4), 1..60),
+        steps in proptest::collection::vec((0..200u64, 0..3usize, 0..OUTCOMES.len() + 4), 1..60),
     ) {
-        let (mut fate, mut now) = (SubmissionHistory::new(effect), Duration::from_secs(1));
+        let (mut history, mut now) = (SubmissionHistory::new(effect), Duration::from_secs(1));
         // All submissions: when, where, and how they ended.
         let mut all: Vec<(Duration, Target, Option<AttemptOutcome>)> = Vec::new();
-        for (wait, where_to, what) in steps {
+        for (wait, member, action) in steps {
             now += Duration::from_millis(wait);
-            let place = Target { member: where_to, group: where_to / 2, zone: where_to % 2, term: 1 };
-            let bars = fate.blocked_at(now, 5, place);
-            let out = all.last().is_some_and(|last| last.2.is_none());
-            let may = |e: &Option<AttemptOutcome>| e.is_none_or(|e| !e.never_ran());
-            let first = all.iter().find(|(_, _, ending)| may(ending)).copied();
-            let ran = all.iter().any(|(_, _, ending)| *ending == Some(AttemptOutcome::Committed));
+            let target = Target { member: member, group: member / 2, zone: member % 2, term: 1 };
+            let blocked = history.blocked_at(now, 5, target);
+            let in_flight = all.last().is_some_and(|last| last.2.is_none());
+            let may_have_run = |e: &Option<AttemptOutcome>| e.is_none_or(|e| !e.never_ran());
+            let first = all.iter().find(|(_, _, outcome)| may_have_run(outcome)).copied();
+            let ran = all.iter().any(|(_, _, outcome)| *outcome == Some(AttemptOutcome::Committed));
             if let Effect::OnceOnly = effect {
-                prop_assert!(bars.is_some() || first.is_none(), "a second effect");
+                prop_assert!(blocked.is_some() || first.is_none(), "a second effect");
             }
             if let (Effect::Referenced { window, scope }, Some((at, from, _))) = (effect, first) {
                 let inside = match scope {
                     Scope::Everywhere => true,
-                    Scope::Zone => from.zone == place.zone,
-                    Scope::Group => from.group == place.group,
+                    Scope::Zone => from.zone == target.zone,
+                    Scope::Group => from.group == target.group,
                 };
-                prop_assert!(bars.is_some() || inside && now < at + window, "outside its scope or window");
-                prop_assert_eq!(bars == Some(Barred::OutOfScope), !inside && fate.blocked_everywhere(now, 5).is_none());
+                prop_assert!(blocked.is_some() || inside && now < at + window, "outside its scope or window");
+                prop_assert_eq!(blocked == Some(Blocked::OutOfScope), !inside && history.blocked_everywhere(now, 5).is_none());
             }
-            prop_assert!(!out || bars == Some(Barred::IsOut));
-            prop_assert!(!ran || bars.is_some());
-            prop_assert!(all.len() < 5 || bars.is_some());
-            if first.is_none() && !out && all.len() < 5 {
-                prop_assert_eq!(bars, None, "nothing forbids it");
+            prop_assert!(!in_flight || blocked == Some(Blocked::InFlight));
+            prop_assert!(!ran || blocked.is_some());
+            prop_assert!(all.len() < 5 || blocked.is_some());
+            if first.is_none() && !in_flight && all.len() < 5 {
+                prop_assert_eq!(blocked, None, "nothing forbids it");
             }
-            let verdict = fate.final_answer();
+            let final_answer = history.final_answer();
             match (effect, first) {
-                (Effect::Repeatable, _) | (_, None) => prop_assert_eq!(verdict, FinalAnswer::Decline),
+                (Effect::Repeatable, _) | (_, None) => prop_assert_eq!(final_answer, FinalAnswer::Decline),
                 (Effect::OnceOnly | Effect::Referenced { scope: Scope::Zone | Scope::Group, .. }, Some(_)) => {
-                    prop_assert_ne!(verdict, FinalAnswer::Decline, "it may have run");
+                    prop_assert_ne!(final_answer, FinalAnswer::Decline, "it may have run");
                 }
                 _ => {}
             }
-            prop_assert_eq!(fate.state() == State::Ran, ran);
-            prop_assert_eq!(fate.state() == State::NeverRan, first.is_none() && !out);
-            match ENDINGS.get(what) {
-                Some(&ending) if out => {
-                    prop_assert!(fate.ended(ending).is_some());
-                    all.last_mut().expect("one is out").2 = Some(ending);
+            prop_assert_eq!(history.state() == EffectState::Ran, ran);
+            prop_assert_eq!(history.state() == EffectState::NeverRan, first.is_none() && !in_flight);
+            match OUTCOMES.get(action) {
+                Some(&outcome) if in_flight => {
+                    prop_assert!(history.ended(outcome).is_some());
+                    all.last_mut().expect("one is out").2 = Some(outcome);
                 }
-                Some(&ending) => prop_assert!(fate.ended(ending).is_none()),
-                None if bars.is_none() => {
-                    fate.sent(now, place);
-                    all.push((now, place, None));
+                Some(&outcome) => prop_assert!(history.ended(outcome).is_none()),
+                None if blocked.is_none() => {
+                    history.sent(now, target);
+                    all.push((now, target, None));
                 }
                 None => {}
             }
-            prop_assert_eq!(fate.submissions() as usize, all.len());
+            prop_assert_eq!(history.submissions() as usize, all.len());
         }
     }
 }
--- a/crates/attempt-outcome/tests/model.rs
+++ b/crates/attempt-outcome/tests/model.rs
@@ -3,7 +3,7 @@
 //! in the model's front, and the checker must find what it guards against.
 
 use juniperdock_attempt_outcome::{
-    AttemptOutcome, Barred, Effect, FinalAnswer, Scope, SubmissionHistory, Target,
+    AttemptOutcome, Blocked, Effect, FinalAnswer, Scope, SubmissionHistory, Target,
 };
 use juniperdock_primary_tracker::{Claim, PrimaryTracker, Role};
 use stateright::{Checker, HasDiscoveries, Model, Property};
@@ -24,15 +24,15 @@
 
 /// Guards that the model's front can do without.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Without {
+enum MissingGuard {
     Nothing,
     /// The newest dated claim takes the slot, whoever makes it.
-    Terms,
+    Fencing,
     Window,
     /// Another submission goes out beside the one that is out.
-    Turns,
+    SingleInFlight,
     /// What may have run is declined.
-    Truth,
+    TrueAnswers,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -60,8 +60,8 @@
     hung: [bool; 2],
     hung_at: u8,
     /// The term in which a member takes itself for the primary; 0 where it does not.
-    believes: [u8; 2],
-    woke: [u8; 2],
+    claimed_term: [u8; 2],
+    woke_at: [u8; 2],
     hangs: u8,
     /// Submissions that members have, and when they came.
     queued: Vec<(usize, u8)>,
@@ -73,25 +73,25 @@
     reported: u8,
     answer: Option<(usize, AttemptOutcome)>,
     // The front.
-    tenure: PrimaryTracker,
-    naive: Option<(u8, usize)>,
-    fate: SubmissionHistory,
+    tracker: PrimaryTracker,
+    newest_claim: Option<(u8, usize)>,
+    history: SubmissionHistory,
     out: u8,
-    told: Option<Answer>,
+    answered: Option<Answer>,
     answers: u8,
     /// Newest claim heard of each member, with the term it spoke of; and the newest term that ever took the
     /// slot.
     claimed: [(u8, u8); 2],
-    best: u8,
+    highest_term: u8,
     // What must never be.
-    old_slot: bool,
-    late: bool,
-    two_out: bool,
-    after_answer: bool,
+    old_term_accepted: bool,
+    sent_after_window: bool,
+    two_in_flight: bool,
+    sent_after_answer: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Act {
+enum Action {
     Step,
     Hang(usize),
     Wake(usize),
@@ -107,7 +107,7 @@
     Run(usize),
     AnswerComes,
     AnswerLost,
-    CallOff,
+    CancelSubmission,
     GiveUp,
 }
 
@@ -120,71 +120,73 @@
     Writes,
 }
 
-struct Small(Without, Part);
+struct SmallModel(MissingGuard, Part);
 
-impl Small {
+impl SmallModel {
     /// How many reports members make.
     fn reports(&self) -> u8 {
         if self.1 == Part::Slots { 3 } else { 1 }
     }
 
-    fn holder(&self, w: &World) -> Option<usize> {
+    fn tracked_primary(&self, w: &World) -> Option<usize> {
         match self.0 {
-            Without::Terms => w.naive.map(|(_, member)| member),
-            _ => w.tenure.primary(0),
+            MissingGuard::Fencing => w.newest_claim.map(|(_, member)| member),
+            _ => w.tracker.primary(0),
         }
     }
 
-    fn hear(&self, w: &mut World, report: Report, answered: Option<u8>) {
+    fn observe(&self, w: &mut World, report: Report, answered: Option<u8>) {
         let role = if report.primary { Role::Primary } else { Role::Replica };
         let not_before = answered.unwrap_or(report.made);
         let claim = Claim { role, made_at: at(report.made), not_before: at(not_before) };
-        let before = self.holder(w);
-        w.tenure.observe(at(w.step), report.from, Some(claim), answered.is_some());
+        let before = self.tracked_primary(w);
+        w.tracker.observe(at(w.step), report.from, Some(claim), answered.is_some());
         if report.primary {
             w.claimed[report.from] = w.claimed[report.from].max((report.made, report.term));
-            w.naive = w.naive.max(Some((report.made, report.from)));
+            w.newest_claim = w.newest_claim.max(Some((report.made, report.from)));
         }
         self.settle(w, before);
     }
 
     fn settle(&self, w: &mut World, before: Option<usize>) {
-        w.tenure.apply_rules(at(w.step), 0, usize::from(w.fate.in_flight().is_some()));
-        w.tenure.take_changes();
-        if let Some(holder) = self.holder(w).filter(|&holder| before != Some(holder)) {
-            let term = w.claimed[holder].1;
-            w.old_slot |= term < w.best;
-            w.best = w.best.max(term);
+        w.tracker.apply_rules(at(w.step), 0, usize::from(w.history.in_flight().is_some()));
+        w.tracker.take_changes();
+        if let Some(tracked_primary) =
+            self.tracked_primary(w).filter(|&tracked_primary| before != Some(tracked_primary))
+        {
+            let term = w.claimed[tracked_primary].1;
+            w.old_term_accepted |= term < w.highest_term;
+            w.highest_term = w.highest_term.max(term);
         }
     }
 
-    fn bars(&self, w: &World, to: Target) -> Option<Barred> {
-        let bars = w.fate.blocked_at(at(w.step), SENDS, to);
-        bars.filter(|bars| match self.0 {
-            Without::Window => *bars != Barred::WindowOver,
-            Without::Turns => *bars != Barred::IsOut,
+    fn blocked(&self, w: &World, to: Target) -> Option<Blocked> {
+        let blocked = w.history.blocked_at(at(w.step), SENDS, to);
+        blocked.filter(|blocked| match self.0 {
+            MissingGuard::Window => *blocked != Blocked::WindowExpired,
+            MissingGuard::SingleInFlight => *blocked != Blocked::InFlight,
             _ => true,
         })
     }
 
-    fn place(&self, w: &World, member: usize) -> Target {
-        Target { member, group: 0, zone: 0, term: w.tenure.term(0) }
+    fn target(&self, w: &World, member: usize) -> Target {
+        Target { member, group: 0, zone: 0, term: w.tracker.term(0) }
     }
 }
 
-impl Model for Small {
+impl Model for SmallModel {
     type State = World;
-    type Action = Act;
+    type Action = Action;
 
     fn init_states(&self) -> Vec<World> {
-        let mut tenure = PrimaryTracker::default();
+        let mut tracker = PrimaryTracker::default();
         for member in 0..2 {
-            tenure.add_member(member, 0);
+            tracker.add_member(member, 0);
             let role = if member == 0 { Role::Primary } else { Role::Replica };
-            tenure.observe(at(0), member, Some(Claim::at(role, at(0))), false);
+            tracker.observe(at(0), member, Some(Claim::at(role, at(0))), false);
         }
-        tenure.apply_rules(at(0), 0, 0);
-        tenure.take_changes();
+        tracker.apply_rules(at(0), 0, 0);
+        tracker.take_changes();
         let window = STEP * u32::from(WINDOW);
         vec![World {
             step: 0,
@@ -192,8 +194,8 @@
             primary: 0,
             hung: [false; 2],
             hung_at: 0,
-            believes: [1, 0],
-            woke: [0; 2],
+            claimed_term: [1, 0],
+            woke_at: [0; 2],
             hangs: 0,
             queued: Vec::new(),
             ran: Vec::new(),
@@ -201,127 +203,127 @@
             reports: Vec::new(),
             reported: 0,
             answer: None,
-            tenure,
-            naive: Some((0, 0)),
-            fate: SubmissionHistory::new(Effect::Referenced { window, scope: Scope::Group }),
+            tracker,
+            newest_claim: Some((0, 0)),
+            history: SubmissionHistory::new(Effect::Referenced { window, scope: Scope::Group }),
             out: 0,
-            told: None,
+            answered: None,
             answers: 0,
             claimed: [(0, 1), (0, 0)],
-            best: 1,
-            old_slot: false,
-            late: false,
-            two_out: false,
-            after_answer: false,
+            highest_term: 1,
+            old_term_accepted: false,
+            sent_after_window: false,
+            two_in_flight: false,
+            sent_after_answer: false,
         }]
     }
 
-    fn actions(&self, w: &World, acts: &mut Vec<Act>) {
-        let stale = |m: usize| w.believes[m] > 0 && w.primary != m && !w.hung[m];
+    fn actions(&self, w: &World, actions: &mut Vec<Action>) {
+        let stale = |m: usize| w.claimed_term[m] > 0 && w.primary != m && !w.hung[m];
         // Who wakes learns of its successor within a step.
-        if w.step < EXPIRY && !(0..2).any(|m| stale(m) && w.woke[m] < w.step) {
-            acts.push(Act::Step);
+        if w.step < EXPIRY && !(0..2).any(|m| stale(m) && w.woke_at[m] < w.step) {
+            actions.push(Action::Step);
         }
         for m in 0..2 {
             if w.hung[m] {
-                acts.push(Act::Wake(m));
+                actions.push(Action::Wake(m));
             } else {
                 if w.hangs < 1 && w.primary == m {
-                    acts.push(Act::Hang(m));
+                    actions.push(Action::Hang(m));
                 }
                 if stale(m) {
-                    acts.push(Act::Learn(m));
+                    actions.push(Action::Learn(m));
                 }
                 if w.reported < self.reports() {
-                    acts.push(Act::Report(m));
+                    actions.push(Action::Report(m));
                 }
                 if w.queued.iter().any(|&(member, _)| member == m) && w.answer.is_none() {
-                    acts.push(Act::Run(m));
+                    actions.push(Action::Run(m));
                 }
             }
         }
         let next = 1 - w.primary;
         if w.hung[w.primary] && w.step >= w.hung_at + ELECTION && !w.hung[next] {
-            acts.extend([Act::Elect { keeps: true }, Act::Elect { keeps: false }]);
+            actions.extend([Action::Elect { keeps: true }, Action::Elect { keeps: false }]);
         }
         for i in 0..w.reports.len() {
             // One that never comes is one that is lost.
-            acts.push(Act::Deliver(i));
+            actions.push(Action::Deliver(i));
         }
-        if let Some(holder) = self.holder(w) {
-            if w.hung[holder] {
-                acts.push(Act::Doubt(holder));
+        if let Some(tracked_primary) = self.tracked_primary(w) {
+            if w.hung[tracked_primary] {
+                actions.push(Action::Doubt(tracked_primary));
             }
-            let writes = self.1 == Part::Writes && w.told.is_none();
-            if writes && self.bars(w, self.place(w, holder)).is_none() {
-                acts.push(Act::Submit);
+            let writes = self.1 == Part::Writes && w.answered.is_none();
+            if writes && self.blocked(w, self.target(w, tracked_primary)).is_none() {
+                actions.push(Action::Submit);
             }
         }
         if w.answer.is_some() {
-            acts.extend([Act::AnswerComes, Act::AnswerLost]);
+            actions.extend([Action::AnswerComes, Action::AnswerLost]);
         }
-        if w.fate.in_flight().is_some() && w.answer.is_none() {
-            acts.push(Act::CallOff);
+        if w.history.in_flight().is_some() && w.answer.is_none() {
+            actions.push(Action::CancelSubmission);
         }
-        if self.1 == Part::Writes && w.told.is_none() && w.fate.in_flight().is_none() {
-            acts.push(Act::GiveUp);
+        if self.1 == Part::Writes && w.answered.is_none() && w.history.in_flight().is_none() {
+            actions.push(Action::GiveUp);
         }
     }
 
-    fn next_state(&self, last: &World, act: Act) -> Option<World> {
+    fn next_state(&self, last: &World, act: Action) -> Option<World> {
         let mut w = last.clone();
-        let before = self.holder(&w);
+        let before = self.tracked_primary(&w);
         match act {
-            Act::Step => w.step += 1,
-            Act::Hang(m) => (w.hung[m], w.hung_at, w.hangs) = (true, w.step, w.hangs + 1),
-            Act::Wake(m) => (w.hung[m], w.woke[m]) = (false, w.step),
-            Act::Learn(m) => w.believes[m] = 0,
-            Act::Elect { keeps } => {
+            Action::Step => w.step += 1,
+            Action::Hang(m) => (w.hung[m], w.hung_at, w.hangs) = (true, w.step, w.hangs + 1),
+            Action::Wake(m) => (w.hung[m], w.woke_at[m]) = (false, w.step),
+            Action::Learn(m) => w.claimed_term[m] = 0,
+            Action::Elect { keeps } => {
                 if !keeps {
                     w.ran.clear();
                 }
                 w.term += 1;
                 w.primary = 1 - w.primary;
-                w.believes[w.primary] = w.term;
+                w.claimed_term[w.primary] = w.term;
             }
-            Act::Report(m) => {
-                let primary = w.believes[m] > 0;
-                let report = Report { from: m, primary, made: w.step, term: w.believes[m] };
+            Action::Report(m) => {
+                let primary = w.claimed_term[m] > 0;
+                let report = Report { from: m, primary, made: w.step, term: w.claimed_term[m] };
                 w.reported += 1;
                 match self.1 {
                     Part::Slots => w.reports.push(report),
-                    Part::Writes => self.hear(&mut w, report, None),
+                    Part::Writes => self.observe(&mut w, report, None),
                 }
             }
-            Act::Deliver(i) => {
+            Action::Deliver(i) => {
                 let report = w.reports.remove(i);
-                self.hear(&mut w, report, None);
+                self.observe(&mut w, report, None);
             }
-            Act::Doubt(m) => {
-                w.tenure.invalidate_claims(at(w.step), m);
+            Action::Doubt(m) => {
+                w.tracker.invalidate_claims(at(w.step), m);
                 self.settle(&mut w, before);
             }
-            Act::Submit => {
-                let holder = before?;
-                let place = self.place(&w, holder);
-                let ends = w.fate.window_end();
-                w.late |= ends.is_some_and(|ends| at(w.step) >= ends);
-                w.two_out |= w.out > 0;
-                w.after_answer |= w.told.is_some();
+            Action::Submit => {
+                let tracked_primary = before?;
+                let target = self.target(&w, tracked_primary);
+                let ends = w.history.window_end();
+                w.sent_after_window |= ends.is_some_and(|ends| at(w.step) >= ends);
+                w.two_in_flight |= w.out > 0;
+                w.sent_after_answer |= w.answered.is_some();
                 if w.out == 0 {
-                    w.fate.sent(at(w.step), place);
+                    w.history.sent(at(w.step), target);
                 }
                 w.out += 1;
-                w.queued.push((holder, w.step));
+                w.queued.push((tracked_primary, w.step));
                 if w.out > 2 || w.queued.len() > 3 {
                     return None;
                 }
             }
-            Act::Run(m) => {
+            Action::Run(m) => {
                 let found = w.queued.iter().position(|&(member, _)| member == m)?;
                 let (_, came) = w.queued.remove(found);
-                let ending = match () {
-                    () if w.believes[m] == 0 => AttemptOutcome::Misplaced,
+                let outcome = match () {
+                    () if w.claimed_term[m] == 0 => AttemptOutcome::Misplaced,
                     () if w.primary != m => AttemptOutcome::Errored,
                     () => {
                         if !w.ran.iter().any(|ran| ran + WINDOW > came) {
@@ -331,38 +333,38 @@
                         AttemptOutcome::Committed
                     }
                 };
-                if w.fate.in_flight().is_some_and(|out| out.target.member == m) {
-                    w.answer = Some((m, ending));
+                if w.history.in_flight().is_some_and(|out| out.target.member == m) {
+                    w.answer = Some((m, outcome));
                 }
             }
-            Act::AnswerComes => {
-                let (m, ending) = w.answer.take()?;
-                let sent = w.fate.ended(ending)?;
+            Action::AnswerComes => {
+                let (m, outcome) = w.answer.take()?;
+                let sent = w.history.ended(outcome)?;
                 w.out = 0;
                 let sent = ((sent.sent_at - START).as_millis() / STEP.as_millis()) as u8;
-                let (primary, term) = (w.believes[m] > 0, w.believes[m]);
+                let (primary, term) = (w.claimed_term[m] > 0, w.claimed_term[m]);
                 let made = w.step;
-                self.hear(&mut w, Report { from: m, primary, made, term }, Some(sent));
-                if ending == AttemptOutcome::Committed && w.told.is_none() {
-                    (w.told, w.answers) = (Some(Answer::Committed), w.answers + 1);
+                self.observe(&mut w, Report { from: m, primary, made, term }, Some(sent));
+                if outcome == AttemptOutcome::Committed && w.answered.is_none() {
+                    (w.answered, w.answers) = (Some(Answer::Committed), w.answers + 1);
                 }
             }
-            Act::AnswerLost => {
+            Action::AnswerLost => {
                 w.answer = None;
-                w.fate.ended(AttemptOutcome::Dropped);
+                w.history.ended(AttemptOutcome::Dropped);
                 w.out = 0;
             }
-            Act::CallOff => {
-                w.fate.ended(AttemptOutcome::Cancelled);
+            Action::CancelSubmission => {
+                w.history.ended(AttemptOutcome::Cancelled);
                 w.out = 0;
             }
-            Act::GiveUp => {
-                let told = match w.fate.final_answer() {
+            Action::GiveUp => {
+                let answered = match w.history.final_answer() {
                     FinalAnswer::Decline => Answer::Declined,
-                    _ if self.0 == Without::Truth => Answer::Declined,
+                    _ if self.0 == MissingGuard::TrueAnswers => Answer::Declined,
                     _ => Answer::Unknown,
                 };
-                (w.told, w.answers) = (Some(told), w.answers + 1);
+                (w.answered, w.answers) = (Some(answered), w.answers + 1);
             }
         }
         Some(w)
@@ -370,27 +372,27 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no slot for an old term", |_, w: &World| !w.old_slot),
-            Property::always("never again past the window", |_, w: &World| !w.late),
-            Property::always("one submission out", |_, w: &World| !w.two_out),
+            Property::always("no slot for an old term", |_, w: &World| !w.old_term_accepted),
+            Property::always("never again past the window", |_, w: &World| !w.sent_after_window),
+            Property::always("one submission out", |_, w: &World| !w.two_in_flight),
             Property::always("one answer and nothing after", |_, w: &World| {
-                w.answers <= 1 && !w.after_answer
+                w.answers <= 1 && !w.sent_after_answer
             }),
             Property::always("no effect twice", |_, w: &World| w.ran.len() <= 1),
             Property::always("answers are true", |_, w: &World| {
-                w.told != Some(Answer::Declined) || w.runs == 0
+                w.answered != Some(Answer::Declined) || w.runs == 0
             }),
             Property::sometimes("a write outlives its primary", |_, w: &World| {
-                w.told == Some(Answer::Committed) && w.term == 2 && w.primary == 1
+                w.answered == Some(Answer::Committed) && w.term == 2 && w.primary == 1
             }),
         ]
     }
 }
 
 /// Visits every state, or goes on until it has seen the rule break that is named.
-fn check(without: Without, part: Part, until: Option<&'static str>) -> (usize, Vec<&'static str>) {
+fn check(missing: MissingGuard, part: Part, until: Option<&'static str>) -> (usize, Vec<&'static str>) {
     let threads = std::thread::available_parallelism().map_or(2, usize::from);
-    let mut checker = Small(without, part).checker().threads(threads);
+    let mut checker = SmallModel(missing, part).checker().threads(threads);
     if let Some(rule) = until {
         checker = checker.finish_when(HasDiscoveries::AllOf([rule].into()));
     }
@@ -402,7 +404,7 @@
 #[test]
 fn every_interleaving_keeps_the_rules() {
     for (part, least) in [(Part::Slots, 20_000), (Part::Writes, 20_000)] {
-        let (states, mut found) = check(Without::Nothing, part, None);
+        let (states, mut found) = check(MissingGuard::Nothing, part, None);
         let outlives = found.iter().position(|name| *name == "a write outlives its primary");
         assert!(outlives.map(|at| found.remove(at)).is_some() || part == Part::Slots, "too small a world");
         assert!(found.is_empty(), "{part:?}: {found:?}");
@@ -413,14 +415,14 @@
 
 #[test]
 fn without_its_guards_each_rule_breaks() {
-    for (without, part, breaks) in [
-        (Without::Terms, Part::Slots, "no slot for an old term"),
-        (Without::Window, Part::Writes, "never again past the window"),
-        (Without::Window, Part::Writes, "no effect twice"),
-        (Without::Turns, Part::Writes, "one submission out"),
-        (Without::Truth, Part::Writes, "answers are true"),
+    for (missing, part, breaks) in [
+        (MissingGuard::Fencing, Part::Slots, "no slot for an old term"),
+        (MissingGuard::Window, Part::Writes, "never again past the window"),
+        (MissingGuard::Window, Part::Writes, "no effect twice"),
+        (MissingGuard::SingleInFlight, Part::Writes, "one submission out"),
+        (MissingGuard::TrueAnswers, Part::Writes, "answers are true"),
     ] {
-        let (_, found) = check(without, part, Some(breaks));
-        assert!(found.contains(&breaks), "{without:?} breaks nothing but {found:?}");
+        let (_, found) = check(missing, part, Some(breaks));
+        assert!(found.contains(&breaks), "{missing:?} breaks nothing but {found:?}");
     }
 }
--- a/crates/pipeline/src/lib.rs
+++ b/crates/pipeline/src/lib.rs
@@ -68,7 +68,7 @@
         payload: T,
         write_answered: Option<Duration>,
     },
-    Begun(Request),
+    Started(Request),
     Answered(Vec<u8>),
     /// So many in a row were over the limits. A client can send them faster than they can be answered in order, so
     /// they are counted rather than kept.
@@ -79,7 +79,7 @@
     /// The request, while it is unanswered.
     fn request(&self) -> Option<&Request> {
         match self {
-            Entry::Waiting { request, .. } | Entry::Begun(request) => Some(request),
+            Entry::Waiting { request, .. } | Entry::Started(request) => Some(request),
             Entry::Answered(_) | Entry::Refused(_) => None,
         }
     }
@@ -92,7 +92,7 @@
     entries: VecDeque<Entry<T>>,
     /// Unanswered requests, and those of them that have begun.
     requests: usize,
-    begun: usize,
+    started: usize,
     request_bytes: usize,
     /// Bytes of answers that wait for those before them.
     answer_bytes: usize,
@@ -104,7 +104,7 @@
             limits,
             entries: VecDeque::new(),
             requests: 0,
-            begun: 0,
+            started: 0,
             request_bytes: 0,
             answer_bytes: 0,
         }
@@ -128,7 +128,7 @@
     /// Ids of all unanswered requests that have begun.
     pub fn started(&self) -> impl Iterator<Item = u64> {
         self.entries.iter().filter_map(|entry| match entry {
-            Entry::Begun(request) => Some(request.id),
+            Entry::Started(request) => Some(request.id),
             _ => None,
         })
     }
@@ -168,18 +168,19 @@
     pub fn start(&mut self) -> Option<Start<T>> {
         let at = (0..self.entries.len()).find(|&at| self.may_start(at))?;
         let Entry::Waiting { request, .. } = &self.entries[at] else { return None };
-        let begun = Entry::Begun(*request);
-        let Entry::Waiting { payload, write_answered, .. } = std::mem::replace(&mut self.entries[at], begun)
+        let started = Entry::Started(*request);
+        let Entry::Waiting { payload, write_answered, .. } =
+            std::mem::replace(&mut self.entries[at], started)
         else {
             return None;
         };
-        self.begun += 1;
+        self.started += 1;
         Some(Start { payload, write_answered })
     }
 
     fn may_start(&self, at: usize) -> bool {
         let Entry::Waiting { request, .. } = &self.entries[at] else { return false };
-        let room = self.begun < self.limits.started && self.answer_bytes < self.limits.answer_bytes;
+        let room = self.started < self.limits.started && self.answer_bytes < self.limits.answer_bytes;
         if at > 0 && !room {
             return false;
         }
@@ -195,7 +196,7 @@
         let entry = std::mem::replace(&mut self.entries[at], Entry::Answered(answer));
         let Some(answered) = entry.request().copied() else { return false };
         self.requests -= 1;
-        self.begun -= usize::from(matches!(entry, Entry::Begun(_)));
+        self.started -= usize::from(matches!(entry, Entry::Started(_)));
         self.request_bytes -= answered.bytes;
         for later in self.entries.range_mut(at + 1..) {
             if let Entry::Waiting { request, write_answered, .. } = later
@@ -210,7 +211,7 @@
     /// The next reply in the order of the commands, if it is known.
     pub fn next_reply(&mut self) -> Option<Reply> {
         match self.entries.front_mut()? {
-            Entry::Waiting { .. } | Entry::Begun(_) => None,
+            Entry::Waiting { .. } | Entry::Started(_) => None,
             Entry::Refused(count) => {
                 *count -= 1;
                 if *count == 0 {
@@ -231,7 +232,7 @@
     /// own answer may come.
     pub fn overdue(&self, now: Duration, grace: Duration) -> Option<Overdue> {
         self.entries.iter().find_map(|entry| match entry {
-            Entry::Begun(request) if request.deadline + grace <= now => Some(Overdue::Started(request.id)),
+            Entry::Started(request) if request.deadline + grace <= now => Some(Overdue::Started(request.id)),
             Entry::Waiting { request, .. } if request.deadline <= now => Some(Overdue::Waiting(request.id)),
             _ => None,
         })
@@ -240,7 +241,7 @@
     /// When `overdue` may next find one.
     pub fn next_due(&self, grace: Duration) -> Option<Duration> {
         let due = |entry: &Entry<T>| match entry {
-            Entry::Begun(request) => Some(request.deadline + grace),
+            Entry::Started(request) => Some(request.deadline + grace),
             Entry::Waiting { request, .. } => Some(request.deadline),
             _ => None,
         };
--- a/crates/pipeline/tests/pipeline.rs
+++ b/crates/pipeline/tests/pipeline.rs
@@ -160,7 +160,7 @@
     fn every_command_gets_one_reply_in_its_turn(steps in prop::collection::vec(step(), 1..200)) {
         let mut pipeline = Pipeline::new(LIMITS);
         let (mut wanted, mut got) = (Vec::new(), Vec::new());
-        let (mut unanswered, mut begun): (Vec<Request>, Vec<u64>) = (Vec::new(), Vec::new());
+        let (mut unanswered, mut started): (Vec<Request>, Vec<u64>) = (Vec::new(), Vec::new());
         let answer = |id: u64| id.to_be_bytes().to_vec();
         for (id, step) in (0u64..).zip(steps) {
             match step {
@@ -181,9 +181,9 @@
                 }
                 Step::Start => {
                     let Some(start) = pipeline.start() else { continue };
-                    prop_assert!(!begun.contains(&start.payload));
-                    begun.push(start.payload);
-                    let out = unanswered.iter().filter(|request| begun.contains(&request.id)).count();
+                    prop_assert!(!started.contains(&start.payload));
+                    started.push(start.payload);
+                    let out = unanswered.iter().filter(|request| started.contains(&request.id)).count();
                     prop_assert!(out <= LIMITS.started.max(1));
                     let own = unanswered.iter().find(|request| request.id == start.payload).expect("in hand");
                     let blocked = |before: &Request| before.id < own.id && before.writes && before.session == own.session;
--- a/crates/primary-tracker/benches/events.rs
+++ b/crates/primary-tracker/benches/events.rs
@@ -7,35 +7,35 @@
 
 const MEMBERS: usize = 3;
 
-fn tenure(groups: usize) -> PrimaryTracker {
-    let mut tenure = PrimaryTracker::default();
+fn tracker(groups: usize) -> PrimaryTracker {
+    let mut tracker = PrimaryTracker::default();
     for group in 0..groups {
         for member in 0..MEMBERS {
             let now = Duration::from_micros((group * MEMBERS + member) as u64);
-            tenure.add_member(group * MEMBERS + member, group);
+            tracker.add_member(group * MEMBERS + member, group);
             let role = if member == 0 { Role::Primary } else { Role::Replica };
-            tenure.observe(now, group * MEMBERS + member, Some(Claim::at(role, now)), false);
+            tracker.observe(now, group * MEMBERS + member, Some(Claim::at(role, now)), false);
         }
-        tenure.apply_rules(Duration::from_secs(1), group, 0);
+        tracker.apply_rules(Duration::from_secs(1), group, 0);
     }
-    tenure.take_changes();
-    tenure
+    tracker.take_changes();
+    tracker
 }
 
 fn events(c: &mut Criterion) {
     let mut all = c.benchmark_group("event");
     for groups in [100, 10_000, 100_000] {
-        let mut tenure = tenure(groups);
-        eprintln!("{groups} groups of {MEMBERS}: {} bytes of records", tenure.bytes());
+        let mut tracker = tracker(groups);
+        eprintln!("{groups} groups of {MEMBERS}: {} bytes of records", tracker.bytes());
         let mut step = 0u64;
         all.bench_function(BenchmarkId::new("report of the holder", groups), |b| {
             b.iter(|| {
                 step += 1;
                 let group = (step as usize).wrapping_mul(7919) % groups;
                 let now = Duration::from_secs(2) + Duration::from_micros(step);
-                tenure.observe(now, group * MEMBERS, Some(Claim::at(Role::Primary, now)), false);
-                tenure.apply_rules(now, group, 0);
-                black_box(tenure.writer(group))
+                tracker.observe(now, group * MEMBERS, Some(Claim::at(Role::Primary, now)), false);
+                tracker.apply_rules(now, group, 0);
+                black_box(tracker.writer(group))
             });
         });
         all.bench_function(BenchmarkId::new("change of primaries", groups), |b| {
@@ -50,25 +50,25 @@
                 |(group, now)| {
                     let us = Duration::from_micros;
                     let first = group * MEMBERS;
-                    tenure.invalidate_claims(now, first);
-                    tenure.apply_rules(now, group, 0);
-                    tenure.observe(
+                    tracker.invalidate_claims(now, first);
+                    tracker.apply_rules(now, group, 0);
+                    tracker.observe(
                         now + us(2),
                         first + 1,
                         Some(Claim::at(Role::Primary, now + us(2))),
                         false,
                     );
-                    tenure.apply_rules(now + us(2), group, 0);
-                    tenure.observe(
+                    tracker.apply_rules(now + us(2), group, 0);
+                    tracker.observe(
                         now + us(3),
                         first + 1,
                         Some(Claim::at(Role::Replica, now + us(3))),
                         false,
                     );
-                    tenure.observe(now + us(4), first, Some(Claim::at(Role::Replica, now + us(4))), false);
-                    tenure.observe(now + us(5), first, Some(Claim::at(Role::Primary, now + us(5))), false);
-                    tenure.apply_rules(now + us(5), group, 0);
-                    black_box(tenure.take_changes().len())
+                    tracker.observe(now + us(4), first, Some(Claim::at(Role::Replica, now + us(4))), false);
+                    tracker.observe(now + us(5), first, Some(Claim::at(Role::Primary, now + us(5))), false);
+                    tracker.apply_rules(now + us(5), group, 0);
+                    black_box(tracker.take_changes().len())
                 },
                 BatchSize::SmallInput,
             );
--- a/crates/primary-tracker/src/lib.rs
+++ b/crates/primary-tracker/src/lib.rs
@@ -15,17 +15,17 @@
 //! use std::time::Duration;
 //!
 //! let ms = Duration::from_millis;
-//! let mut tenure = PrimaryTracker::default();
-//! (0..2).for_each(|member| tenure.add_member(member, 0));
-//! tenure.observe(ms(100), 0, Some(Claim::at(Role::Primary, ms(90))), false);
-//! tenure.apply_rules(ms(100), 0, 0);
-//! assert_eq!((tenure.primary(0), tenure.term(0), tenure.phase(0)), (Some(0), 1, Phase::Settling));
+//! let mut tracker = PrimaryTracker::default();
+//! (0..2).for_each(|member| tracker.add_member(member, 0));
+//! tracker.observe(ms(100), 0, Some(Claim::at(Role::Primary, ms(90))), false);
+//! tracker.apply_rules(ms(100), 0, 0);
+//! assert_eq!((tracker.primary(0), tracker.term(0), tracker.phase(0)), (Some(0), 1, Phase::Settling));
 //! // A successor claims; what the first says from then on is of its old term.
-//! tenure.observe(ms(500), 1, Some(Claim::at(Role::Primary, ms(480))), false);
-//! tenure.apply_rules(ms(500), 0, 0);
-//! tenure.observe(ms(510), 0, Some(Claim::at(Role::Primary, ms(505))), false);
-//! tenure.apply_rules(ms(510), 0, 0);
-//! assert_eq!((tenure.primary(0), tenure.term(0)), (Some(1), 2));
+//! tracker.observe(ms(500), 1, Some(Claim::at(Role::Primary, ms(480))), false);
+//! tracker.apply_rules(ms(500), 0, 0);
+//! tracker.observe(ms(510), 0, Some(Claim::at(Role::Primary, ms(505))), false);
+//! tracker.apply_rules(ms(510), 0, 0);
+//! assert_eq!((tracker.primary(0), tracker.term(0)), (Some(1), 2));
 //! ```
 
 mod leaderless;
@@ -35,7 +35,7 @@
 mod stamp;
 
 pub use leaderless::LeaderlessDurations;
-pub use plan::{Plan, Reason, Step, Undo};
+pub use plan::{Plan, PlanReason, Step, UndoReason};
 pub use record::{Change, ChangeReason, Claim, Phase, PrimaryTracker, Role};
 pub use snapshot::{ClaimsSnapshot, GroupSnapshot};
 
--- a/crates/primary-tracker/src/plan.rs
+++ b/crates/primary-tracker/src/plan.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 /// How long the writes that are out may take to end, before the change goes on without them.
-const EMPTY_WITHIN: Duration = Duration::from_secs(2);
+const MAX_EMPTYING_TIME: Duration = Duration::from_secs(2);
 /// How long a successor may take to claim, before the change is undone.
-const SUCCESSOR_WITHIN: Duration = Duration::from_secs(5);
+const MAX_SUCCESSOR_WAIT: Duration = Duration::from_secs(5);
 
 /// Why the primary is to change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Reason {
+pub enum PlanReason {
     /// The list says that it drains: it gets nothing new, whatever becomes of the plan.
     Drain,
     /// An operator's order: until a successor claims, it may be used again.
@@ -19,7 +19,7 @@
 
 /// Why a plan ended without a successor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Undo {
+pub enum UndoReason {
     /// None claimed in time.
     NoSuccessor,
     /// The one that was named drains or is gone.
@@ -40,7 +40,7 @@
     /// A successor has begun its term.
     Done,
     /// The change is over without one.
-    Undone(Undo),
+    Undone(UndoReason),
 }
 
 /// A planned change of one group's primary.
@@ -51,7 +51,7 @@
     pub leaving: usize,
     /// Who is to follow, where that was said. Another one that claims is taken all the same.
     pub successor: Option<usize>,
-    pub reason: Reason,
+    pub reason: PlanReason,
     pub step: Step,
     /// When the plan, and when its present step, began.
     pub begun: Duration,
@@ -60,15 +60,15 @@
 
 /// What a plan goes by, as it stands now.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Sight {
+pub(crate) struct PlanInputs {
     /// Writes out at the primary that leaves.
-    pub out: usize,
+    pub writes_in_flight: usize,
     /// Another member has begun a term since the plan began.
     pub succeeded: bool,
     /// The named successor may not be used.
     pub successor_left: bool,
     /// The leaving primary has lost the slot, and not by the plan.
-    pub lost: bool,
+    pub primary_lost: bool,
 }
 
 impl Plan {
@@ -77,7 +77,7 @@
         group: usize,
         leaving: usize,
         successor: Option<usize>,
-        reason: Reason,
+        reason: PlanReason,
     ) -> Plan {
         Plan { group, leaving, successor, reason, step: Step::Emptying, begun: now, since: now }
     }
@@ -92,29 +92,33 @@
     }
 
     /// When the present step runs out of time.
-    pub fn step_ends(&self) -> Option<Duration> {
+    pub fn step_deadline(&self) -> Option<Duration> {
         match self.step {
-            Step::Emptying => Some(self.since + EMPTY_WITHIN),
-            Step::Awaiting => Some(self.since + SUCCESSOR_WITHIN),
+            Step::Emptying => Some(self.since + MAX_EMPTYING_TIME),
+            Step::Awaiting => Some(self.since + MAX_SUCCESSOR_WAIT),
             Step::Done | Step::Undone(_) => None,
         }
     }
 
     pub(crate) fn call_off(&mut self, now: Duration) {
-        (self.step, self.since) = (Step::Undone(Undo::CalledOff), now);
+        (self.step, self.since) = (Step::Undone(UndoReason::CalledOff), now);
     }
 
     /// The first rule that holds takes the plan one step on; false if none does.
-    pub(crate) fn advance(&mut self, now: Duration, sight: Sight) -> bool {
-        let late = self.step_ends().is_some_and(|ends| ends <= now);
+    pub(crate) fn advance(&mut self, now: Duration, inputs: PlanInputs) -> bool {
+        let late = self.step_deadline().is_some_and(|ends| ends <= now);
         let next = match self.step {
             Step::Done | Step::Undone(_) => return false,
-            _ if sight.succeeded => Step::Done,
-            _ if sight.lost && self.reason == Reason::Order => Step::Undone(Undo::Overtaken),
+            _ if inputs.succeeded => Step::Done,
+            _ if inputs.primary_lost && self.reason == PlanReason::Order => {
+                Step::Undone(UndoReason::Overtaken)
+            }
             // With a drain the old one is of no use: whoever else may follow is waited for.
-            _ if sight.successor_left && self.reason == Reason::Order => Step::Undone(Undo::SuccessorLeft),
-            Step::Emptying if sight.out == 0 || late => Step::Awaiting,
-            Step::Awaiting if late => Step::Undone(Undo::NoSuccessor),
+            _ if inputs.successor_left && self.reason == PlanReason::Order => {
+                Step::Undone(UndoReason::SuccessorLeft)
+            }
+            Step::Emptying if inputs.writes_in_flight == 0 || late => Step::Awaiting,
+            Step::Awaiting if late => Step::Undone(UndoReason::NoSuccessor),
             Step::Emptying | Step::Awaiting => return false,
         };
         (self.step, self.since) = (next, now);
--- a/crates/primary-tracker/src/snapshot.rs
+++ b/crates/primary-tracker/src/snapshot.rs
@@ -2,7 +2,7 @@
 //! be claimed anew.
 
 use crate::leaderless::LeaderlessDurations;
-use crate::record::{NOBODY, PrimaryTracker};
+use crate::record::{NO_MEMBER, PrimaryTracker};
 use crate::stamp::Stamp;
 use std::time::Duration;
 
@@ -34,53 +34,58 @@
 impl PrimaryTracker {
     /// What is worth keeping of a group.
     pub fn snapshot_group(&self, group: usize) -> GroupSnapshot {
-        let Some(record) = self.records.get(group) else { return GroupSnapshot::default() };
+        let Some(state) = self.groups.get(group) else { return GroupSnapshot::default() };
         GroupSnapshot {
-            term: record.term,
-            last_primary: (record.last != NOBODY).then_some(record.last as usize),
-            began: record.began.time(),
-            newest_claim: record.newest.time(),
-            leaderless_durations: record.vacancies,
+            term: state.term,
+            last_primary: (state.last_primary != NO_MEMBER).then_some(state.last_primary as usize),
+            began: state.began.time(),
+            newest_claim: state.newest_claim.time(),
+            leaderless_durations: state.leaderless_durations,
         }
     }
 
     pub fn snapshot_claims(&self, member: usize) -> ClaimsSnapshot {
-        let Some(seat) = self.seats.get(member) else { return ClaimsSnapshot::default() };
-        let (last_served, stepped_down) = (seat.served.time(), seat.stepped.time());
-        ClaimsSnapshot { term: seat.term, last_served, stepped_down, last_observed: seat.heard.time() }
+        let Some(claims) = self.claims.get(member) else { return ClaimsSnapshot::default() };
+        let (last_served, stepped_down) = (claims.last_served.time(), claims.stepped_down_at.time());
+        ClaimsSnapshot {
+            term: claims.term,
+            last_served,
+            stepped_down,
+            last_observed: claims.last_observed.time(),
+        }
     }
 
     /// Takes up what was kept of a group whose members have their seats. Terms that began here already count
     /// on from those that were.
-    pub fn restore_group(&mut self, now: Duration, group: usize, kept: &GroupSnapshot) {
-        let Some(record) = self.records.get_mut(group) else { return };
-        if record.term > 0 {
-            record.term += kept.term;
-            for &member in &record.members {
-                let seat = &mut self.seats[member as usize];
-                seat.term += if seat.term > 0 { kept.term } else { 0 };
+    pub fn restore_group(&mut self, now: Duration, group: usize, snapshot: &GroupSnapshot) {
+        let Some(state) = self.groups.get_mut(group) else { return };
+        if state.term > 0 {
+            state.term += snapshot.term;
+            for &member in &state.members {
+                let claims = &mut self.claims[member as usize];
+                claims.term += if claims.term > 0 { snapshot.term } else { 0 };
             }
         } else {
-            record.term = kept.term;
-            record.last = kept.last_primary.map_or(NOBODY, |last| last as u32);
-            (record.began, record.newest) = (stamp(kept.began), stamp(kept.newest_claim));
+            state.term = snapshot.term;
+            state.last_primary = snapshot.last_primary.map_or(NO_MEMBER, |last| last as u32);
+            (state.began, state.newest_claim) = (stamp(snapshot.began), stamp(snapshot.newest_claim));
             // Empty from now on, as far as this process knows; that is no change to learn from.
-            (record.emptied, record.restored) = (Stamp::at(now), true);
+            (state.leaderless_since, state.restored) = (Stamp::at(now), true);
         }
-        record.vacancies = kept.leaderless_durations;
+        state.leaderless_durations = snapshot.leaderless_durations;
     }
 
     /// Takes up what was kept of a member, after its group.
-    pub fn restore_claims(&mut self, member: usize, kept: &ClaimsSnapshot) {
+    pub fn restore_claims(&mut self, member: usize, snapshot: &ClaimsSnapshot) {
         let Some(group) = self.group(member) else { return };
-        let newest = self.records[group].term;
-        let seat = &mut self.seats[member];
-        seat.heard = seat.heard.max(stamp(kept.last_observed));
-        if seat.term > 0 {
+        let newest = self.groups[group].term;
+        let claims = &mut self.claims[member];
+        claims.last_observed = claims.last_observed.max(stamp(snapshot.last_observed));
+        if claims.term > 0 {
             return;
         }
-        seat.term = kept.term.min(newest);
-        seat.served = stamp(kept.last_served);
-        seat.stepped = seat.stepped.max(stamp(kept.stepped_down));
+        claims.term = snapshot.term.min(newest);
+        claims.last_served = stamp(snapshot.last_served);
+        claims.stepped_down_at = claims.stepped_down_at.max(stamp(snapshot.stepped_down));
     }
 }
--- a/crates/request-guard/src/request.rs
+++ b/crates/request-guard/src/request.rs
@@ -90,7 +90,7 @@
 }
 
 /// Written, or never to be written.
-const SETTLED: u64 = u64::MAX;
+const CONSUMED: u64 = u64::MAX;
 
 /// Whether one attempt may still be written; clones are the same.
 #[derive(Clone)]
@@ -108,19 +108,19 @@
 
     /// It is written, or never to be written.
     pub fn is_consumed(&self) -> bool {
-        self.valid_until.load(Ordering::Relaxed) == SETTLED
+        self.valid_until.load(Ordering::Relaxed) == CONSUMED
     }
 
     /// Whether it could be written now, as far as this process knows; nothing is settled by asking, and the machine is
     /// not asked for the client.
     pub fn check(&self, now: Duration) -> Result<(), Withheld> {
-        self.holds(now, self.valid_until.load(Ordering::Relaxed))
+        self.check_validity(now, self.valid_until.load(Ordering::Relaxed))
     }
 
     /// Asked right before the first byte is written, and never again: it is settled then, one way or the other.
     pub fn consume(&self, now: Duration) -> Result<(), Withheld> {
-        let valid_until = self.valid_until.swap(SETTLED, Ordering::Relaxed);
-        self.holds(now, valid_until)?;
+        let valid_until = self.valid_until.swap(CONSUMED, Ordering::Relaxed);
+        self.check_validity(now, valid_until)?;
         self.client_is_there()
     }
 
@@ -137,12 +137,12 @@
         if !self.request.is_open() {
             invariants.count(Violation::SentAfterEnd);
         }
-        if now >= self.request.0.deadline + HELD_UP {
+        if now >= self.request.0.deadline + MAX_CLOCK_TO_WRITE {
             invariants.count(Violation::SentAfterDeadline);
         }
     }
 
-    fn holds(&self, now: Duration, valid_until: u64) -> Result<(), Withheld> {
+    fn check_validity(&self, now: Duration, valid_until: u64) -> Result<(), Withheld> {
         if !self.request.is_open() {
             Err(Withheld::Ended)
         } else if micros(now) >= valid_until {
@@ -158,8 +158,8 @@
 }
 
 /// A process may be held up for so long between looking at its clock and writing (`STANDING.md`).
-const HELD_UP: Duration = Duration::from_millis(150);
+const MAX_CLOCK_TO_WRITE: Duration = Duration::from_millis(150);
 
 fn micros(at: Duration) -> u64 {
-    u64::try_from(at.as_micros()).unwrap_or(SETTLED - 1).min(SETTLED - 1)
+    u64::try_from(at.as_micros()).unwrap_or(CONSUMED - 1).min(CONSUMED - 1)
 }
--- a/crates/request-guard/tests/guard.rs
+++ b/crates/request-guard/tests/guard.rs
@@ -51,11 +51,11 @@
 fn nothing_is_started_sent_or_answered_after_the_end() {
     for end in [RequestGuard::answer, RequestGuard::abandon] {
         let (request, _client, _) = request(ms(500));
-        let (permit, begun) = (request.permit(ms(500)), request.permit(ms(500)));
+        let (permit, started) = (request.permit(ms(500)), request.permit(ms(500)));
         assert!(end(&request));
         assert_eq!(request.may_start(ms(1)), Err(Withheld::Ended));
         assert_eq!(permit.consume(ms(1)), Err(Withheld::Ended));
-        assert_eq!(begun.may_continue(ms(1)), Err(Withheld::Ended));
+        assert_eq!(started.may_continue(ms(1)), Err(Withheld::Ended));
         assert!(!request.answer() && !request.abandon());
     }
     let (late, _client, _) = request(ms(500));
--- a/crates/server-clock/src/lib.rs
+++ b/crates/server-clock/src/lib.rs
@@ -61,29 +61,29 @@
 
 impl ServerClock {
     /// Judges a position. After `Behind` the caller has to date positions that much earlier before it asks again.
-    pub fn judge(&mut self, told: PositionSample) -> Verdict {
-        if told.position <= told.now + TOLERANCE {
-            self.claims.remove(&told.server);
-            if told.primary {
-                self.confirmed = Some(told.now);
-                self.note_ahead(told);
+    pub fn judge(&mut self, sample: PositionSample) -> Verdict {
+        if sample.position <= sample.now + TOLERANCE {
+            self.claims.remove(&sample.server);
+            if sample.primary {
+                self.confirmed = Some(sample.now);
+                self.note_ahead(sample);
             }
             return Verdict::Plausible;
         }
         // While the answer was on its way time went on there, too.
-        let behind = told.position - told.now + told.now.saturating_sub(told.asked);
-        let claim = self.claims.entry(told.server).or_insert(Claim { behind, first: told.now });
+        let behind = sample.position - sample.now + sample.now.saturating_sub(sample.asked);
+        let claim = self.claims.entry(sample.server).or_insert(Claim { behind, first: sample.now });
         claim.behind = behind;
         let claim = *claim;
-        let confirmed = self.confirmed.is_some_and(|at| told.now < at + CONFIRMED_FOR);
-        let others = self.claims.iter().filter(|(server, _)| **server != told.server);
+        let confirmed = self.confirmed.is_some_and(|at| sample.now < at + CONFIRMED_FOR);
+        let others = self.claims.iter().filter(|(server, _)| **server != sample.server);
         let agreed =
             others.map(|(_, claim)| claim.behind).filter(|other| other.abs_diff(behind) <= AGREEMENT);
-        let furthest = agreed.fold(None, |most: Option<Duration>, other| most.max(Some(other)));
-        let alone = self.claims.len() == 1 && claim.first + ALONE_AFTER <= told.now;
-        match furthest {
+        let largest = agreed.fold(None, |most: Option<Duration>, other| most.max(Some(other)));
+        let alone = self.claims.len() == 1 && claim.first + ALONE_AFTER <= sample.now;
+        match largest {
             _ if confirmed => Verdict::Implausible,
-            Some(furthest) => self.behind(behind.max(furthest)),
+            Some(largest) => self.behind(behind.max(largest)),
             None if alone => self.behind(behind),
             None => Verdict::Implausible,
         }
@@ -102,11 +102,11 @@
 
     /// A primary's position was the present when it was told, between the question and now. The nearest of what was
     /// told of late counts: a report may have lain there for a while.
-    fn note_ahead(&mut self, told: PositionSample) {
-        let ahead = told.asked.saturating_sub(told.position);
-        let recent = self.ahead.filter(|(_, at)| told.now < *at + CONFIRMED_FOR);
+    fn note_ahead(&mut self, sample: PositionSample) {
+        let ahead = sample.asked.saturating_sub(sample.position);
+        let recent = self.ahead.filter(|(_, at)| sample.now < *at + CONFIRMED_FOR);
         if recent.is_none_or(|(nearest, _)| ahead <= nearest) {
-            self.ahead = Some((ahead, told.now));
+            self.ahead = Some((ahead, sample.now));
         }
     }
 }
--- a/crates/server-clock/tests/server_clock.rs
+++ b/crates/server-clock/tests/server_clock.rs
@@ -8,23 +8,23 @@
     Duration::from_millis(ms)
 }
 
-fn told(server: usize, position: Duration, primary: bool, now: Duration) -> PositionSample {
+fn sample(server: usize, position: Duration, primary: bool, now: Duration) -> PositionSample {
     PositionSample { server, position, primary, asked: now, now }
 }
 
 #[test]
 fn two_primaries_in_the_future_prove_that_this_process_is_behind() {
     let mut clock = ServerClock::default();
-    assert_eq!(clock.judge(told(1, ms(10_000), true, ms(5))), Verdict::Implausible, "one alone");
-    assert_eq!(clock.judge(told(2, ms(10_002), true, ms(6))), Verdict::Behind(ms(9_996)));
-    assert_eq!(clock.judge(told(1, ms(10_003), true, ms(10_003))), Verdict::Plausible);
+    assert_eq!(clock.judge(sample(1, ms(10_000), true, ms(5))), Verdict::Implausible, "one alone");
+    assert_eq!(clock.judge(sample(2, ms(10_002), true, ms(6))), Verdict::Behind(ms(9_996)));
+    assert_eq!(clock.judge(sample(1, ms(10_003), true, ms(10_003))), Verdict::Plausible);
 }
 
 #[test]
 fn one_server_alone_is_believed_in_time_where_nobody_says_otherwise() {
     let mut clock = ServerClock::default();
-    assert_eq!(clock.judge(told(1, ms(10_000), true, ms(5))), Verdict::Implausible);
-    assert_eq!(clock.judge(told(1, ms(10_200), true, ms(205))), Verdict::Behind(ms(9_995)));
+    assert_eq!(clock.judge(sample(1, ms(10_000), true, ms(5))), Verdict::Implausible);
+    assert_eq!(clock.judge(sample(1, ms(10_200), true, ms(205))), Verdict::Behind(ms(9_995)));
 }
 
 #[test]
@@ -32,9 +32,9 @@
     let mut clock = ServerClock::default();
     for at in 1..200 {
         let now = ms(at * 50);
-        assert_eq!(clock.judge(told(0, now - ms(3), true, now)), Verdict::Plausible);
-        assert_eq!(clock.judge(told(1, now + ms(3_600_000), true, now)), Verdict::Implausible);
-        assert_eq!(clock.judge(told(2, now + ms(3_600_001), false, now)), Verdict::Implausible);
+        assert_eq!(clock.judge(sample(0, now - ms(3), true, now)), Verdict::Plausible);
+        assert_eq!(clock.judge(sample(1, now + ms(3_600_000), true, now)), Verdict::Implausible);
+        assert_eq!(clock.judge(sample(2, now + ms(3_600_001), false, now)), Verdict::Implausible);
     }
     assert_eq!(clock.ahead(), Duration::ZERO);
 }
@@ -42,17 +42,17 @@
 #[test]
 fn a_clock_that_is_ahead_is_known_by_the_nearest_answer_of_a_primary() {
     let mut clock = ServerClock::default();
-    let _ = clock.judge(told(0, ms(0), true, ms(10_500)));
-    let _ = clock.judge(told(0, ms(700), true, ms(10_700)));
-    let _ = clock.judge(told(0, ms(200), true, ms(10_900)));
+    let _ = clock.judge(sample(0, ms(0), true, ms(10_500)));
+    let _ = clock.judge(sample(0, ms(700), true, ms(10_700)));
+    let _ = clock.judge(sample(0, ms(200), true, ms(10_900)));
     assert_eq!(clock.ahead(), ms(10_000));
     let mut right = ServerClock::default();
-    let _ = right.judge(told(0, ms(9_500), true, ms(10_000)));
+    let _ = right.judge(sample(0, ms(9_500), true, ms(10_000)));
     assert_eq!(right.ahead(), Duration::ZERO, "a report that is half a second old");
 }
 
 /// Milliseconds from a question until its answer is judged, at most.
-const LONGEST_WAY: i64 = 60 + 8;
+const MAX_ROUND_TRIP_MS: i64 = 60 + 8;
 
 /// An answer of a random history: of which server, how old its data is there, how long it was on its way.
 type Answer = (usize, u64, u64);
@@ -79,7 +79,7 @@
                 Verdict::Behind(by) => {
                     advanced += by.as_millis() as i64;
                     // Never further than the real time by more than the longest way, another answer's perhaps.
-                    prop_assert!(off + advanced <= LONGEST_WAY, "{off} {advanced}");
+                    prop_assert!(off + advanced <= MAX_ROUND_TRIP_MS, "{off} {advanced}");
                 }
                 Verdict::Plausible if primary => {
                     let behind = -(off + advanced);
--- a/crates/server-list/src/entry.rs
+++ b/crates/server-list/src/entry.rs
@@ -16,7 +16,7 @@
 
 impl ServerState {
     /// Whether it takes a server out of use.
-    pub fn stops(self) -> bool {
+    pub fn takes_out_of_use(self) -> bool {
         self != ServerState::Up
     }
 }
--- a/crates/server-list/src/probes.rs
+++ b/crates/server-list/src/probes.rs
@@ -18,8 +18,8 @@
 const BURST: f64 = 120.0;
 /// Probes out at once, as parts of the connections to servers that there may be: of those that nothing waits for, and
 /// of all.
-const BACKGROUND_PART: usize = 4;
-const ALL_PART: usize = 2;
+const BACKGROUND_DIVISOR: usize = 4;
+const TOTAL_DIVISOR: usize = 2;
 
 /// How many probes may be out at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,7 +32,7 @@
     /// For so many connections to servers.
     pub fn for_connections(connections: usize) -> ProbeLimits {
         let part = |part: usize| (connections / part).max(1);
-        ProbeLimits { background: part(BACKGROUND_PART), all: part(ALL_PART) }
+        ProbeLimits { background: part(BACKGROUND_DIVISOR), all: part(TOTAL_DIVISOR) }
     }
 }
 
@@ -134,14 +134,14 @@
             (false, true) => Lane::InUse,
             (false, false) => Lane::Unused,
         };
-        self.enter(group, lane);
+        self.enqueue(group, lane);
     }
 
     /// A transaction has come for a group; `waits`: it waits there.
     pub fn used(&mut self, now: Duration, group: usize, waits: bool) {
         self.group(group).last_used = Some(now);
         if !self.group(group).queued.is_empty() {
-            self.enter(group, if waits { Lane::Demanded } else { Lane::InUse });
+            self.enqueue(group, if waits { Lane::Demanded } else { Lane::InUse });
         }
     }
 
@@ -150,7 +150,7 @@
         if self.out >= self.limits.all {
             return None;
         }
-        if let Some(server) = self.take_turn(Lane::Demanded) {
+        if let Some(server) = self.take_next(Lane::Demanded) {
             return Some(self.start(server));
         }
         self.in_use_budget.refill(now);
@@ -158,7 +158,7 @@
         for lane in [Lane::InUse, Lane::Unused] {
             if self.out < self.limits.background
                 && self.budget(lane).left >= 1.0
-                && let Some(server) = self.take_turn(lane)
+                && let Some(server) = self.take_next(lane)
             {
                 // Fronts that were told the same list do not probe in step.
                 let cost = 0.5 + self.random.rand_float();
@@ -212,7 +212,7 @@
     }
 
     /// A group gets its turns in this lane, unless it has them in a better one.
-    fn enter(&mut self, group: usize, lane: Lane) {
+    fn enqueue(&mut self, group: usize, lane: Lane) {
         let at = self.group(group).lane;
         let better = |now: Lane| (now as usize) <= (lane as usize);
         if at.is_some_and(better) {
@@ -223,7 +223,7 @@
     }
 
     /// One server of the group whose turn it is.
-    fn take_turn(&mut self, lane: Lane) -> Option<u32> {
+    fn take_next(&mut self, lane: Lane) -> Option<u32> {
         while let Some(at) = self.lane(lane).pop_front() {
             let group = &mut self.groups[at as usize];
             // It may have gone over to a better lane.
--- a/crates/server-list/src/versions.rs
+++ b/crates/server-list/src/versions.rs
@@ -6,13 +6,13 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Versions {
     version: Option<u64>,
-    told_by: Option<u64>,
+    watch: Option<u64>,
 }
 
 impl Versions {
     /// From a version that was known before any watch.
     pub fn new(version: Option<u64>) -> Versions {
-        Versions { version, told_by: None }
+        Versions { version, watch: None }
     }
 
     /// What the next watch is to start from.
@@ -27,11 +27,11 @@
     /// server out of use counts, for that binds as soon as it is told.
     pub fn accept(&mut self, watch: u64, mut list: ServerList) -> Option<ServerList> {
         let newer = self.version.is_none_or(|known| list.version > known);
-        if list.full || newer || self.told_by == Some(watch) {
-            (self.version, self.told_by) = (Some(list.version), Some(watch));
+        if list.full || newer || self.watch == Some(watch) {
+            (self.version, self.watch) = (Some(list.version), Some(watch));
             return Some(list);
         }
-        list.servers.retain(|entry| ServerState::stops(entry.state));
+        list.servers.retain(|entry| ServerState::takes_out_of_use(entry.state));
         Some(list).filter(|list| !list.servers.is_empty())
     }
 }
--- a/crates/timer-wheel/src/lib.rs
+++ b/crates/timer-wheel/src/lib.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct TimerKey {
     index: u32,
-    life: u32,
+    generation: u32,
 }
 
 #[derive(Debug)]
@@ -44,8 +44,8 @@
     slot: u32,
     newer: u32,
     older: u32,
-    life: u32,
-    what: Option<T>,
+    generation: u32,
+    value: Option<T>,
 }
 
 /// Alarms by their time.
@@ -58,7 +58,7 @@
     free: Vec<u32>,
     heads: Vec<u32>,
     /// Which slots of a level hold anything.
-    full: [u64; LEVELS],
+    occupied: [u64; LEVELS],
     /// Taken from the wheel, and not given out yet.
     due: Vec<u32>,
     len: usize,
@@ -72,7 +72,7 @@
             entries: Vec::new(),
             free: Vec::new(),
             heads: vec![NONE; SLOTS * LEVELS],
-            full: [0; LEVELS],
+            occupied: [0; LEVELS],
             due: Vec::new(),
             len: 0,
         }
@@ -89,26 +89,27 @@
 
     /// Sets an alarm: due once that time has come, at the latest a tick after. A time that is over is due at
     /// once.
-    pub fn schedule(&mut self, at: Duration, what: T) -> TimerKey {
+    pub fn schedule(&mut self, at: Duration, value: T) -> TimerKey {
         let tick = at.as_nanos().div_ceil(self.tick.as_nanos());
         let tick = u64::try_from(tick).unwrap_or(u64::MAX).max(self.now + 1);
         let index = self.free.pop().unwrap_or_else(|| {
             let (newer, older) = (NONE, NONE);
-            self.entries.push(Entry { tick: 0, slot: NONE, newer, older, life: 0, what: None });
+            self.entries.push(Entry { tick: 0, slot: NONE, newer, older, generation: 0, value: None });
             self.entries.len() as u32 - 1
         });
         let entry = &mut self.entries[index as usize];
-        (entry.tick, entry.what) = (tick, Some(what));
-        let life = entry.life;
+        (entry.tick, entry.value) = (tick, Some(value));
+        let generation = entry.generation;
         self.len += 1;
-        self.put(index);
-        TimerKey { index, life }
+        self.place(index);
+        TimerKey { index, generation }
     }
 
     /// Takes an alarm out; `None` if it has rung or was cancelled before.
     pub fn cancel(&mut self, key: TimerKey) -> Option<T> {
-        let entry = self.entries.get(key.index as usize).filter(|entry| entry.life == key.life)?;
-        entry.what.as_ref()?;
+        let entry =
+            self.entries.get(key.index as usize).filter(|entry| entry.generation == key.generation)?;
+        entry.value.as_ref()?;
         if entry.slot == NONE {
             self.due.retain(|&due| due != key.index);
         } else {
@@ -119,14 +120,14 @@
 
     fn release(&mut self, index: u32) -> Option<T> {
         let entry = &mut self.entries[index as usize];
-        entry.life = entry.life.wrapping_add(1);
+        entry.generation = entry.generation.wrapping_add(1);
         self.free.push(index);
         self.len -= 1;
-        entry.what.take()
+        entry.value.take()
     }
 
     /// Puts an entry into the slot where its tick belongs, seen from now.
-    fn put(&mut self, index: u32) {
+    fn place(&mut self, index: u32) {
         let tick = self.entries[index as usize].tick;
         // The highest bit in which its tick differs from now says how far up it lies.
         let differs = 63 - (tick ^ self.now).max(1).leading_zeros();
@@ -141,7 +142,7 @@
         if head != NONE {
             self.entries[head as usize].newer = index;
         }
-        self.full[level] |= 1 << at;
+        self.occupied[level] |= 1 << at;
     }
 
     fn unlink(&mut self, index: u32) {
@@ -154,7 +155,7 @@
             older.newer = newer;
         }
         if self.heads[slot as usize] == NONE {
-            self.full[slot as usize / SLOTS] &= !(1 << (slot as usize % SLOTS));
+            self.occupied[slot as usize / SLOTS] &= !(1 << (slot as usize % SLOTS));
         }
         self.entries[index as usize].slot = NONE;
     }
@@ -162,14 +163,14 @@
     /// The next tick at which a slot has to be looked at: its alarms are due, or sink.
     fn next_tick(&self) -> Option<u64> {
         let level = |level: usize| {
-            let (shift, full) = (BITS * level as u32, self.full[level]);
-            if full == 0 {
+            let (shift, occupied) = (BITS * level as u32, self.occupied[level]);
+            if occupied == 0 {
                 return None;
             }
             // Slots lie behind the present one, those before it in the next round of a level that has no
             // level above.
             let here = (self.now >> shift) as u32 % SLOTS as u32;
-            let ahead = full.rotate_right(here).trailing_zeros();
+            let ahead = occupied.rotate_right(here).trailing_zeros();
             let ahead = if ahead == 0 { SLOTS as u64 } else { u64::from(ahead) };
             Some(((self.now >> shift) + ahead) << shift)
         };
@@ -192,14 +193,14 @@
                 return None;
             };
             self.now = tick;
-            self.turn();
+            self.empty_slots();
         }
         let index = self.due.pop()?;
         self.release(index)
     }
 
     /// Empties the slots that the present tick has come to: alarms are due, or sink to where they belong now.
-    fn turn(&mut self) {
+    fn empty_slots(&mut self) {
         for level in (0..LEVELS).rev() {
             let shift = BITS * level as u32;
             if self.now & ((1 << shift) - 1) != 0 {
@@ -214,7 +215,7 @@
                 if self.entries[index as usize].tick <= self.now {
                     self.due.push(index);
                 } else {
-                    self.put(index);
+                    self.place(index);
                 }
             }
         }
--- a/crates/timer-wheel/tests/against_a_plain_one.rs
+++ b/crates/timer-wheel/tests/model.rs
@@ -18,14 +18,14 @@
         steps in proptest::collection::vec((0..4u8, 0..34u32, 0..1000u64, any::<prop::sample::Index>()), 1..200),
     ) {
         let mut wheel = TimerWheel::new(us(TICK));
-        let mut plain: Vec<(u64, usize, TimerKey)> = Vec::new();
+        let mut reference: Vec<(u64, usize, TimerKey)> = Vec::new();
         let mut now = 0u64;
         for (number, (what, power, part, which)) in steps.into_iter().enumerate() {
             let span = (1u64 << power) * part / 1000;
             match what {
-                0 | 1 => plain.push((now + span, number, wheel.schedule(us(now + span), number))),
-                2 if !plain.is_empty() => {
-                    let (_, number, key) = plain.swap_remove(which.index(plain.len()));
+                0 | 1 => reference.push((now + span, number, wheel.schedule(us(now + span), number))),
+                2 if !reference.is_empty() => {
+                    let (_, number, key) = reference.swap_remove(which.index(reference.len()));
                     prop_assert_eq!(wheel.cancel(key), Some(number));
                     prop_assert_eq!(wheel.cancel(key), None);
                 }
@@ -33,21 +33,21 @@
                     // To the next time that the wheel names, or so far.
                     let next = wheel.next_due().map(|at| at.as_micros() as u64);
                     now = if power % 2 == 0 { next.unwrap_or(now).max(now) } else { now + span };
-                    let mut rung = Vec::new();
+                    let mut fired = Vec::new();
                     while let Some(number) = wheel.pop_due(us(now)) {
-                        rung.push(number);
+                        fired.push(number);
                     }
-                    rung.sort_unstable();
+                    fired.sort_unstable();
                     let (over, left): (Vec<_>, Vec<_>) =
-                        plain.into_iter().partition(|(_, number, _)| rung.contains(number));
-                    prop_assert_eq!(over.len(), rung.len(), "each once");
+                        reference.into_iter().partition(|(_, number, _)| fired.contains(number));
+                    prop_assert_eq!(over.len(), fired.len(), "each once");
                     prop_assert!(over.iter().all(|&(at, ..)| at <= now), "none early");
                     prop_assert!(left.iter().all(|&(at, ..)| at + TICK > now), "none late");
-                    plain = left;
+                    reference = left;
                 }
             }
-            prop_assert_eq!(wheel.len(), plain.len());
-            if let Some(first) = plain.iter().map(|&(at, ..)| at).min() {
+            prop_assert_eq!(wheel.len(), reference.len());
+            if let Some(first) = reference.iter().map(|&(at, ..)| at).min() {
                 let next = wheel.next_due().expect("alarms are set").as_micros() as u64;
                 prop_assert!(next <= (first.max(now) + 2 * TICK), "{next} is after {first}");
             }
--- a/crates/wait-queue/benches/wait_queue.rs
+++ b/crates/wait-queue/benches/wait_queue.rs
@@ -32,7 +32,7 @@
 }
 
 /// The order in which txns are let go.
-fn order(w: &WaitingTxn) -> (usize, bool, std::cmp::Reverse<Duration>, usize) {
+fn release_order(w: &WaitingTxn) -> (usize, bool, std::cmp::Reverse<Duration>, usize) {
     (w.kind, w.retried, std::cmp::Reverse(w.arrived), w.txn)
 }
 
@@ -55,15 +55,15 @@
     }
     fn best(&mut self) -> Option<usize> {
         let ranks = (0..KINDS * 2).map(|n| QueueKey { kind: n / 2, retried: n % 2 > 0, submitted: false });
-        ranks.into_iter().find_map(|rank| self.newest(rank, 0))
+        ranks.into_iter().find_map(|key| self.newest(key, 0))
     }
 }
 
 /// As the router held them before: walked for what is over, sorted for what is best.
 #[derive(Default)]
-struct Plain(Vec<WaitingTxn>);
+struct List(Vec<WaitingTxn>);
 
-impl Store for Plain {
+impl Store for List {
     fn put(&mut self, wait: WaitingTxn) {
         self.0.push(wait);
     }
@@ -74,7 +74,7 @@
         self.0.iter().find(|w| w.hard_deadline <= now || w.soft_deadline <= now + ms(5)).map(|w| w.txn)
     }
     fn best(&mut self) -> Option<usize> {
-        self.0.sort_by_key(order);
+        self.0.sort_by_key(release_order);
         self.0.first().map(|w| w.txn)
     }
 }
@@ -92,12 +92,12 @@
             self.waits.resize(wait.txn + 1, None);
         }
         self.waits[wait.txn] = Some(wait);
-        self.by_value.insert(order(&wait));
+        self.by_value.insert(release_order(&wait));
         self.by_time.insert((wait.soft_deadline.min(wait.hard_deadline), wait.txn));
     }
     fn remove(&mut self, txn: usize) {
         if let Some(wait) = self.waits[txn].take() {
-            self.by_value.remove(&order(&wait));
+            self.by_value.remove(&release_order(&wait));
             self.by_time.remove(&(wait.soft_deadline.min(wait.hard_deadline), txn));
         }
     }
@@ -133,20 +133,20 @@
         }
         let most = usize::MAX / 2;
         let limits = WaitLimits { per_group: most, total: most, bytes_per_group: most, total_bytes: most };
-        let mut held = WaitQueue::new(KINDS, limits);
-        let (mut next, mut rng) = fill(&mut held, count);
+        let mut queue = WaitQueue::new(KINDS, limits);
+        let (mut next, mut rng) = fill(&mut queue, count);
         all.bench_function(BenchmarkId::new("held", count), |b| {
-            b.iter(|| events(&mut held, &mut next, &mut rng, count))
+            b.iter(|| events(&mut queue, &mut next, &mut rng, count))
         });
         let mut trees = Trees::default();
         let (mut next, mut rng) = fill(&mut trees, count);
         all.bench_function(BenchmarkId::new("trees", count), |b| {
             b.iter(|| events(&mut trees, &mut next, &mut rng, count))
         });
-        let mut plain = Plain::default();
-        let (mut next, mut rng) = fill(&mut plain, count);
+        let mut list = List::default();
+        let (mut next, mut rng) = fill(&mut list, count);
         all.bench_function(BenchmarkId::new("list", count), |b| {
-            b.iter(|| events(&mut plain, &mut next, &mut rng, count))
+            b.iter(|| events(&mut list, &mut next, &mut rng, count))
         });
     }
     all.finish();
--- a/crates/wait-queue/src/heap.rs
+++ b/crates/wait-queue/src/heap.rs
@@ -2,8 +2,8 @@
 
 /// Four children to a node: as few levels as with two at half the depth, and all of a node's children lie
 /// beside each other in memory.
-const WIDE: usize = 4;
-const NOWHERE: u32 = u32::MAX;
+const ARITY: usize = 4;
+const ABSENT: u32 = u32::MAX;
 
 /// A min-heap that knows where each index stands: setting, changing and removing take steps in proportion to
 /// the depth.
@@ -42,60 +42,60 @@
     /// Puts an index in, or gives it another key.
     pub fn set(&mut self, index: u32, key: u64) {
         if self.at.len() <= index as usize {
-            self.at.resize(index as usize + 1, NOWHERE);
+            self.at.resize(index as usize + 1, ABSENT);
         }
         let mut at = self.at[index as usize] as usize;
-        if at == NOWHERE as usize {
+        if at == ABSENT as usize {
             at = self.nodes.len();
             self.nodes.push((key, index));
         }
         self.nodes[at] = (key, index);
-        let at = self.rise(at);
-        self.sink(at);
+        let at = self.sift_up(at);
+        self.sift_down(at);
     }
 
     /// Takes an index out, if it is in.
     pub fn remove(&mut self, index: u32) -> bool {
-        let Some(at) = self.at.get_mut(index as usize).filter(|at| **at != NOWHERE) else { return false };
-        let at = std::mem::replace(at, NOWHERE) as usize;
+        let Some(at) = self.at.get_mut(index as usize).filter(|at| **at != ABSENT) else { return false };
+        let at = std::mem::replace(at, ABSENT) as usize;
         self.nodes.swap_remove(at);
         if at < self.nodes.len() {
-            let at = self.rise(at);
-            self.sink(at);
+            let at = self.sift_up(at);
+            self.sift_down(at);
         }
         true
     }
 
-    fn rise(&mut self, mut at: usize) -> usize {
+    fn sift_up(&mut self, mut at: usize) -> usize {
         let node = self.nodes[at];
         while at > 0 {
-            let parent = (at - 1) / WIDE;
+            let parent = (at - 1) / ARITY;
             if self.nodes[parent] <= node {
                 break;
             }
-            self.put(at, self.nodes[parent]);
+            self.place(at, self.nodes[parent]);
             at = parent;
         }
-        self.put(at, node);
+        self.place(at, node);
         at
     }
 
-    fn sink(&mut self, mut at: usize) {
+    fn sift_down(&mut self, mut at: usize) {
         let node = self.nodes[at];
         loop {
-            let first = at * WIDE + 1;
-            let children = first..(first + WIDE).min(self.nodes.len());
+            let first = at * ARITY + 1;
+            let children = first..(first + ARITY).min(self.nodes.len());
             let Some(least) = children.min_by_key(|&child| self.nodes[child]) else { break };
             if self.nodes[least] >= node {
                 break;
             }
-            self.put(at, self.nodes[least]);
+            self.place(at, self.nodes[least]);
             at = least;
         }
-        self.put(at, node);
+        self.place(at, node);
     }
 
-    fn put(&mut self, at: usize, node: (u64, u32)) {
+    fn place(&mut self, at: usize, node: (u64, u32)) {
         self.nodes[at] = node;
         self.at[node.1 as usize] = at as u32;
     }
--- a/crates/wait-queue/src/lib.rs
+++ b/crates/wait-queue/src/lib.rs
@@ -13,18 +13,18 @@
 //!
 //! let ms = Duration::from_millis;
 //! let limits = WaitLimits { per_group: 10, total: 100, bytes_per_group: 1000, total_bytes: 10_000 };
-//! let mut held = WaitQueue::new(2, limits);
+//! let mut queue = WaitQueue::new(2, limits);
 //! let wait = |txn, kind| WaitingTxn {
 //!     txn, group: 4, kind, retried: false, submitted: false, arrived: ms(txn as u64),
 //!     soft_deadline: ms(500), hard_deadline: ms(900), bytes: 40,
 //! };
-//! held.insert(wait(0, 1)).unwrap();
-//! held.insert(wait(1, 1)).unwrap();
-//! assert_eq!(held.newest(QueueKey { kind: 1, retried: false, submitted: false }, 4), Some(1));
+//! queue.insert(wait(0, 1)).unwrap();
+//! queue.insert(wait(1, 1)).unwrap();
+//! assert_eq!(queue.newest(QueueKey { kind: 1, retried: false, submitted: false }, 4), Some(1));
 //! // Type 1 takes 100 ms of late: what has to end by 500 ms is hopeless from 400 ms on.
 //! let takes = |kind| [ms(0), ms(100)][kind];
-//! assert_eq!(held.next_expired(ms(399), takes), None);
-//! assert_eq!(held.next_expired(ms(400), takes), Some(0));
+//! assert_eq!(queue.next_expired(ms(399), takes), None);
+//! assert_eq!(queue.next_expired(ms(400), takes), Some(0));
 //! ```
 
 mod heap;
@@ -97,22 +97,22 @@
 }
 
 impl QueueKey {
-    const OF_KIND: usize = 4;
+    const PER_KIND: usize = 4;
 
     fn index(self) -> usize {
-        self.kind * Self::OF_KIND + usize::from(self.retried) * 2 + usize::from(self.submitted)
+        self.kind * Self::PER_KIND + usize::from(self.retried) * 2 + usize::from(self.submitted)
     }
 }
 
 impl WaitingTxn {
-    pub fn rank(&self) -> QueueKey {
+    pub fn key(&self) -> QueueKey {
         QueueKey { kind: self.kind, retried: self.retried, submitted: self.submitted }
     }
 }
 
 /// A group's queues, one for each rank.
 #[derive(Clone, Debug)]
-struct Queues {
+struct GroupQueues {
     group: usize,
     of: Box<[Queue]>,
     len: usize,
@@ -123,9 +123,9 @@
 #[derive(Clone, Debug)]
 pub struct WaitQueue {
     kinds: usize,
-    most: WaitLimits,
+    limits: WaitLimits,
     entries: Vec<Option<Entry>>,
-    pool: Vec<Queues>,
+    pool: Vec<GroupQueues>,
     /// Places in the pool that are free, and which one a group has.
     free: Vec<u32>,
     of_group: BTreeMap<usize, u32>,
@@ -142,10 +142,10 @@
 }
 
 impl WaitQueue {
-    pub fn new(kinds: usize, most: WaitLimits) -> WaitQueue {
+    pub fn new(kinds: usize, limits: WaitLimits) -> WaitQueue {
         WaitQueue {
             kinds,
-            most,
+            limits,
             entries: Vec::new(),
             pool: Vec::new(),
             free: Vec::new(),
@@ -159,21 +159,21 @@
     }
 
     /// Other limits from now on; what waits already stays.
-    pub fn set_limits(&mut self, most: WaitLimits) {
-        self.most = most;
+    pub fn set_limits(&mut self, limits: WaitLimits) {
+        self.limits = limits;
     }
 
-    fn queues(&self, group: usize) -> Option<&Queues> {
+    fn queues(&self, group: usize) -> Option<&GroupQueues> {
         self.of_group.get(&group).map(|&at| &self.pool[at as usize])
     }
 
     /// Whether one more of that size may wait in a group.
-    pub fn room(&self, group: usize, bytes: usize) -> Result<(), QueueFull> {
+    pub fn check_limits(&self, group: usize, bytes: usize) -> Result<(), QueueFull> {
         let (len, of_group) = self.queues(group).map_or((0, 0), |queues| (queues.len, queues.bytes));
-        if len >= self.most.per_group || of_group + bytes > self.most.bytes_per_group {
+        if len >= self.limits.per_group || of_group + bytes > self.limits.bytes_per_group {
             return Err(QueueFull::Group);
         }
-        if self.len >= self.most.total || self.bytes + bytes > self.most.total_bytes {
+        if self.len >= self.limits.total || self.bytes + bytes > self.limits.total_bytes {
             return Err(QueueFull::Total);
         }
         Ok(())
@@ -182,11 +182,11 @@
     /// Puts a txn in, newest of its rank or where its arrival belongs; it is not given up yet for its time.
     /// The error says which limit leaves no room; then nothing has changed.
     pub fn insert(&mut self, wait: WaitingTxn) -> Result<(), QueueFull> {
-        self.room(wait.group, wait.bytes)?;
+        self.check_limits(wait.group, wait.bytes)?;
         self.remove(wait.txn);
-        let at = self.place_of(wait.group);
-        let rank = wait.rank().index();
-        let queue = self.pool[at as usize].of[rank];
+        let at = self.slot_of(wait.group);
+        let key = wait.key().index();
+        let queue = self.pool[at as usize].of[key];
         // What is new is the newest; one that was sent before looks for its place from that end, among its
         // like.
         let (mut newer, mut older) = (NONE, queue.newest);
@@ -198,38 +198,38 @@
             self.entries.resize_with(txn + 1, || None);
         }
         self.entries[txn] = Some(Entry { wait, pool: at, newer, older });
-        self.link(at, rank, newer, txn as u32, true);
-        self.link(at, rank, older, txn as u32, false);
+        self.link(at, key, newer, txn as u32, true);
+        self.link(at, key, older, txn as u32, false);
         let queues = &mut self.pool[at as usize];
-        queues.of[rank].len += 1;
+        queues.of[key].len += 1;
         queues.len += 1;
         queues.bytes += wait.bytes;
         self.len += 1;
         self.bytes += wait.bytes;
-        self.weigh(at);
+        self.update_fullest(at);
         self.soft[wait.kind].set(txn as u32, micros(wait.soft_deadline));
         self.hard.set(txn as u32, micros(wait.hard_deadline));
         Ok(())
     }
 
     /// Makes `to` the neighbour of `of` on its older or newer side, or the end of the queue.
-    fn link(&mut self, at: u32, rank: usize, of: u32, to: u32, older: bool) {
-        let place = match self.entries.get_mut(of as usize).and_then(Option::as_mut) {
+    fn link(&mut self, at: u32, key: usize, of: u32, to: u32, older: bool) {
+        let link = match self.entries.get_mut(of as usize).and_then(Option::as_mut) {
             Some(entry) if older => &mut entry.older,
             Some(entry) => &mut entry.newer,
-            None if older => &mut self.pool[at as usize].of[rank].newest,
-            None => &mut self.pool[at as usize].of[rank].oldest,
+            None if older => &mut self.pool[at as usize].of[key].newest,
+            None => &mut self.pool[at as usize].of[key].oldest,
         };
-        *place = to;
+        *link = to;
     }
 
-    fn place_of(&mut self, group: usize) -> u32 {
+    fn slot_of(&mut self, group: usize) -> u32 {
         if let Some(&at) = self.of_group.get(&group) {
             return at;
         }
         let at = self.free.pop().unwrap_or_else(|| {
-            let of = vec![EMPTY; self.kinds * QueueKey::OF_KIND].into_boxed_slice();
-            self.pool.push(Queues { group, of, len: 0, bytes: 0 });
+            let of = vec![EMPTY; self.kinds * QueueKey::PER_KIND].into_boxed_slice();
+            self.pool.push(GroupQueues { group, of, len: 0, bytes: 0 });
             self.pool.len() as u32 - 1
         });
         self.pool[at as usize].group = group;
@@ -238,7 +238,7 @@
     }
 
     /// Notes how full a group is; one without a txn gives its place back.
-    fn weigh(&mut self, at: u32) {
+    fn update_fullest(&mut self, at: u32) {
         let queues = &self.pool[at as usize];
         if queues.len > 0 {
             self.fullest.set(at, u64::MAX - queues.len as u64);
@@ -253,16 +253,16 @@
     pub fn remove(&mut self, txn: usize) -> Option<WaitingTxn> {
         let entry = self.entries.get_mut(txn)?.take()?;
         let Entry { wait, pool, newer, older } = entry;
-        let rank = wait.rank().index();
-        self.link(pool, rank, newer, older, true);
-        self.link(pool, rank, older, newer, false);
+        let key = wait.key().index();
+        self.link(pool, key, newer, older, true);
+        self.link(pool, key, older, newer, false);
         let queues = &mut self.pool[pool as usize];
-        queues.of[rank].len -= 1;
+        queues.of[key].len -= 1;
         queues.len -= 1;
         queues.bytes -= wait.bytes;
         self.len -= 1;
         self.bytes -= wait.bytes;
-        self.weigh(pool);
+        self.update_fullest(pool);
         self.soft[wait.kind].remove(txn as u32);
         self.hard.remove(txn as u32);
         Some(wait)
@@ -303,20 +303,20 @@
     }
 
     /// How many of a rank wait in a group.
-    pub fn of_rank(&self, rank: QueueKey, group: usize) -> usize {
-        self.queues(group).map_or(0, |queues| queues.of[rank.index()].len as usize)
+    pub fn len_of_key(&self, key: QueueKey, group: usize) -> usize {
+        self.queues(group).map_or(0, |queues| queues.of[key.index()].len as usize)
     }
 
-    pub fn newest(&self, rank: QueueKey, group: usize) -> Option<usize> {
-        self.end(rank, group, |queue| queue.newest)
+    pub fn newest(&self, key: QueueKey, group: usize) -> Option<usize> {
+        self.end(key, group, |queue| queue.newest)
     }
 
-    pub fn oldest(&self, rank: QueueKey, group: usize) -> Option<usize> {
-        self.end(rank, group, |queue| queue.oldest)
+    pub fn oldest(&self, key: QueueKey, group: usize) -> Option<usize> {
+        self.end(key, group, |queue| queue.oldest)
     }
 
-    fn end(&self, rank: QueueKey, group: usize, of: impl Fn(&Queue) -> u32) -> Option<usize> {
-        let end = of(&self.queues(group)?.of[rank.index()]);
+    fn end(&self, key: QueueKey, group: usize, of: impl Fn(&Queue) -> u32) -> Option<usize> {
+        let end = of(&self.queues(group)?.of[key.index()]);
         (end != NONE).then_some(end as usize)
     }
 
--- a/crates/wait-queue/tests/against_a_plain_one.rs
+++ b/crates/wait-queue/tests/model.rs
@@ -40,14 +40,14 @@
     Duration::from_millis(n)
 }
 
-const MOST: WaitLimits = WaitLimits { per_group: 12, total: 30, bytes_per_group: 1500, total_bytes: 3500 };
+const LIMITS: WaitLimits = WaitLimits { per_group: 12, total: 30, bytes_per_group: 1500, total_bytes: 3500 };
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
     fn both_hold_the_same(steps in proptest::collection::vec(step(), 1..250)) {
-        let (mut held, mut plain, mut now) = (WaitQueue::new(KINDS, MOST), Vec::<WaitingTxn>::new(), 1000u64);
+        let (mut queue, mut reference, mut now) = (WaitQueue::new(KINDS, LIMITS), Vec::<WaitingTxn>::new(), 1000u64);
         let takes = [ms(0), ms(50), ms(400)];
         for step in steps {
             now += 1;
@@ -55,70 +55,70 @@
                 Step::Put { txn, group, kind, retried, submitted, ago, soft_deadline, hard_deadline, bytes } => {
                     let (arrived, soft_deadline, hard_deadline) = (ms(now - ago), ms(now + soft_deadline), ms(now + hard_deadline));
                     let wait = WaitingTxn { txn, group, kind, retried, submitted, arrived, soft_deadline, hard_deadline, bytes };
-                    let of_group = || plain.iter().filter(|other| other.group == group);
-                    let full = of_group().count() >= MOST.per_group
-                        || of_group().map(|w| w.bytes).sum::<usize>() + bytes > MOST.bytes_per_group;
-                    let all = plain.len() >= MOST.total
-                        || plain.iter().map(|w| w.bytes).sum::<usize>() + bytes > MOST.total_bytes;
+                    let of_group = || reference.iter().filter(|other| other.group == group);
+                    let full = of_group().count() >= LIMITS.per_group
+                        || of_group().map(|w| w.bytes).sum::<usize>() + bytes > LIMITS.bytes_per_group;
+                    let all = reference.len() >= LIMITS.total
+                        || reference.iter().map(|w| w.bytes).sum::<usize>() + bytes > LIMITS.total_bytes;
                     let expected = if full { Err(QueueFull::Group) } else if all { Err(QueueFull::Total) } else { Ok(()) };
-                    prop_assert_eq!(held.insert(wait), expected);
+                    prop_assert_eq!(queue.insert(wait), expected);
                     if expected.is_ok() {
-                        plain.retain(|other| other.txn != txn);
-                        plain.push(wait);
+                        reference.retain(|other| other.txn != txn);
+                        reference.push(wait);
                     }
                 }
                 Step::Remove(txn) => {
-                    let there = plain.iter().position(|other| other.txn == txn).map(|at| plain.remove(at));
-                    prop_assert_eq!(held.remove(txn), there);
+                    let there = reference.iter().position(|other| other.txn == txn).map(|at| reference.remove(at));
+                    prop_assert_eq!(queue.remove(txn), there);
                 }
                 Step::Due(later) => {
                     now += later;
                     let over = |w: &WaitingTxn| w.hard_deadline <= ms(now) || w.soft_deadline <= ms(now) + takes[w.kind];
                     let mut due = Vec::new();
-                    while let Some(txn) = held.next_expired(ms(now), |kind| takes[kind]) {
+                    while let Some(txn) = queue.next_expired(ms(now), |kind| takes[kind]) {
                         due.push(txn);
-                        held.remove(txn);
+                        queue.remove(txn);
                     }
                     due.sort_unstable();
-                    let mut expected: Vec<_> = plain.iter().filter(|w| over(w)).map(|w| w.txn).collect();
+                    let mut expected: Vec<_> = reference.iter().filter(|w| over(w)).map(|w| w.txn).collect();
                     expected.sort_unstable();
                     prop_assert_eq!(due, expected);
-                    plain.retain(|w| !over(w));
+                    reference.retain(|w| !over(w));
                 }
             }
-            prop_assert_eq!((held.total(), held.bytes()), (plain.len(), plain.iter().map(|w| w.bytes).sum::<usize>()));
-            let of_group = |group| plain.iter().filter(|w| w.group == group).count();
+            prop_assert_eq!((queue.total(), queue.bytes()), (reference.len(), reference.iter().map(|w| w.bytes).sum::<usize>()));
+            let of_group = |group| reference.iter().filter(|w| w.group == group).count();
             for group in 0..4 {
-                prop_assert_eq!(held.len(group), of_group(group));
+                prop_assert_eq!(queue.len(group), of_group(group));
                 for n in 0..KINDS * 4 {
-                    let rank = QueueKey { kind: n / 4, retried: n & 2 > 0, submitted: n & 1 > 0 };
-                    let mine = plain.iter().filter(|w| (w.group, w.rank()) == (group, rank)).count();
+                    let key = QueueKey { kind: n / 4, retried: n & 2 > 0, submitted: n & 1 > 0 };
+                    let mine = reference.iter().filter(|w| (w.group, w.key()) == (group, key)).count();
                     let walk: Vec<_> =
-                        std::iter::successors(held.newest(rank, group), |&txn| held.older(txn)).collect();
-                    let times: Vec<_> = walk.iter().map(|&txn| held.get(txn).map(|w| w.arrived)).collect();
+                        std::iter::successors(queue.newest(key, group), |&txn| queue.older(txn)).collect();
+                    let times: Vec<_> = walk.iter().map(|&txn| queue.get(txn).map(|w| w.arrived)).collect();
                     prop_assert!(times.is_sorted_by(|a, b| a >= b), "newest first");
-                    prop_assert_eq!(held.oldest(rank, group), walk.last().copied());
-                    prop_assert_eq!((walk.len(), held.of_rank(rank, group)), (mine, mine));
+                    prop_assert_eq!(queue.oldest(key, group), walk.last().copied());
+                    prop_assert_eq!((walk.len(), queue.len_of_key(key, group)), (mine, mine));
                 }
             }
             let most = (0..4).map(of_group).max().unwrap_or(0);
-            prop_assert_eq!(held.fullest().map_or(0, of_group), most);
+            prop_assert_eq!(queue.fullest().map_or(0, of_group), most);
         }
     }
 
     #[test]
     fn the_heap_gives_what_a_sorted_list_gives(steps in proptest::collection::vec((0..40u32, 0..90u64, 0..3u8), 1..300)) {
-        let (mut heap, mut plain) = (Heap::default(), std::collections::BTreeMap::new());
+        let (mut heap, mut reference) = (Heap::default(), std::collections::BTreeMap::new());
         for (index, key, what) in steps {
             match what {
-                0 => prop_assert_eq!(heap.remove(index), plain.remove(&index).is_some()),
+                0 => prop_assert_eq!(heap.remove(index), reference.remove(&index).is_some()),
                 _ => {
                     heap.set(index, key);
-                    plain.insert(index, key);
+                    reference.insert(index, key);
                 }
             }
-            let least = plain.iter().map(|(&index, &key)| (key, index)).min();
-            prop_assert_eq!((heap.first(), heap.len()), (least, plain.len()));
+            let least = reference.iter().map(|(&index, &key)| (key, index)).min();
+            prop_assert_eq!((heap.first(), heap.len()), (least, reference.len()));
         }
     }
 }
@@ -126,7 +126,7 @@
 #[test]
 fn one_vacant_group_leaves_room_for_the_others() {
     let most = WaitLimits { per_group: 50, total: 80, bytes_per_group: usize::MAX, total_bytes: usize::MAX };
-    let mut held = WaitQueue::new(1, most);
+    let mut queue = WaitQueue::new(1, most);
     let wait = |txn: usize, group| {
         let (arrived, soft_deadline, hard_deadline) = (ms(txn as u64), ms(9000), ms(9000));
         WaitingTxn {
@@ -141,10 +141,10 @@
             bytes: 10,
         }
     };
-    let put = (0..60).filter(|&txn| held.insert(wait(txn, 7)).is_ok()).count();
-    assert_eq!((put, held.insert(wait(60, 7))), (50, Err(QueueFull::Group)));
-    assert!((70..100).all(|txn| held.insert(wait(txn, txn)).is_ok()), "each of the others finds room");
-    assert_eq!((held.insert(wait(100, 100)), held.fullest()), (Err(QueueFull::Total), Some(7)));
+    let put = (0..60).filter(|&txn| queue.insert(wait(txn, 7)).is_ok()).count();
+    assert_eq!((put, queue.insert(wait(60, 7))), (50, Err(QueueFull::Group)));
+    assert!((70..100).all(|txn| queue.insert(wait(txn, txn)).is_ok()), "each of the others finds room");
+    assert_eq!((queue.insert(wait(100, 100)), queue.fullest()), (Err(QueueFull::Total), Some(7)));
     // Where all is full, the fullest group gives way.
-    assert!(held.remove(0).is_some() && held.insert(wait(100, 100)).is_ok());
+    assert!(queue.remove(0).is_some() && queue.insert(wait(100, 100)).is_ok());
 }
