--- a/crates/attempt-outcome/src/lib.rs
+++ b/crates/attempt-outcome/src/lib.rs
@@ -1,9 +1,9 @@
-//! What became of a txn's submissions. From this record alone follow whether it may be sent again, which
-//! stores may take it, and which final answers are true. No input or output.
+//! What is known of a txn's submissions. From this record follow whether the txn may be sent again, which members may
+//! get it, and which final answers are true. No I/O.
 //!
-//! A submission ends in one of three ways: it *ran*, it *never ran*, or it *may have run*. What may have run
-//! stays so: a later submission that never ran takes nothing back. The window in which stores know a repeat
-//! of a referenced txn by its mark counts from the first submission that may have run, from when it was sent.
+//! A submission ends in one of three ways: it *ran*, it *never ran*, or it *may have run*. If one may have run, this
+//! does not change when a later submission never ran. The deduplication window of a referenced txn, in which stores
+//! recognise a repeat by its mark, starts when the first submission that may have run was sent.
 //!
 //! ```
 //! use juniperdock_attempt_outcome::{Effect, AttemptOutcome, SubmissionHistory, Target, FinalAnswer};
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Effect {
     Repeatable,
-    /// A repeat is known by its mark within the window, among the members of the scope.
+    /// Repeats within the window are recognised by their mark and dropped by the members in the scope.
     Referenced {
         window: Duration,
         scope: Scope,
@@ -37,7 +37,7 @@
     OnceOnly,
 }
 
-/// Which members drop the repeats of a referenced txn.
+/// The members that drop repeats of a referenced txn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Scope {
     Everywhere,
@@ -49,28 +49,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptOutcome {
     Committed,
-    /// An error from the member; it may have had an effect.
+    /// The member answered with an error; the submission may have had an effect.
     Errored,
-    /// No member could use such a statement; the client has this as its answer.
+    /// The statement is invalid at any member; the client gets this as its answer.
     Invalid,
-    /// An answer came that can't be made out. It may have had an effect; the member lives.
+    /// The answer could not be parsed. The submission may have had an effect; the member is alive.
     Spoilt,
-    /// Turned away unseen.
+    /// The member was full and refused it unread.
     Full,
     TimedOut,
     /// No connection could be made.
     Unreachable,
-    /// The connection broke while the submission was out.
+    /// The connection broke while the submission was in flight.
     Dropped,
     Cancelled,
     /// It was never sent.
     Moot,
-    /// Turned away untouched: wrong role, or too far behind.
+    /// The member refused it without executing it: wrong role, or too far behind.
     Misplaced,
 }
 
 impl AttemptOutcome {
-    /// Whether this ending proves that nothing ran.
+    /// Whether this outcome proves that nothing ran.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -88,11 +88,11 @@
     pub member: usize,
     pub group: usize,
     pub zone: usize,
-    /// The group's newest term when it was sent.
+    /// The group's newest term when the submission was sent.
     pub term: u32,
 }
 
-/// A submission that is out.
+/// A submission in flight, or one that was.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Submission {
     pub sent_at: Duration,
@@ -102,44 +102,44 @@
 /// What is known of a txn's effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum EffectState {
-    /// No submission, or none that reached a member.
+    /// There was no submission, or none that may have run.
     NeverRan,
-    /// One is out, and none before it may have run.
-    Submission,
-    /// It may have run; a mark is remembered until the window ends.
+    /// A submission is in flight, and none before it may have run.
+    InFlight,
+    /// A submission may have run; the mark of a referenced txn is remembered until its window ends.
     MayHaveRun,
     Ran,
 }
 
-/// Why a txn may not be sent now, or not there.
+/// Why a txn may not be sent now, or not to this target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Blocked {
-    /// One submission of a txn is out at a time.
+    /// Only one submission of a txn may be in flight at a time.
     InFlight,
-    /// It had as many submissions as are allowed.
+    /// It has used up the allowed number of submissions.
     TooManySubmissions,
     /// It has run.
     Ran,
-    /// It takes effect once only, and may have.
+    /// It may take effect only once, and may have done so.
     OnceOnly,
-    /// The stores no longer know its mark.
+    /// Stores no longer remember its mark.
     WindowExpired,
-    /// Stores there do not know its mark.
+    /// The target is outside the scope in which its mark is known.
     OutOfScope,
 }
 
-/// The final answers that are true of a txn which no member has answered.
+/// The final answers that are true for a txn which no member has answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FinalAnswer {
-    /// Trying again is harmless.
+    /// It has not run, or repeating it is harmless: the client may retry.
     Decline,
-    /// Whether it took effect is not known.
+    /// It is not known whether the txn took effect.
     Unknown,
-    /// It has run: nothing but its member's answer is true.
+    /// It has run: only the member's own answer is true.
     Committed,
 }
 
-/// The record of one txn, from its arrival to its final answer.
+/// The submissions of one txn, from its arrival to its final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct SubmissionHistory {
     effect: Effect,
@@ -155,7 +155,7 @@
         SubmissionHistory { effect, in_flight: None, first_possible_run: None, submissions: 0, ran: false }
     }
 
-    /// Why a submission may not go to that place now; `None` where it may. `max_submissions`: submissions in all.
+    /// Why a submission may not go to this target now; `None` if it may. `max_submissions` limits submissions in total.
     pub fn blocked_at(&self, now: Duration, max_submissions: u32, target: Target) -> Option<Blocked> {
         self.blocked_everywhere(now, max_submissions).or_else(|| {
             let Effect::Referenced { scope, .. } = self.effect else { return None };
@@ -169,7 +169,7 @@
         })
     }
 
-    /// Why no submission may go anywhere now.
+    /// Why no submission may go to any target now.
     pub fn blocked_everywhere(&self, now: Duration, max_submissions: u32) -> Option<Blocked> {
         match self.effect {
             _ if self.in_flight.is_some() => Some(Blocked::InFlight),
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Until when it may be sent again, where it may have run and its stores remember marks for a while only.
+    /// Until when a txn that may have run may be sent again, if stores remember its mark for a limited time only.
     pub fn window_end(&self) -> Option<Duration> {
         match (self.effect, self.first_possible_run) {
             (Effect::Referenced { window, .. }, Some(first_possible_run)) => {
@@ -193,8 +193,8 @@
         }
     }
 
-    /// Until when it could be sent again, should the submission that is out now turn out to be one that may
-    /// have run. `None` where that would be its last.
+    /// Until when the txn could be sent again if the submission in flight turned out to be one that may have run.
+    /// `None` if it could not be sent again at all.
     pub fn resendable_until(&self) -> Option<Duration> {
         match (self.effect, self.first_possible_run.or(self.in_flight)) {
             (Effect::Repeatable, _) | (_, None) => Some(Duration::MAX),
@@ -205,14 +205,14 @@
         }
     }
 
-    /// A submission goes out. The caller has asked `bars`.
+    /// Records that a submission was sent. The caller has checked `blocked_at`.
     pub fn sent(&mut self, now: Duration, target: Target) {
         debug_assert!(self.in_flight.is_none(), "one submission at a time");
         self.in_flight = Some(Submission { sent_at: now, target });
         self.submissions += 1;
     }
 
-    /// The submission that was out has ended; gives what it was.
+    /// Records the outcome of the submission in flight, and returns that submission.
     pub fn ended(&mut self, outcome: AttemptOutcome) -> Option<Submission> {
         let in_flight = self.in_flight.take()?;
         self.ran |= outcome == AttemptOutcome::Committed;
@@ -226,12 +226,12 @@
         self.in_flight.as_ref()
     }
 
-    /// Submissions so far.
+    /// The number of submissions so far.
     pub fn submissions(&self) -> u32 {
         self.submissions
     }
 
-    /// No member has had it, as far as is known.
+    /// Whether no submission that has ended may have run.
     pub fn none_may_have_run(&self) -> bool {
         self.first_possible_run.is_none()
     }
@@ -240,12 +240,12 @@
         match (self.first_possible_run, self.in_flight) {
             _ if self.ran => EffectState::Ran,
             (Some(_), _) => EffectState::MayHaveRun,
-            (None, Some(_)) => EffectState::Submission,
+            (None, Some(_)) => EffectState::InFlight,
             (None, None) => EffectState::NeverRan,
         }
     }
 
-    /// The only final answer that is true now, if no member's answer is passed on.
+    /// The only final answer that is true now, unless a member's own answer is passed on.
     pub fn final_answer(&self) -> FinalAnswer {
         let harmless = match self.effect {
             Effect::Repeatable => true,
--- a/crates/primary-tracker/src/leaderless.rs
+++ b/crates/primary-tracker/src/leaderless.rs
@@ -1,17 +1,18 @@
-//! How long changes of primaries took of late, as a sketch of fixed size: one for each group, one over all.
+//! A fixed-size histogram of how long groups had no primary during recent changes: one for each group, one for all.
 
 use std::time::Duration;
 
-/// Half octaves from the shortest span on; the last one has no end.
+/// Two buckets an octave, starting at `FIRST_BUCKET_SPAN`; the last one has no upper bound.
 const BUCKETS: usize = 24;
-/// The first cell ends here.
+/// Durations up to this one, and up to half an octave more, go into the first bucket.
 const FIRST_BUCKET_SPAN: Duration = Duration::from_millis(16);
-/// One vacancy adds so much; all cells are halved before one overflows, so that old ones fade.
+/// Weight of one sample. All buckets are halved before one would overflow, so that old samples fade.
 const SAMPLE_WEIGHT: u8 = 16;
-/// Quantiles of fewer vacancies than this say too little.
+/// Quantiles of fewer samples than this are not meaningful.
 const MIN_SAMPLES: u32 = 3;
 
-/// Counts of vacancies by their length, the newer ones weighing more. 24 bytes; a length is known within 42%.
+/// Histogram of leaderless durations in which newer samples weigh more. It takes 24 bytes; a duration is known within
+/// 42%.
 ///
 /// ```
 /// use juniperdock_primary_tracker::LeaderlessDurations;
@@ -30,16 +31,17 @@
 
 fn bucket(span: Duration) -> usize {
     let times = span.as_secs_f64() / FIRST_BUCKET_SPAN.as_secs_f64();
-    // Two cells an octave; what is no longer than the shortest goes into the first.
+    // Two buckets an octave; shorter durations go into the first bucket.
     ((times.max(1.0).log2() * 2.0).floor() as usize).min(BUCKETS - 1)
 }
 
-/// Where a cell ends.
+/// The upper bound of a bucket.
 fn bucket_end(bucket: usize) -> Duration {
     FIRST_BUCKET_SPAN.mul_f64(2f64.powf((bucket + 1) as f64 / 2.0))
 }
 
 impl LeaderlessDurations {
+    /// Adds a sample.
     pub fn add(&mut self, span: Duration) {
         let at = bucket(span);
         if self.buckets[at] > u8::MAX - SAMPLE_WEIGHT {
@@ -48,24 +50,26 @@
         self.buckets[at] += SAMPLE_WEIGHT;
     }
 
-    /// The sketch as bytes, and back; too few or too many are none.
+    /// The histogram in the form that `from_bytes` reads.
     pub fn as_bytes(&self) -> &[u8] {
         &self.buckets
     }
 
+    /// Reads the form that `as_bytes` gives; an input of another length gives an empty histogram.
     pub fn from_bytes(bytes: &[u8]) -> LeaderlessDurations {
         bytes
             .try_into()
             .map_or_else(|_| LeaderlessDurations::default(), |buckets| LeaderlessDurations { buckets })
     }
 
-    /// Vacancies counted, the faded ones in part.
+    /// The number of samples; faded ones count in part.
     pub fn count(&self) -> u32 {
         self.buckets.iter().map(|&bucket| u32::from(bucket)).sum::<u32>() / u32::from(SAMPLE_WEIGHT)
     }
 
-    /// How long a vacancy that has lasted so long still lasts, in three cases of four as far as those before
-    /// tell; one longer than any of them lasts as long again. `None` where too few are known.
+    /// The 75th percentile of how much longer a group stays leaderless that has been so for `lasted`, judged by past
+    /// durations. If it has lasted longer than any of them, the estimate is as long again. `None` if there are too few
+    /// samples.
     pub fn expected_remaining(&self, lasted: Duration) -> Option<Duration> {
         if self.count() < MIN_SAMPLES {
             return None;
--- a/crates/primary-tracker/src/plan.rs
+++ b/crates/primary-tracker/src/plan.rs
@@ -1,45 +1,45 @@
-//! A change of primaries that was announced. A plan is a value: it can be looked at at any time, and called
-//! off until it has ended.
+//! An announced change of a group's primary. A plan is a plain value that can be inspected at any time and called off
+//! until it has ended.
 
 use std::time::Duration;
 
-/// How long the writes that are out may take to end, before the change goes on without them.
+/// How long writes in flight may take to end before the change proceeds without them.
 const MAX_EMPTYING_TIME: Duration = Duration::from_secs(2);
-/// How long a successor may take to claim, before the change is undone.
+/// How long a successor may take to claim the role before the change is undone.
 const MAX_SUCCESSOR_WAIT: Duration = Duration::from_secs(5);
 
 /// Why the primary is to change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum PlanReason {
-    /// The list says that it drains: it gets nothing new, whatever becomes of the plan.
+    /// The server list shows it as draining: it gets nothing new, whatever the result of the plan.
     Drain,
-    /// An operator's order: until a successor claims, it may be used again.
+    /// An operator ordered it: the old primary remains usable until a successor claims.
     Order,
 }
 
 /// Why a plan ended without a successor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum UndoReason {
-    /// None claimed in time.
+    /// No successor claimed in time.
     NoSuccessor,
-    /// The one that was named drains or is gone.
+    /// The named successor drains or is gone.
     SuccessorLeft,
-    /// The primary failed before it handed over: what follows is no planned change.
+    /// The primary failed before it handed over, so what follows is an unplanned failover.
     Overtaken,
-    /// It was called off.
+    /// The plan was called off.
     CalledOff,
 }
 
-/// How far a planned change has come.
+/// Progress of a planned change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Step {
-    /// New writes are held; those that are out at the old primary end.
+    /// New writes are held; those in flight at the old primary end.
     Emptying,
     /// All writes are held until a successor claims.
     Awaiting,
     /// A successor has begun its term.
     Done,
-    /// The change is over without one.
+    /// The change ended without a successor.
     Undone(UndoReason),
 }
 
@@ -47,27 +47,27 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Plan {
     pub group: usize,
-    /// The primary that is to go.
+    /// The primary that is to be replaced.
     pub leaving: usize,
-    /// Who is to follow, where that was said. Another one that claims is taken all the same.
+    /// The requested successor, if any. If another member claims, it is accepted as well.
     pub successor: Option<usize>,
     pub reason: PlanReason,
     pub step: Step,
-    /// When the plan, and when its present step, began.
+    /// When the plan began, and when its present step began.
     pub begun: Duration,
     pub since: Duration,
 }
 
-/// What a plan goes by, as it stands now.
+/// The state of the group on which a plan's next step depends.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PlanInputs {
-    /// Writes out at the primary that leaves.
+    /// Writes in flight at the leaving primary.
     pub writes_in_flight: usize,
     /// Another member has begun a term since the plan began.
     pub succeeded: bool,
     /// The named successor may not be used.
     pub successor_left: bool,
-    /// The leaving primary has lost the slot, and not by the plan.
+    /// The leaving primary has lost its role, and not because of the plan.
     pub primary_lost: bool,
 }
 
@@ -82,6 +82,7 @@
         Plan { group, leaving, successor, reason, step: Step::Emptying, begun: now, since: now }
     }
 
+    /// Whether the change is done or undone.
     pub fn ended(&self) -> bool {
         matches!(self.step, Step::Done | Step::Undone(_))
     }
@@ -91,7 +92,7 @@
         !self.ended()
     }
 
-    /// When the present step runs out of time.
+    /// The time limit of the present step.
     pub fn step_deadline(&self) -> Option<Duration> {
         match self.step {
             Step::Emptying => Some(self.since + MAX_EMPTYING_TIME),
@@ -104,7 +105,7 @@
         (self.step, self.since) = (Step::Undone(UndoReason::CalledOff), now);
     }
 
-    /// The first rule that holds takes the plan one step on; false if none does.
+    /// Moves the plan on by the first rule that applies; returns false if none does.
     pub(crate) fn advance(&mut self, now: Duration, inputs: PlanInputs) -> bool {
         let late = self.step_deadline().is_some_and(|ends| ends <= now);
         let next = match self.step {
@@ -113,7 +114,7 @@
             _ if inputs.primary_lost && self.reason == PlanReason::Order => {
                 Step::Undone(UndoReason::Overtaken)
             }
-            // With a drain the old one is of no use: whoever else may follow is waited for.
+            // A draining primary is of no further use, so any other successor is waited for.
             _ if inputs.successor_left && self.reason == PlanReason::Order => {
                 Step::Undone(UndoReason::SuccessorLeft)
             }
--- a/crates/primary-tracker/src/record.rs
+++ b/crates/primary-tracker/src/record.rs
@@ -1,4 +1,4 @@
-//! The record of each group, and the ordered rules that keep it.
+//! The state of each group, and the ordered rules that update it.
 
 use crate::leaderless::LeaderlessDurations;
 use crate::plan::{Plan, PlanInputs, PlanReason, Step};
@@ -10,43 +10,44 @@
 
 pub(crate) const NO_MEMBER: u32 = u32::MAX;
 
+/// The role of a member in its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Role {
     Primary,
     Replica,
 }
 
-/// What a member said of its role.
+/// A member's statement about its role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Claim {
     pub role: Role,
-    /// When it was made, as far as can be told. Among claims that stand the newest counts.
+    /// When it was made, as far as is known. Among valid claims the newest counts.
     pub made_at: Duration,
-    /// The earliest time at which it can have been made: a position that was reached, or when it was asked
-    /// for.
+    /// The earliest time at which it can have been made: a position that the member had reached, or the time of the
+    /// request that it answers.
     pub not_before: Duration,
 }
 
 impl Claim {
-    /// A claim whose time is known.
+    /// A claim whose time is known exactly.
     pub fn at(role: Role, time: Duration) -> Claim {
         Claim { role, made_at: time, not_before: time }
     }
 }
 
-/// How sure it is who is primary.
+/// How certain it is which member is the primary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// Nobody holds the slot.
+    /// The group has no primary.
     #[default]
     NoPrimary,
-    /// The holder has claimed, and has not yet answered as primary in this term.
+    /// The primary has claimed the role and has not yet answered as primary in this term.
     Settling,
+    /// The primary has answered as primary in this term.
     Steady,
-    /// Something spoke against the holder; it keeps the slot, but its role proves nothing until it claims
-    /// again.
+    /// There was a sign against the primary. It keeps the role, but its role proves nothing until it claims again.
     Doubted,
-    /// A planned change is under way.
+    /// A planned change is in progress.
     HandingOver,
 }
 
@@ -54,6 +55,7 @@
     pub const ALL: [Phase; 5] =
         [Phase::NoPrimary, Phase::Settling, Phase::Steady, Phase::Doubted, Phase::HandingOver];
 
+    /// The name shown to operators.
     pub fn name(self) -> &'static str {
         match self {
             Phase::NoPrimary => "vacant",
@@ -65,24 +67,24 @@
     }
 }
 
-/// What made the holder change.
+/// What changed the primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ChangeReason {
-    /// It said itself that it is a replica.
+    /// It reported that it is a replica.
     SaidReplica,
     /// Submissions to it failed.
     Failed,
-    /// The list took it out of use.
+    /// The server list took it out of use.
     Listed,
-    /// A member claimed that had not held the newest term.
+    /// A member claimed the role that did not hold the newest term.
     Claimed,
-    /// The holder of the newest term claimed again.
+    /// The holder of the newest term claimed the role again.
     Resumed,
-    /// No other holder: a planned change has begun or ended.
+    /// The primary stays the same: a planned change began or ended.
     Planned,
 }
 
-/// One change of a group's slot.
+/// One change of a group's primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Change {
     pub group: usize,
@@ -90,47 +92,48 @@
     pub from: Option<usize>,
     pub to: Option<usize>,
     pub why: ChangeReason,
-    /// How long the slot was empty before.
+    /// How long the group had no primary before.
     pub leaderless_for: Option<Duration>,
-    /// The planned change that began or ended then.
+    /// The planned change that began or ended with it.
     pub plan: Option<Plan>,
 }
 
 /// What is known of one member's claims.
 #[derive(Clone, Debug, Default, Hash, PartialEq, Eq)]
 pub(crate) struct MemberClaims {
-    /// Its group, counted from 1; 0 where it has no seat.
+    /// The index of its group, counted from 1; 0 for a member that has not been added.
     pub group: u32,
     /// The last term that it held; 0 for none.
     pub term: u32,
-    /// Newest date and newest proof of a claim to be primary.
+    /// The newest `made_at`, and the newest `not_before`, of its claims to be the primary.
     pub claimed_at: Stamp,
     pub claimed_not_before: Stamp,
-    /// Newest date, and newest proof, of its word that it is a replica.
+    /// The newest `made_at`, and the newest `not_before`, of its reports that it is a replica.
     pub replica_at: Stamp,
     pub stepped_down_at: Stamp,
-    /// Claims up to here count no more.
+    /// Claims made up to this time do not count.
     pub invalid_until: Stamp,
-    /// Something spoke against it then; claims up to here prove nothing to readers.
+    /// When there was last a sign against it; for reads, claims made up to this time prove nothing.
     pub doubted_at: Stamp,
-    /// When it was heard from last, and when its last silence of `MAX_SAFE_SILENCE` or more ended.
+    /// When it was last observed, and when its last silence of at least `MAX_SAFE_SILENCE` ended.
     pub last_observed: Stamp,
     pub silence_end: Stamp,
-    /// Date of its newest claim while it held the slot.
+    /// `made_at` of its newest claim while it was the primary.
     pub last_served: Stamp,
     pub excluded: bool,
     pub draining: bool,
-    /// Its last term was one that it denied itself before it had answered as primary.
+    /// In its last term it reported that it is a replica before it had answered as primary.
     pub disproved: bool,
 }
 
 impl MemberClaims {
-    /// Its newest claim counts.
+    /// Whether its newest claim counts.
     fn is_valid(&self) -> bool {
         self.claimed_at > self.replica_at && self.claimed_at > self.invalid_until && !self.excluded
     }
 
-    /// It has said that it is a replica since it last served: what it claims now is no claim of that term.
+    /// Whether it has reported that it is a replica since it was last the primary. If so, a new claim does not belong
+    /// to that term.
     fn stepped_down(&self) -> bool {
         self.stepped_down_at > self.last_served
     }
@@ -140,21 +143,21 @@
 pub(crate) struct GroupState {
     pub members: SmallVec<[u32; 4]>,
     pub primary: u32,
-    /// Who held the newest term, and that term's number; 0 before the first.
+    /// The holder of the newest term, and the number of that term; 0 before the first.
     pub last_primary: u32,
     pub term: u32,
     pub phase: Phase,
-    /// The holder has answered as primary in this term.
+    /// The primary has answered as primary in this term.
     pub confirmed: bool,
-    /// The last holder denied its role itself.
+    /// The last primary lost the role because it reported itself as a replica.
     pub denied: bool,
-    /// Date of the newest claim of the newest term.
+    /// `made_at` of the newest claim in the newest term.
     pub newest_claim: Stamp,
-    /// Proof of the first claim of the newest term.
+    /// `not_before` of the first claim in the newest term.
     pub began: Stamp,
-    /// Since when the slot is empty, where it has been held before.
+    /// Since when the group has no primary, if it had one before.
     pub leaderless_since: Stamp,
-    /// That it is empty was taken up from another process.
+    /// `leaderless_since` was set by restoring a snapshot.
     pub restored: bool,
     pub leaderless_durations: LeaderlessDurations,
 }
@@ -178,23 +181,23 @@
     }
 }
 
-/// Who holds each group's slot. Members and groups are small indices; no call costs more where there are more
+/// The primary of each group. Members and groups are small indices; no call gets more expensive with the number of
 /// groups.
 #[derive(Clone, Debug, Default, Hash, PartialEq, Eq)]
 pub struct PrimaryTracker {
     pub(crate) claims: Vec<MemberClaims>,
     pub(crate) groups: Vec<GroupState>,
     plans: BTreeMap<usize, Plan>,
-    /// Vacancies of all groups.
+    /// Leaderless durations of all groups.
     leaderless_durations: LeaderlessDurations,
-    /// Changes that nobody has asked for yet.
+    /// Changes not yet taken by the caller.
     changes: Vec<Change>,
-    /// Groups in each phase.
+    /// The number of groups in each phase.
     phases: [usize; Phase::ALL.len()],
 }
 
 impl PrimaryTracker {
-    /// Gives a member its seat in a group; one that has a seat keeps it.
+    /// Adds a member to a group; has no effect if it belongs to one already.
     pub fn add_member(&mut self, member: usize, group: usize) {
         if self.claims.len() <= member {
             self.claims.resize_with(member + 1, MemberClaims::default);
@@ -209,7 +212,7 @@
         }
     }
 
-    /// Takes the member's seat away; who gets its index later is another.
+    /// Removes a member. Another member may get its index later.
     pub fn remove_member(&mut self, now: Duration, member: usize) {
         let Some(group) = self.group(member) else { return };
         let state = &mut self.groups[group];
@@ -230,7 +233,7 @@
         self.claims[member] = MemberClaims::default();
     }
 
-    /// Whether new work may go to a member at all, and whether it drains.
+    /// Sets whether new work may go to a member at all, and whether it drains.
     pub fn set_availability(&mut self, now: Duration, member: usize, excluded: bool, draining: bool) {
         let Some(group) = self.group(member) else { return };
         let claims = &mut self.claims[member];
@@ -246,7 +249,7 @@
         self.record_plan(plan);
     }
 
-    /// Notes that a plan has begun or ended.
+    /// Records that a plan has begun or ended.
     fn record_plan(&mut self, plan: Plan) {
         let (group, primary) = (plan.group, self.primary(plan.group));
         let (term, why, plan) = (self.groups[group].term, ChangeReason::Planned, Some(plan));
@@ -261,7 +264,7 @@
         });
     }
 
-    /// Something was heard from a member; `answered`: it was an answer to a submission.
+    /// Records that something was received from a member. `answered`: it was an answer to a submission.
     pub fn observe(&mut self, now: Duration, member: usize, claim: Option<Claim>, answered: bool) {
         let Some(group) = self.group(member) else { return };
         let claims = &mut self.claims[member];
@@ -269,7 +272,7 @@
             claims.silence_end = Stamp::at(now);
         }
         claims.last_observed = claims.last_observed.max(Stamp::at(now));
-        // No claim can be made in the future: clocks are a little apart.
+        // Clocks differ a little, so a claim may carry a time in the future; it counts as made now.
         let Some(Claim { role, made_at, not_before }) = claim else { return };
         let (made_at, not_before) =
             (Stamp::at(made_at.min(now)), Stamp::at(not_before.min(made_at).min(now)));
@@ -294,7 +297,7 @@
         }
     }
 
-    /// A write was committed by the member: it is primary, whether it says so or not.
+    /// Records that the member committed a write, which proves that it is the primary even if it does not report so.
     pub fn committed(&mut self, member: usize) {
         let Some(group) = self.group(member) else { return };
         if self.groups[group].primary as usize == member {
@@ -302,18 +305,19 @@
         }
     }
 
-    /// A submission to the holder failed, or it fell silent: only a claim dated later fills the slot again.
+    /// Records that a submission to the primary failed, or that it fell silent: only a claim made later makes it the
+    /// primary again.
     pub fn invalidate_claims(&mut self, now: Duration, member: usize) {
         self.claims[member].invalid_until = self.claims[member].invalid_until.max(Stamp::at(now));
     }
 
-    /// One thing speaks against a member that may mean nothing: it keeps the slot, but no reader counts on
-    /// its role until it has claimed again.
+    /// Records a sign against a member that may mean nothing: it keeps its role, but reads do not rely on it until it
+    /// has claimed the role again.
     pub fn mark_doubted(&mut self, now: Duration, member: usize) {
         self.claims[member].doubted_at = self.claims[member].doubted_at.max(Stamp::at(now));
     }
 
-    /// Orders a change of a group's primary; the error says why there is nothing to change.
+    /// Begins a planned change of a group's primary; the error gives the reason why there is nothing to change.
     pub fn order_change(
         &mut self,
         now: Duration,
@@ -341,8 +345,8 @@
         Ok(plan)
     }
 
-    /// Calls a planned change off: the old primary is used again, if it may be. False if there is none under
-    /// way.
+    /// Calls a planned change off: the old primary is used again unless it is excluded. Returns false if no change is
+    /// in progress.
     pub fn call_off(&mut self, now: Duration, group: usize) -> bool {
         let off = self.plans.get_mut(&group).filter(|plan| !plan.ended()).map(|plan| {
             plan.call_off(now);
@@ -351,7 +355,7 @@
         off.inspect(|&plan| self.record_plan(plan)).is_some()
     }
 
-    /// The newest plan of a group, under way or ended.
+    /// The newest plan of a group, in progress or ended.
     pub fn plan(&self, group: usize) -> Option<&Plan> {
         self.plans.get(&group)
     }
@@ -361,8 +365,8 @@
         self.plans.values()
     }
 
-    /// Goes through the rules of one group until none fires. `writes_in_flight`: writes out at the holder of its newest
-    /// term.
+    /// Applies the rules of one group until none changes anything. `writes_in_flight`: writes in flight at the primary
+    /// of its newest plan.
     pub fn apply_rules(&mut self, now: Duration, group: usize, writes_in_flight: usize) {
         if group >= self.groups.len() {
             return;
@@ -377,7 +381,7 @@
         self.phases[phase as usize] += 1;
     }
 
-    /// The holder loses the slot once its newest claim does not stand.
+    /// Removes the primary once its newest claim is not valid.
     fn drop_invalid_primary(&mut self, now: Duration, group: usize) -> bool {
         let state = &self.groups[group];
         let Some(claims) = self.claims.get(state.primary as usize) else { return false };
@@ -391,6 +395,7 @@
         true
     }
 
+    /// Leaves the group without a primary.
     fn clear_primary(&mut self, now: Duration, group: usize, why: ChangeReason) {
         let state = &mut self.groups[group];
         let from = std::mem::replace(&mut state.primary, NO_MEMBER) as usize;
@@ -411,7 +416,7 @@
         });
     }
 
-    /// The newest dated claim that may takes the slot; ties go to the highest index.
+    /// Gives the role to the member with the newest eligible claim; among equally new ones to the highest index.
     fn accept_claim(&mut self, now: Duration, group: usize) -> bool {
         let state = &self.groups[group];
         let may = state.members.iter().copied().filter(|&member| self.may_become_primary(now, state, member));
@@ -444,16 +449,16 @@
         true
     }
 
-    /// Whether a member's newest claim may take the slot now.
+    /// Whether a member's newest claim may make it the primary now.
     fn may_become_primary(&self, now: Duration, state: &GroupState, member: u32) -> bool {
         let claims = &self.claims[member as usize];
         if !claims.is_valid() || state.primary == member {
             return false;
         }
-        // Provably later than the last claim of the newest term.
+        // Provably made after the last claim of the newest term.
         let later = claims.claimed_not_before > state.newest_claim;
         if state.primary != NO_MEMBER {
-            // A held slot is taken by a later claim only; not by one that has claimed in vain before.
+            // Only a later claim replaces a primary, and not one of a member whose last term was disproved.
             return later && !claims.disproved && !self.fenced(now, state, member);
         }
         if state.last_primary == member && !claims.stepped_down() {
@@ -462,10 +467,10 @@
         state.term == 0 || later && !self.fenced(now, state, member)
     }
 
-    /// A former primary is fenced: its claim may be of its old term. It is not any more when it has said
-    /// since that it is a replica; when the holder after it denied its term itself, and no silence of the
-    /// former one was so long that it can have slept through a change; or when the slot has been empty, and
-    /// it awake, for long.
+    /// A former primary is fenced because its claim may belong to its old term. The fence is lifted when it has
+    /// reported since that it is a replica; when the primary after it stepped down by its own report and the former one
+    /// was never silent for long enough to have missed a change; or when the group had no primary, and the member was
+    /// responsive, for `FENCE`.
     fn fenced(&self, now: Duration, state: &GroupState, member: u32) -> bool {
         let claims = &self.claims[member as usize];
         let former = claims.term > 0 && (state.last_primary != member || claims.stepped_down());
@@ -477,8 +482,8 @@
         former && !claims.stepped_down() && !unbroken && !waited
     }
 
-    /// The holder of the newest term comes back to an empty slot at once if it was never silent for long.
-    /// After such a silence the others are heard first: one of them may have taken over meanwhile.
+    /// The holder of the newest term becomes the primary again at once if it was never silent for long. After a long
+    /// silence all other members must be observed first, since one of them may have taken over meanwhile.
     fn others_observed(&self, state: &GroupState, member: u32) -> bool {
         let silence_end = self.claims[member as usize].silence_end;
         let silent = silence_end > state.began && silence_end >= state.leaderless_since;
@@ -491,6 +496,7 @@
             || state.members.iter().all(observed)
     }
 
+    /// Moves the plan of a group on; returns false if nothing changed.
     fn advance_plan(&mut self, now: Duration, group: usize, writes_in_flight: usize) -> bool {
         let state = &self.groups[group];
         let Some(plan) = self.plans.get_mut(&group) else { return false };
@@ -499,7 +505,7 @@
             writes_in_flight,
             succeeded: primary.is_some_and(|primary| primary != plan.leaving),
             successor_left: plan.successor.is_some_and(|successor| self.claims[successor].excluded),
-            // One that says itself that it is a replica, once its writes are out, hands over as it was told to.
+            // A primary that reports itself as a replica after its writes have ended hands over as planned.
             primary_lost: primary.is_none()
                 && !self.claims[plan.leaving].draining
                 && !(plan.step == Step::Awaiting && state.denied),
@@ -514,6 +520,7 @@
         true
     }
 
+    /// The phase that follows from the state of a group.
     fn derive_phase(&self, group: usize) -> Phase {
         let state = &self.groups[group];
         let claims = self.claims.get(state.primary as usize);
@@ -526,33 +533,32 @@
         }
     }
 
-    /// The changes since this was last asked.
+    /// The changes since the last call.
     pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Who holds the slot.
+    /// The primary of a group.
     pub fn primary(&self, group: usize) -> Option<usize> {
         let primary = self.groups.get(group)?.primary;
         (primary != NO_MEMBER).then_some(primary as usize)
     }
 
-    /// Who takes new writes: the holder, unless a planned change holds them.
+    /// The member that gets new writes: the primary, unless a planned change holds them.
     pub fn writer(&self, group: usize) -> Option<usize> {
         let held = self.plans.get(&group).is_some_and(Plan::holds_writes);
         self.primary(group).filter(|_| !held)
     }
 
-    /// Whether a member holds the slot by a claim made since anything spoke against it: readers may count on
-    /// it.
+    /// Whether a member is the primary by a claim made after the last sign against it, so that reads may rely on it.
     pub fn trusted(&self, member: usize) -> bool {
         let Some(group) = self.group(member) else { return false };
         let claims = &self.claims[member];
         self.groups[group].primary as usize == member && claims.claimed_at > claims.doubted_at
     }
 
-    /// From where on a position of a member proves anything: a former primary's counts only once it has the
-    /// beginning of the newest term, for what it had before may be of a branch that was dropped.
+    /// The position from which on a member's positions prove anything. A former primary's position counts only from the
+    /// beginning of the newest term on: earlier commits may be on a discarded branch.
     pub fn valid_positions_from(&self, member: usize) -> Duration {
         let Some(group) = self.group(member) else { return Duration::ZERO };
         let (claims, state) = (&self.claims[member], &self.groups[group]);
@@ -560,12 +566,12 @@
         state.began.time().filter(|_| former).unwrap_or_default()
     }
 
-    /// When a member said last that it is a replica.
+    /// When a member last reported that it is a replica.
     pub fn replica_reported_at(&self, member: usize) -> Option<Duration> {
         self.claims.get(member)?.replica_at.time()
     }
 
-    /// Whether a member has ever claimed to be primary.
+    /// Whether a member has ever claimed to be the primary.
     pub fn has_claimed(&self, member: usize) -> bool {
         self.claims.get(member).is_some_and(|claims| claims.claimed_at > Stamp::NEVER)
     }
@@ -580,17 +586,18 @@
         self.claims.get(member).map_or(0, |claims| claims.term)
     }
 
+    /// The phase of a group.
     pub fn phase(&self, group: usize) -> Phase {
         self.groups.get(group).map_or(Phase::NoPrimary, |state| state.phase)
     }
 
-    /// How many groups are in a phase.
+    /// The number of groups in a phase.
     pub fn in_phase(&self, phase: Phase) -> usize {
         self.phases[phase as usize]
     }
 
-    /// How long the slot still stays empty, as far as changes of late tell: those of the group, or of all
-    /// where it had too few. `None` where it is held or where too little is known.
+    /// How long the group is expected to remain without a primary, judged by past changes of this group, or of all
+    /// groups if this one had too few. `None` if it has a primary or too little is known.
     pub fn expected_wait(&self, now: Duration, group: usize) -> Option<Duration> {
         let state = self.groups.get(group)?;
         let lasted = now.saturating_sub(state.leaderless_since.time()?);
@@ -600,12 +607,13 @@
             .or_else(|| self.leaderless_durations.expected_remaining(lasted))
     }
 
-    /// When the group has to be looked at again though nothing comes in: a planned change runs out of time.
+    /// When the rules of the group must be applied again although nothing was observed: the time limit of the plan's
+    /// step.
     pub fn plan_deadline(&self, group: usize) -> Option<Duration> {
         self.plans.get(&group)?.step_deadline()
     }
 
-    /// Bytes that the records take, without what the allocator adds.
+    /// Memory used by the records in bytes, without allocator overhead.
     pub fn bytes(&self) -> usize {
         self.claims.capacity() * size_of::<MemberClaims>()
             + self.groups.capacity() * size_of::<GroupState>()
--- a/crates/primary-tracker/src/snapshot.rs
+++ b/crates/primary-tracker/src/snapshot.rs
@@ -1,29 +1,33 @@
-//! What outlives a process: terms and what fences former primaries. Who holds the slot does not; that has to
-//! be claimed anew.
+//! What is kept across a restart of the process: terms, and the times that fence former primaries. The primary itself
+//! is not kept; it has to claim the role again.
 
 use crate::leaderless::LeaderlessDurations;
 use crate::record::{NO_MEMBER, PrimaryTracker};
 use crate::stamp::Stamp;
 use std::time::Duration;
 
-/// Of a group.
+/// State of a group that is kept.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GroupSnapshot {
     pub term: u32,
-    /// Who held the newest term.
+    /// The holder of the newest term.
     pub last_primary: Option<usize>,
+    /// `not_before` of the first claim in the newest term.
     pub began: Option<Duration>,
+    /// `made_at` of the newest claim in the newest term.
     pub newest_claim: Option<Duration>,
     pub leaderless_durations: LeaderlessDurations,
 }
 
-/// Of a member.
+/// State of a member's claims that is kept.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ClaimsSnapshot {
     pub term: u32,
+    /// `made_at` of its newest claim while it was the primary.
     pub last_served: Option<Duration>,
+    /// The newest `not_before` of its reports that it is a replica.
     pub stepped_down: Option<Duration>,
-    /// When it was heard last, if that is not long ago.
+    /// When it was last observed, unless that is long ago.
     pub last_observed: Option<Duration>,
 }
 
@@ -32,7 +36,7 @@
 }
 
 impl PrimaryTracker {
-    /// What is worth keeping of a group.
+    /// The state of a group to keep.
     pub fn snapshot_group(&self, group: usize) -> GroupSnapshot {
         let Some(state) = self.groups.get(group) else { return GroupSnapshot::default() };
         GroupSnapshot {
@@ -44,6 +48,7 @@
         }
     }
 
+    /// The state of a member's claims to keep.
     pub fn snapshot_claims(&self, member: usize) -> ClaimsSnapshot {
         let Some(claims) = self.claims.get(member) else { return ClaimsSnapshot::default() };
         let (last_served, stepped_down) = (claims.last_served.time(), claims.stepped_down_at.time());
@@ -55,8 +60,8 @@
         }
     }
 
-    /// Takes up what was kept of a group whose members have their seats. Terms that began here already count
-    /// on from those that were.
+    /// Restores a group, after its members were added. Terms that began in this process already are numbered after the
+    /// restored ones.
     pub fn restore_group(&mut self, now: Duration, group: usize, snapshot: &GroupSnapshot) {
         let Some(state) = self.groups.get_mut(group) else { return };
         if state.term > 0 {
@@ -69,13 +74,14 @@
             state.term = snapshot.term;
             state.last_primary = snapshot.last_primary.map_or(NO_MEMBER, |last| last as u32);
             (state.began, state.newest_claim) = (stamp(snapshot.began), stamp(snapshot.newest_claim));
-            // Empty from now on, as far as this process knows; that is no change to learn from.
+            // For this process the group has had no primary only from now on; this duration is not added to the
+            // histogram.
             (state.leaderless_since, state.restored) = (Stamp::at(now), true);
         }
         state.leaderless_durations = snapshot.leaderless_durations;
     }
 
-    /// Takes up what was kept of a member, after its group.
+    /// Restores a member's claims, after its group.
     pub fn restore_claims(&mut self, member: usize, snapshot: &ClaimsSnapshot) {
         let Some(group) = self.group(member) else { return };
         let newest = self.groups[group].term;
--- a/crates/primary-tracker/src/stamp.rs
+++ b/crates/primary-tracker/src/stamp.rs
@@ -1,8 +1,8 @@
-//! A time since the start that may be missing, in eight bytes: records are kept for every member there is.
+//! An optional time since the start in eight bytes: there is a record of several for every member.
 
 use std::time::Duration;
 
-/// Microseconds since the start, counted from 1; 0 is never. Never is before any time.
+/// Microseconds since the start plus 1; 0 means never and orders before any time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct Stamp(u64);
 
