--- a/crates/attempt-outcome/tests/histories.rs
+++ b/crates/attempt-outcome/tests/histories.rs
@@ -1,4 +1,4 @@
-//! The record of a txn beside a plain list of all that happened to it, on long random histories.
+//! Compares the history of a txn with a plain list of all events, on long random sequences.
 
 use juniperdock_attempt_outcome::{
     AttemptOutcome, Blocked, Effect, EffectState, FinalAnswer, Scope, SubmissionHistory, Target,
@@ -35,12 +35,12 @@
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn sends_and_answers_follow_from_what_happened(
+    fn sends_and_answers_follow_from_the_history(
         effect in effect(),
         steps in proptest::collection::vec((0..200u64, 0..3usize, 0..OUTCOMES.len() + 4), 1..60),
     ) {
         let (mut history, mut now) = (SubmissionHistory::new(effect), Duration::from_secs(1));
-        // All submissions: when, where, and how they ended.
+        // All submissions: time, target and outcome.
         let mut all: Vec<(Duration, Target, Option<AttemptOutcome>)> = Vec::new();
         for (wait, member, action) in steps {
             now += Duration::from_millis(wait);
@@ -51,7 +51,7 @@
             let first = all.iter().find(|(_, _, outcome)| may_have_run(outcome)).copied();
             let ran = all.iter().any(|(_, _, outcome)| *outcome == Some(AttemptOutcome::Committed));
             if let Effect::OnceOnly = effect {
-                prop_assert!(blocked.is_some() || first.is_none(), "a second effect");
+                prop_assert!(blocked.is_some() || first.is_none(), "a second effect is possible");
             }
             if let (Effect::Referenced { window, scope }, Some((at, from, _))) = (effect, first) {
                 let inside = match scope {
@@ -59,14 +59,14 @@
                     Scope::Zone => from.zone == target.zone,
                     Scope::Group => from.group == target.group,
                 };
-                prop_assert!(blocked.is_some() || inside && now < at + window, "outside its scope or window");
+                prop_assert!(blocked.is_some() || inside && now < at + window, "sent outside its scope or window");
                 prop_assert_eq!(blocked == Some(Blocked::OutOfScope), !inside && history.blocked_everywhere(now, 5).is_none());
             }
             prop_assert!(!in_flight || blocked == Some(Blocked::InFlight));
             prop_assert!(!ran || blocked.is_some());
             prop_assert!(all.len() < 5 || blocked.is_some());
             if first.is_none() && !in_flight && all.len() < 5 {
-                prop_assert_eq!(blocked, None, "nothing forbids it");
+                prop_assert_eq!(blocked, None, "nothing blocks it");
             }
             let final_answer = history.final_answer();
             match (effect, first) {
@@ -81,7 +81,7 @@
             match OUTCOMES.get(action) {
                 Some(&outcome) if in_flight => {
                     prop_assert!(history.ended(outcome).is_some());
-                    all.last_mut().expect("one is out").2 = Some(outcome);
+                    all.last_mut().expect("one is in flight").2 = Some(outcome);
                 }
                 Some(&outcome) => prop_assert!(history.ended(outcome).is_none()),
                 None if blocked.is_none() => {
--- a/crates/attempt-outcome/tests/model.rs
+++ b/crates/attempt-outcome/tests/model.rs
@@ -1,6 +1,6 @@
-//! All interleavings of a small world: a group of two members, one front and one referenced write. The front
-//! goes by the real records of tenure and fate; the world keeps what is true. Each guard is also taken out,
-//! in the model's front, and the checker must find what it guards against.
+//! Model checker over all interleavings in a small system: a group of two members, one front and one referenced write.
+//! The front uses the real `PrimaryTracker` and `SubmissionHistory`; the model holds the true state. Each guard is also
+//! removed from the model's front, and the checker must then find the violation that it prevents.
 
 use juniperdock_attempt_outcome::{
     AttemptOutcome, Blocked, Effect, FinalAnswer, Scope, SubmissionHistory, Target,
@@ -9,10 +9,10 @@
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::time::Duration;
 
-/// One step of the world's clock: half of the time that a fence lasts.
+/// One step of the model's clock: half of `FENCE`.
 const STEP: Duration = Duration::from_millis(500);
 const START: Duration = Duration::from_secs(10);
-/// Marks are remembered for so many steps; the write expires after so many; an election takes so many.
+/// In steps: how long marks are remembered, when the write expires, and how long an election takes.
 const WINDOW: u8 = 2;
 const EXPIRY: u8 = 5;
 const ELECTION: u8 = 3;
@@ -22,16 +22,16 @@
     START + STEP * u32::from(step)
 }
 
-/// Guards that the model's front can do without.
+/// Guards that can be removed from the model's front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum MissingGuard {
     Nothing,
-    /// The newest dated claim takes the slot, whoever makes it.
+    /// The newest claim always becomes the primary, whichever member makes it.
     Fencing,
     Window,
-    /// Another submission goes out beside the one that is out.
+    /// A second submission is sent while one is in flight.
     SingleInFlight,
-    /// What may have run is declined.
+    /// A write that may have run is declined.
     TrueAnswers,
 }
 
@@ -40,7 +40,7 @@
     from: usize,
     primary: bool,
     made: u8,
-    /// The world's term that it speaks of.
+    /// The true term that the report refers to.
     term: u8,
 }
 
@@ -54,36 +54,35 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     step: u8,
-    // What is true.
+    // The true state.
     term: u8,
     primary: usize,
     hung: [bool; 2],
     hung_at: u8,
-    /// The term in which a member takes itself for the primary; 0 where it does not.
+    /// The term in which a member takes itself for the primary; 0 if it does not.
     claimed_term: [u8; 2],
     woke_at: [u8; 2],
     hangs: u8,
-    /// Submissions that members have, and when they came.
+    /// Submissions that members have received, and when.
     queued: Vec<(usize, u8)>,
-    /// When it ran in the branch that lives, and in all.
+    /// When the write ran in the surviving branch, and how often it ran in all branches.
     ran: Vec<u8>,
     runs: u8,
-    // What is on the way to the front.
+    // Messages in flight to the front.
     reports: Vec<Report>,
     reported: u8,
     answer: Option<(usize, AttemptOutcome)>,
-    // The front.
+    // State of the front.
     tracker: PrimaryTracker,
     newest_claim: Option<(u8, usize)>,
     history: SubmissionHistory,
     out: u8,
     answered: Option<Answer>,
     answers: u8,
-    /// Newest claim heard of each member, with the term it spoke of; and the newest term that ever took the
-    /// slot.
+    /// The newest claim observed of each member with the term it refers to, and the highest term ever accepted.
     claimed: [(u8, u8); 2],
     highest_term: u8,
-    // What must never be.
+    // Violations that must never occur.
     old_term_accepted: bool,
     sent_after_window: bool,
     two_in_flight: bool,
@@ -95,7 +94,7 @@
     Step,
     Hang(usize),
     Wake(usize),
-    /// The other takes over; what ran lately came with it, or did not.
+    /// The other member takes over, with or without what ran last.
     Elect {
         keeps: bool,
     },
@@ -111,21 +110,21 @@
     GiveUp,
 }
 
-/// Which part of the world moves freely: the whole together has too many states to visit.
+/// Which part of the model varies: with both parts there are too many states to visit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Part {
-    /// Reports take their time, come in any order or not at all; nothing is written.
-    Slots,
-    /// A write is sent, lost, called off and sent again; reports come at once.
+    /// Reports are delayed, reordered or lost; nothing is written.
+    PrimaryChanges,
+    /// A write is sent, lost, cancelled and sent again; reports arrive at once.
     Writes,
 }
 
 struct SmallModel(MissingGuard, Part);
 
 impl SmallModel {
-    /// How many reports members make.
+    /// The number of reports that members make.
     fn reports(&self) -> u8 {
-        if self.1 == Part::Slots { 3 } else { 1 }
+        if self.1 == Part::PrimaryChanges { 3 } else { 1 }
     }
 
     fn tracked_primary(&self, w: &World) -> Option<usize> {
@@ -220,7 +219,7 @@
 
     fn actions(&self, w: &World, actions: &mut Vec<Action>) {
         let stale = |m: usize| w.claimed_term[m] > 0 && w.primary != m && !w.hung[m];
-        // Who wakes learns of its successor within a step.
+        // A member that resumes learns of its successor within a step.
         if w.step < EXPIRY && !(0..2).any(|m| stale(m) && w.woke_at[m] < w.step) {
             actions.push(Action::Step);
         }
@@ -247,7 +246,7 @@
             actions.extend([Action::Elect { keeps: true }, Action::Elect { keeps: false }]);
         }
         for i in 0..w.reports.len() {
-            // One that never comes is one that is lost.
+            // A report that is never delivered is a lost one.
             actions.push(Action::Deliver(i));
         }
         if let Some(tracked_primary) = self.tracked_primary(w) {
@@ -291,7 +290,7 @@
                 let report = Report { from: m, primary, made: w.step, term: w.claimed_term[m] };
                 w.reported += 1;
                 match self.1 {
-                    Part::Slots => w.reports.push(report),
+                    Part::PrimaryChanges => w.reports.push(report),
                     Part::Writes => self.observe(&mut w, report, None),
                 }
             }
@@ -372,24 +371,24 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no slot for an old term", |_, w: &World| !w.old_term_accepted),
-            Property::always("never again past the window", |_, w: &World| !w.sent_after_window),
-            Property::always("one submission out", |_, w: &World| !w.two_in_flight),
-            Property::always("one answer and nothing after", |_, w: &World| {
+            Property::always("no primary of an old term", |_, w: &World| !w.old_term_accepted),
+            Property::always("no resend after the window", |_, w: &World| !w.sent_after_window),
+            Property::always("one submission in flight", |_, w: &World| !w.two_in_flight),
+            Property::always("one answer and nothing sent after it", |_, w: &World| {
                 w.answers <= 1 && !w.sent_after_answer
             }),
-            Property::always("no effect twice", |_, w: &World| w.ran.len() <= 1),
+            Property::always("no second effect", |_, w: &World| w.ran.len() <= 1),
             Property::always("answers are true", |_, w: &World| {
                 w.answered != Some(Answer::Declined) || w.runs == 0
             }),
-            Property::sometimes("a write outlives its primary", |_, w: &World| {
+            Property::sometimes("a write commits after a failover", |_, w: &World| {
                 w.answered == Some(Answer::Committed) && w.term == 2 && w.primary == 1
             }),
         ]
     }
 }
 
-/// Visits every state, or goes on until it has seen the rule break that is named.
+/// Visits every state, or, if a property is named, continues until that one is violated.
 fn check(missing: MissingGuard, part: Part, until: Option<&'static str>) -> (usize, Vec<&'static str>) {
     let threads = std::thread::available_parallelism().map_or(2, usize::from);
     let mut checker = SmallModel(missing, part).checker().threads(threads);
@@ -402,27 +401,30 @@
 }
 
 #[test]
-fn every_interleaving_keeps_the_rules() {
-    for (part, least) in [(Part::Slots, 20_000), (Part::Writes, 20_000)] {
+fn all_properties_hold_in_every_interleaving() {
+    for (part, min_states) in [(Part::PrimaryChanges, 20_000), (Part::Writes, 20_000)] {
         let (states, mut found) = check(MissingGuard::Nothing, part, None);
-        let outlives = found.iter().position(|name| *name == "a write outlives its primary");
-        assert!(outlives.map(|at| found.remove(at)).is_some() || part == Part::Slots, "too small a world");
+        let commit_after_failover = found.iter().position(|name| *name == "a write commits after a failover");
+        assert!(
+            commit_after_failover.map(|at| found.remove(at)).is_some() || part == Part::PrimaryChanges,
+            "the model never commits a write after a failover"
+        );
         assert!(found.is_empty(), "{part:?}: {found:?}");
         println!("{part:?}: {states} states");
-        assert!(states > least, "{states} states are too few to mean anything");
+        assert!(states > min_states, "{states} states are too few to be meaningful");
     }
 }
 
 #[test]
-fn without_its_guards_each_rule_breaks() {
-    for (missing, part, breaks) in [
-        (MissingGuard::Fencing, Part::Slots, "no slot for an old term"),
-        (MissingGuard::Window, Part::Writes, "never again past the window"),
-        (MissingGuard::Window, Part::Writes, "no effect twice"),
-        (MissingGuard::SingleInFlight, Part::Writes, "one submission out"),
+fn removing_a_guard_violates_its_property() {
+    for (missing, part, violates) in [
+        (MissingGuard::Fencing, Part::PrimaryChanges, "no primary of an old term"),
+        (MissingGuard::Window, Part::Writes, "no resend after the window"),
+        (MissingGuard::Window, Part::Writes, "no second effect"),
+        (MissingGuard::SingleInFlight, Part::Writes, "one submission in flight"),
         (MissingGuard::TrueAnswers, Part::Writes, "answers are true"),
     ] {
-        let (_, found) = check(missing, part, Some(breaks));
-        assert!(found.contains(&breaks), "{missing:?} breaks nothing but {found:?}");
+        let (_, found) = check(missing, part, Some(violates));
+        assert!(found.contains(&violates), "{missing:?} does not violate {violates:?}, only {found:?}");
     }
 }
--- a/crates/primary-tracker/benches/events.rs
+++ b/crates/primary-tracker/benches/events.rs
@@ -1,4 +1,4 @@
-//! What an event costs beside the number of groups that there are, and what the records take.
+//! Cost of an event depending on the number of groups, and memory that the records take.
 
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
 use juniperdock_primary_tracker::{Claim, PrimaryTracker, Role};
--- a/crates/primary-tracker/tests/histories.rs
+++ b/crates/primary-tracker/tests/histories.rs
@@ -1,4 +1,4 @@
-//! Long random histories: what always holds, whatever is heard in whatever order.
+//! Invariants of the tracker, checked on long random histories of observations in any order.
 
 use juniperdock_primary_tracker::{Claim, Phase, PrimaryTracker, Role};
 use proptest::prelude::*;
@@ -45,12 +45,12 @@
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn slots_terms_and_plans_stay_whole(events in proptest::collection::vec(event(), 1..400)) {
+    fn primaries_terms_and_plans_keep_their_invariants(events in proptest::collection::vec(event(), 1..400)) {
         let mut tracker = PrimaryTracker::default();
         let mut now = Duration::from_secs(5);
         let mut excluded = [false; MEMBERS];
         let mut terms = [0; GROUPS];
-        // The newest claim that was heard of each member since it came, by its date.
+        // The newest claim observed of each member since it was added, by its `made_at`.
         let mut claims: [Option<Duration>; MEMBERS] = [None; MEMBERS];
         (0..MEMBERS).for_each(|member| tracker.add_member(member, member % GROUPS));
         for event in events {
@@ -86,13 +86,13 @@
             for (group, newest) in terms.iter_mut().enumerate() {
                 tracker.apply_rules(now, group, 0);
                 let term = tracker.term(group);
-                prop_assert!(term >= *newest, "terms only grow");
+                prop_assert!(term >= *newest, "terms never decrease");
                 *newest = term;
                 if let Some(primary_member) = tracker.primary(group) {
                     prop_assert_eq!(primary_member % GROUPS, group);
-                    prop_assert!(!excluded[primary_member], "no slot for one that may not be used");
-                    prop_assert!(claims[primary_member].is_some(), "no slot without a claim");
-                    prop_assert_eq!(tracker.held_term(primary_member), term, "the holder's term is the newest");
+                    prop_assert!(!excluded[primary_member], "an excluded member is never the primary");
+                    prop_assert!(claims[primary_member].is_some(), "no primary without a claim");
+                    prop_assert_eq!(tracker.held_term(primary_member), term, "the primary's term is the newest");
                 }
                 for member in (group..MEMBERS).step_by(GROUPS) {
                     prop_assert!(tracker.held_term(member) <= term);
@@ -101,7 +101,7 @@
                 let writes_wait = tracker.plan(group).is_some_and(|plan| plan.holds_writes());
                 prop_assert_eq!(writes_wait, tracker.phase(group) == Phase::HandingOver);
                 prop_assert!(!writes_wait || tracker.writer(group).is_none());
-                prop_assert!(!writes_wait || tracker.plan_deadline(group).is_some_and(|at| at > now), "no plan outlasts its time");
+                prop_assert!(!writes_wait || tracker.plan_deadline(group).is_some_and(|at| at > now), "no plan outlasts its time limit");
             }
             let counted: usize = Phase::ALL.iter().map(|&phase| tracker.in_phase(phase)).sum();
             prop_assert_eq!(counted, GROUPS);
--- a/crates/primary-tracker/tests/scenarios.rs
+++ b/crates/primary-tracker/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! One story for each way in which a group's primary changes, or seems to.
+//! One scenario for each way in which a group's primary changes, or seems to.
 
 use juniperdock_primary_tracker::{
     ChangeReason, Claim, FENCE, MAX_SAFE_SILENCE, Phase, Plan, PlanReason, PrimaryTracker, Role, Step,
@@ -13,7 +13,7 @@
     Duration::from_millis(n)
 }
 
-/// One group of members 0, 1 and 2. Time is in milliseconds.
+/// One group of members 0, 1 and 2. Times are in milliseconds.
 struct Group {
     tracker: PrimaryTracker,
     writes_in_flight: usize,
@@ -26,7 +26,7 @@
         Group { tracker, writes_in_flight: 0 }
     }
 
-    /// Member 0 is primary, and has answered as such.
+    /// Member 0 is the primary and has answered as such.
     fn steady() -> Group {
         let mut group = Group::new();
         group.report(1000, 0, PRIMARY, 1000);
@@ -47,7 +47,7 @@
         self.tracker.apply_rules(ms(now), 0, self.writes_in_flight);
     }
 
-    /// All members that are named report every 100 ms.
+    /// The given members report every 100 ms.
     fn report_every_100_ms(&mut self, from: u64, to: u64, reports: &[(usize, Role)]) {
         for now in (from..=to).step_by(100) {
             reports.iter().for_each(|&(member, role)| self.report(now, member, role, now - 10));
@@ -78,11 +78,15 @@
 }
 
 #[test]
-fn a_failed_holder_gets_the_slot_back_by_a_later_claim_only_and_in_its_old_term() {
+fn a_failed_primary_returns_by_a_later_claim_only_and_keeps_its_term() {
     let mut g = Group::steady();
     g.invalidate_claims(1100, 0);
     g.report(1110, 0, PRIMARY, 1090);
-    assert_eq!((g.primary(), g.tracker.phase(0)), (None, Phase::NoPrimary), "claimed before it failed");
+    assert_eq!(
+        (g.primary(), g.tracker.phase(0)),
+        (None, Phase::NoPrimary),
+        "the claim was made before the failure"
+    );
     g.report(1200, 0, PRIMARY, 1190);
     assert_eq!((g.primary(), g.tracker.term(0)), (Some(0), 1));
     let changes = g.tracker.take_changes();
@@ -91,40 +95,41 @@
 }
 
 #[test]
-fn a_hung_primary_that_wakes_does_not_take_the_slot_back_from_its_successor() {
+fn a_primary_that_resumes_after_a_hang_does_not_replace_its_successor() {
     let mut g = Group::steady();
     g.invalidate_claims(1500, 0);
     g.report_every_100_ms(1600, 4000, &[(1, REPLICA), (2, REPLICA)]);
     g.report(4100, 1, PRIMARY, 4090);
     assert_eq!((g.primary(), g.tracker.term(0)), (Some(1), 2));
-    // Awake, it believes what it did: its reports and its late answers say so, with dates of now.
+    // After the hang it still takes itself for the primary: its reports and late answers claim the role with current
+    // times.
     g.report(4300, 0, PRIMARY, 4299);
     g.answer(4400, 0, PRIMARY, 4350);
     assert_eq!((g.primary(), g.tracker.term(0)), (Some(1), 2));
-    // The successor is doubted for a moment: still not.
+    // The successor's claims are invalidated for a moment; the former primary is still not accepted.
     g.invalidate_claims(4500, 1);
     g.report(4550, 0, PRIMARY, 4549);
     assert_eq!(g.primary(), None);
     g.report(4600, 1, PRIMARY, 4590);
     assert_eq!((g.primary(), g.tracker.term(0)), (Some(1), 2));
-    // It has learned better, and becomes primary once more: a new term.
+    // After it has reported that it is a replica it can become the primary again, in a new term.
     g.report(5000, 0, REPLICA, 4990);
     g.report(6000, 0, PRIMARY, 5990);
     assert_eq!((g.primary(), g.tracker.term(0)), (Some(0), 3));
 }
 
 #[test]
-fn a_primary_that_wakes_into_an_empty_slot_waits_for_the_others_word() {
+fn a_primary_that_resumes_while_there_is_none_waits_for_reports_of_the_others() {
     let mut g = Group::steady();
     g.invalidate_claims(1500, 0);
     g.report_every_100_ms(1600, 4000, &[(1, REPLICA)]);
-    // Member 2 has taken over; that is not known yet. The old one is the first to be heard.
+    // Member 2 has taken over, which is not known yet. The old primary is the first one to report.
     g.report(4100, 0, PRIMARY, 4099);
-    assert_eq!(g.primary(), None, "it was silent for {MAX_SAFE_SILENCE:?} and more");
+    assert_eq!(g.primary(), None, "it was silent for at least {MAX_SAFE_SILENCE:?}");
     g.report(4110, 1, REPLICA, 4050);
     g.report(4120, 2, PRIMARY, 4100);
     assert_eq!((g.primary(), g.tracker.term(0)), (Some(2), 2));
-    // Where none has taken over, it goes on once all were heard, or after a while.
+    // If no member has taken over, it becomes the primary again once all others have reported, or after a while.
     for silent in [None, Some(2)] {
         let mut g = Group::steady();
         g.invalidate_claims(1500, 0);
@@ -142,35 +147,35 @@
 }
 
 #[test]
-fn claims_in_another_order_than_they_were_made_count_by_their_dates() {
+fn claims_that_arrive_out_of_order_are_ordered_by_when_they_were_made() {
     let mut g = Group::steady();
     g.report(2000, 1, PRIMARY, 1500);
     assert_eq!(g.primary(), Some(1));
     g.answer(2010, 0, PRIMARY, 1400);
     g.report(2020, 0, PRIMARY, 1450);
-    assert_eq!((g.primary(), g.tracker.term(0)), (Some(1), 2), "asked for before the successor claimed");
-    // A claim of a member that was never primary, no later than what the holder has said since.
+    assert_eq!((g.primary(), g.tracker.term(0)), (Some(1), 2), "requested before the successor claimed");
+    // A claim of a member that was never primary, made no later than the primary's newest one.
     g.report(2100, 1, PRIMARY, 2090);
     g.report(2110, 2, PRIMARY, 2080);
     assert_eq!(g.primary(), Some(1));
 }
 
 #[test]
-fn a_lone_false_claim_costs_one_try_and_flaps_no_more() {
+fn a_single_false_claim_costs_one_attempt_and_does_not_cause_flapping() {
     let mut g = Group::steady();
     g.report_every_100_ms(1100, 1500, &[(0, PRIMARY)]);
     g.report(1510, 1, PRIMARY, 1505);
-    assert_eq!(g.primary(), Some(1), "the newest dated claim takes the slot");
-    // The write that went there was turned away untouched.
+    assert_eq!(g.primary(), Some(1), "the newest claim wins");
+    // The write that was sent there was refused without being executed.
     g.answer(1520, 1, REPLICA, 1511);
     assert_eq!(g.primary(), None);
     g.report(1600, 0, PRIMARY, 1590);
-    assert_eq!(g.primary(), Some(0), "it was never silent: its claim is no dream of an old term");
-    // It goes on claiming; a held slot is not given to it again.
+    assert_eq!(g.primary(), Some(0), "it was never silent, so its claim is not of an old term");
+    // It keeps claiming, but does not replace a primary again.
     g.report(1700, 1, PRIMARY, 1690);
     g.report(1800, 1, PRIMARY, 1790);
     assert_eq!(g.primary(), Some(0));
-    // An empty one is, and once it answers as primary it is believed as before.
+    // It does become the primary when there is none, and is trusted again once it has answered as primary.
     g.invalidate_claims(1900, 0);
     g.report(2000, 1, PRIMARY, 1990);
     assert_eq!(g.primary(), Some(1));
@@ -179,7 +184,7 @@
 }
 
 #[test]
-fn two_that_claim_at_once_do_not_take_turns() {
+fn two_simultaneous_claimants_do_not_alternate() {
     let mut g = Group::new();
     let mut primaries = Vec::new();
     for now in (1000..3000).step_by(50) {
@@ -188,20 +193,20 @@
         primaries.push(g.primary());
     }
     primaries.dedup();
-    assert_eq!(primaries, [Some(1)], "the newest, and the other is fenced");
+    assert_eq!(primaries, [Some(1)], "the newest claim wins and the other member is fenced");
     assert!(g.tracker.term(0) <= 2);
 }
 
 #[test]
-fn a_claim_dated_in_the_future_counts_as_now() {
+fn a_claim_from_the_future_counts_as_made_now() {
     let mut g = Group::steady();
     g.report(1100, 0, PRIMARY, 9000);
     g.report(1300, 1, PRIMARY, 1290);
-    assert_eq!(g.primary(), Some(1), "a clock that runs ahead keeps no slot");
+    assert_eq!(g.primary(), Some(1), "a clock that runs ahead gives no advantage");
 }
 
 #[test]
-fn a_former_primary_proves_nothing_by_what_it_had_before() {
+fn positions_of_a_former_primary_from_before_the_newest_term_prove_nothing() {
     let mut g = Group::steady();
     assert_eq!(g.tracker.valid_positions_from(0), ms(0));
     g.report(2000, 1, PRIMARY, 1990);
@@ -216,7 +221,7 @@
 }
 
 #[test]
-fn a_drained_primary_hands_over_and_the_plan_says_how_far_it_is() {
+fn a_drained_primary_hands_over_and_the_plan_shows_the_progress() {
     let mut g = Group::steady();
     g.writes_in_flight = 2;
     g.drain(1100, 0);
@@ -227,14 +232,14 @@
     assert_eq!((g.plan().step, g.plan().since), (Step::Awaiting, ms(1150)));
     g.report(1900, 2, PRIMARY, 1890);
     assert_eq!((g.plan().step, g.tracker.writer(0)), (Step::Done, Some(2)));
-    // Its drain is called off by a later start; it is a former primary like any other.
+    // A later start ends its drain; it is a former primary like any other.
     g.tracker.set_availability(ms(2000), 0, false, false);
     g.report(2100, 0, PRIMARY, 2090);
     assert_eq!(g.primary(), Some(2));
 }
 
 #[test]
-fn a_drain_without_a_successor_ends_its_plan_and_binds_all_the_same() {
+fn a_drain_without_a_successor_ends_its_plan_and_still_excludes_the_member() {
     let mut g = Group::steady();
     g.drain(1100, 0);
     let ends = g.tracker.plan_deadline(0).expect("a time limit");
@@ -243,31 +248,35 @@
     assert!(g.plan().ended() && ends.is_none(), "{:?}", g.plan());
     assert_eq!(g.plan().step, Step::Undone(UndoReason::NoSuccessor));
     g.report(9000, 0, PRIMARY, 8990);
-    assert_eq!((g.primary(), g.tracker.phase(0)), (None, Phase::NoPrimary), "rule 3 wins");
+    assert_eq!(
+        (g.primary(), g.tracker.phase(0)),
+        (None, Phase::NoPrimary),
+        "a draining member gets nothing new (rule 3)"
+    );
     g.tracker.set_availability(ms(9100), 0, false, false);
     g.report(9200, 1, REPLICA, 9150);
     g.report(9200, 2, REPLICA, 9150);
     g.report(9300, 0, PRIMARY, 9290);
-    assert_eq!(g.primary(), Some(0), "a later start has lifted it");
+    assert_eq!(g.primary(), Some(0), "a later start has ended the drain");
 }
 
 #[test]
-fn an_order_holds_writes_before_any_is_turned_away_and_is_undone_in_time() {
+fn an_ordered_change_holds_writes_and_is_undone_at_its_time_limit() {
     let mut g = Group::steady();
     g.writes_in_flight = 1;
     g.tracker.order_change(ms(1100), 0, Some(1)).expect("a plan");
     g.evaluate(1100);
     assert_eq!((g.primary(), g.tracker.writer(0)), (Some(0), None));
-    assert!(g.tracker.order_change(ms(1200), 0, None).is_err(), "one at a time");
+    assert!(g.tracker.order_change(ms(1200), 0, None).is_err(), "one change at a time");
     g.writes_in_flight = 0;
     g.evaluate(1200);
-    // No successor comes: the old one is used again.
+    // No successor claims: the old primary is used again.
     let ends = g.tracker.plan_deadline(0).expect("a time limit").as_millis() as u64;
     g.report(ends - 100, 0, PRIMARY, ends - 110);
     assert_eq!(g.tracker.writer(0), None);
     g.evaluate(ends);
     assert_eq!((g.plan().step, g.tracker.writer(0)), (Step::Undone(UndoReason::NoSuccessor), Some(0)));
-    // Called off.
+    // The change is called off.
     g.tracker.order_change(ms(ends + 100), 0, None).expect("a plan");
     assert!(g.tracker.call_off(ms(ends + 200), 0) && !g.tracker.call_off(ms(ends + 200), 0));
     g.evaluate(ends + 200);
@@ -275,12 +284,12 @@
 }
 
 #[test]
-fn an_old_primary_that_hands_over_as_it_was_told_to_has_not_failed() {
+fn a_primary_that_steps_down_during_a_planned_change_has_not_failed() {
     let mut g = Group::steady();
     g.tracker.order_change(ms(1100), 0, None).expect("a plan");
     g.evaluate(1100);
     assert_eq!(g.plan().step, Step::Awaiting);
-    // It says so itself before its successor has claimed.
+    // It reports itself as a replica before its successor has claimed.
     g.report(1300, 0, REPLICA, 1295);
     assert_eq!((g.plan().step, g.tracker.phase(0)), (Step::Awaiting, Phase::HandingOver));
     g.report(1500, 1, PRIMARY, 1490);
@@ -288,7 +297,7 @@
 }
 
 #[test]
-fn an_order_ends_when_its_successor_leaves_or_the_old_primary_fails_first() {
+fn an_ordered_change_ends_when_its_successor_leaves_or_the_old_primary_fails_first() {
     let mut g = Group::steady();
     g.tracker.order_change(ms(1100), 0, Some(1)).expect("a plan");
     g.drain(1200, 1);
@@ -298,7 +307,7 @@
     assert_eq!((g.plan().step, g.tracker.phase(0)), (Step::Undone(UndoReason::Overtaken), Phase::NoPrimary));
     g.report(2600, 2, PRIMARY, 2590);
     assert_eq!(g.primary(), Some(2));
-    // The successor dies right after: a change during a change.
+    // The successor fails right after it took over: a change during a change.
     g.tracker.order_change(ms(2700), 0, None).expect("a plan");
     g.evaluate(2700);
     g.report(2800, 0, REPLICA, 2750);
@@ -306,14 +315,14 @@
     assert_eq!((g.plan().step, g.primary()), (Step::Done, Some(0)));
     g.invalidate_claims(2950, 0);
     g.report(3000, 2, PRIMARY, 2990);
-    assert_eq!(g.primary(), None, "it has not said that it stepped down");
+    assert_eq!(g.primary(), None, "it has not reported itself as a replica");
     g.report(3100, 2, REPLICA, 3090);
     g.report(3400, 2, PRIMARY, 3390);
     assert_eq!((g.primary(), g.tracker.term(0)), (Some(2), 4));
 }
 
 #[test]
-fn what_cannot_be_ordered_is_said() {
+fn a_change_that_cannot_be_ordered_is_refused_with_the_reason() {
     let mut g = Group::new();
     for (group, successor, names) in [(7, None, "group"), (0, None, "no primary")] {
         assert!(g.tracker.order_change(ms(1), group, successor).is_err_and(|why| why.contains(names)));
@@ -327,7 +336,7 @@
 }
 
 #[test]
-fn a_group_of_one_comes_back_with_its_only_member() {
+fn a_group_of_one_recovers_with_its_only_member() {
     let mut tracker = PrimaryTracker::default();
     tracker.add_member(0, 0);
     for now in [1000, 9000] {
@@ -341,7 +350,7 @@
 }
 
 #[test]
-fn a_member_that_left_leaves_nothing_to_who_comes_in_its_place() {
+fn a_new_member_at_a_reused_index_inherits_nothing() {
     let mut g = Group::steady();
     g.tracker.remove_member(ms(1100), 0);
     assert_eq!(g.primary(), None);
@@ -356,7 +365,7 @@
 }
 
 #[test]
-fn one_shock_keeps_the_slot_but_no_reader_counts_on_it() {
+fn a_doubted_primary_keeps_its_role_but_reads_do_not_rely_on_it() {
     let mut g = Group::steady();
     g.tracker.mark_doubted(ms(1100), 0);
     g.evaluate(1100);
@@ -366,7 +375,7 @@
 }
 
 #[test]
-fn terms_and_fences_outlive_a_process_and_the_slot_does_not() {
+fn a_snapshot_restores_terms_and_fences_but_not_the_primary() {
     let mut g = Group::steady();
     g.invalidate_claims(1500, 0);
     g.report(2600, 1, PRIMARY, 2590);
@@ -386,9 +395,9 @@
     next.report(2720, 0, PRIMARY, 2719);
     assert_eq!(next.primary(), None, "a former primary's claim may be of its old term");
     next.report(2730, 1, PRIMARY, 2729);
-    assert_eq!((next.primary(), next.tracker.term(0)), (Some(1), 2), "the same term goes on");
+    assert_eq!((next.primary(), next.tracker.term(0)), (Some(1), 2), "the same term continues");
     assert_eq!(next.tracker.valid_positions_from(0), ms(2590));
-    // A term that had begun here already counts on from those that were.
+    // A term that had begun in this process already is numbered after the restored ones.
     let mut next = restored(true);
     assert_eq!((next.primary(), next.tracker.term(0), next.tracker.held_term(2)), (Some(2), 3, 3));
     next.report(2720, 0, PRIMARY, 2719);
@@ -396,13 +405,13 @@
 }
 
 #[test]
-fn past_vacancies_tell_how_long_one_lasts() {
+fn past_leaderless_durations_predict_how_long_one_lasts() {
     let mut g = Group::steady();
     let mut now = 2000;
     for i in 0..4 {
         let (old, next) = ([0, 1][i % 2], [1, 0][i % 2]);
         g.invalidate_claims(now, old);
-        assert_eq!(g.tracker.expected_wait(ms(now), 0).is_some(), i == 3, "three are enough");
+        assert_eq!(g.tracker.expected_wait(ms(now), 0).is_some(), i == 3, "three samples are enough");
         g.report(now + 400, next, REPLICA, now + 390);
         g.report(now + 800, next, PRIMARY, now + 790);
         assert_eq!(g.primary(), Some(next));
@@ -411,8 +420,8 @@
         now += 2000;
     }
     g.invalidate_claims(now, 0);
-    let left = |g: &Group, lasted| g.tracker.expected_wait(ms(now + lasted), 0).expect("enough is known");
+    let left = |g: &Group, lasted| g.tracker.expected_wait(ms(now + lasted), 0).expect("an estimate");
     assert!(left(&g, 0) >= ms(800) && left(&g, 0) <= ms(1200));
     assert!(left(&g, 600) < left(&g, 0));
-    assert!(left(&g, 60_000) > ms(30_000), "longer than any before it");
+    assert!(left(&g, 60_000) > ms(30_000), "longer than any sample");
 }
