--- a/crates/pipeline/src/arrivals.rs
+++ b/crates/pipeline/src/arrivals.rs
@@ -1,20 +1,20 @@
-//! When the bytes of a connection arrived, for as long as they lie unread in its buffer.
+//! Arrival times of a connection's bytes, kept while they are unread in its buffer.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How many different times are kept. Bytes that come after are dated with the last of them, which is too early: a
-/// deadline that is counted from it ends too soon, never too late.
+/// The number of different times that are kept. Bytes that arrive after that get the last of them, which is too early:
+/// a deadline counted from it ends too soon, never too late.
 const MAX_TIMES: usize = 64;
 
-/// Bytes up to some position of the stream arrived by then.
+/// The time by which all bytes up to a position in the stream had arrived.
 #[derive(Clone, Copy, Debug)]
 struct Arrival {
     up_to: u64,
     at: Duration,
 }
 
-/// Times by position in the stream.
+/// Arrival times by position in the stream.
 #[derive(Debug, Default)]
 pub struct ArrivalTimes {
     received: u64,
@@ -23,7 +23,7 @@
 }
 
 impl ArrivalTimes {
-    /// So many more bytes have come in.
+    /// Records the arrival of further bytes.
     pub fn received(&mut self, bytes: usize, at: Duration) {
         if bytes == 0 {
             return;
@@ -36,13 +36,13 @@
         }
     }
 
-    /// When the last of so many bytes at the head of the buffer arrived, if that is known.
+    /// When the last of this many bytes at the head of the buffer arrived; `None` if that is not known.
     pub fn arrival_of_next(&self, bytes: usize) -> Option<Duration> {
         let end = self.taken + bytes as u64;
         self.arrivals.iter().find(|arrival| arrival.up_to >= end).map(|arrival| arrival.at)
     }
 
-    /// So many bytes at the head have left the buffer.
+    /// Records that this many bytes at the head have left the buffer.
     pub fn consume(&mut self, bytes: usize) {
         self.taken += bytes as u64;
         while self.arrivals.front().is_some_and(|arrival| arrival.up_to <= self.taken) {
--- a/crates/pipeline/src/lib.rs
+++ b/crates/pipeline/src/lib.rs
@@ -1,6 +1,6 @@
-//! The commands of one client connection that have been read and not answered yet. Decides which of them may begin,
+//! The commands of one client connection that have been read and not yet answered. Decides which of them may start,
 //! which are refused because the connection holds too much, by when each must be answered, and in which order answers
-//! leave. No I/O: times are handed in, requests and answers pass through unread.
+//! are sent. No I/O: times are passed in; requests and answers are not interpreted.
 
 mod arrivals;
 
@@ -9,47 +9,48 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How much one connection may have in hand.
+/// Limits on what one connection may hold.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Requests that have begun; others wait for their end.
+    /// Started requests; others wait until one of them ends.
     pub started: usize,
-    /// Bytes of requests that are not answered, each counted with what is kept of it beside its statement. What comes
-    /// beyond that is refused.
+    /// Bytes of unanswered requests, including what is kept for each beside its statement. Requests beyond this are
+    /// refused.
     pub request_bytes: usize,
-    /// Nothing but the oldest begins while as many bytes of answers wait for those before them.
+    /// While this many bytes of answers wait for earlier ones, only the oldest request may start.
     pub answer_bytes: usize,
 }
 
-/// What the pipeline has to know of a request.
+/// What the pipeline needs to know of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
     /// Unique on this connection.
     pub id: u64,
     /// When its client stops waiting.
     pub deadline: Duration,
-    /// The session whose writes it has to see, as a hash of its key.
+    /// A hash of the key of the session whose writes it must see.
     pub session: Option<u64>,
+    /// Whether it is a write, for which later requests of its session wait.
     pub writes: bool,
-    /// Of its statement and what is kept beside it.
+    /// Size of its statement and of what is kept beside it.
     pub bytes: usize,
 }
 
-/// A request that may begin now.
+/// A request that may start now.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Start<T> {
     pub payload: T,
-    /// When the last write of its session that stood before it on this connection got its answer. Whatever that
-    /// write committed is not newer.
+    /// When the last earlier write of its session on this connection was answered. Whatever that write committed is not
+    /// newer.
     pub write_answered: Option<Duration>,
 }
 
-/// A request whose time is over without an answer.
+/// A request that was not answered in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Overdue {
-    /// It has begun: it may have run.
+    /// It was started: it may have run.
     Started(u64),
-    /// It never began.
+    /// It was never started.
     Waiting(u64),
 }
 
@@ -57,7 +58,7 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum Reply {
     Answer(Vec<u8>),
-    /// A request that was over the limits: it never began.
+    /// A request over the limits, which was never started.
     Refused,
 }
 
@@ -70,8 +71,8 @@
     },
     Started(Request),
     Answered(Vec<u8>),
-    /// So many in a row were over the limits. A client can send them faster than they can be answered in order, so
-    /// they are counted rather than kept.
+    /// This many requests in a row were over the limits. A client can send them faster than they can be answered in
+    /// order, so they are counted rather than kept.
     Refused(u64),
 }
 
@@ -90,11 +91,11 @@
 pub struct Pipeline<T> {
     limits: Limits,
     entries: VecDeque<Entry<T>>,
-    /// Unanswered requests, and those of them that have begun.
+    /// Unanswered requests, and those of them that were started.
     requests: usize,
     started: usize,
     request_bytes: usize,
-    /// Bytes of answers that wait for those before them.
+    /// Bytes of answers that wait for earlier ones.
     answer_bytes: usize,
 }
 
@@ -110,22 +111,22 @@
         }
     }
 
-    /// Nothing is owed to the client.
+    /// Whether nothing is left to send to the client.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// How many requests are unanswered.
+    /// The number of unanswered requests.
     pub fn requests(&self) -> usize {
         self.requests
     }
 
-    /// Bytes of answers that wait for those before them.
+    /// Bytes of answers that wait for earlier ones.
     pub fn answer_bytes(&self) -> usize {
         self.answer_bytes
     }
 
-    /// Ids of all unanswered requests that have begun.
+    /// Ids of all started, unanswered requests.
     pub fn started(&self) -> impl Iterator<Item = u64> {
         self.entries.iter().filter_map(|entry| match entry {
             Entry::Started(request) => Some(request.id),
@@ -133,7 +134,7 @@
         })
     }
 
-    /// Ids of all requests that have not begun.
+    /// Ids of all requests that were not started.
     pub fn waiting(&self) -> impl Iterator<Item = u64> {
         self.entries.iter().filter_map(|entry| match entry {
             Entry::Waiting { request, .. } => Some(request.id),
@@ -141,8 +142,8 @@
         })
     }
 
-    /// Takes a request in behind all others. One that is over the limits is refused in its turn, and its payload given
-    /// back. A single request is never over them, however long.
+    /// Appends a request. One over the limits is refused, in its place in the order, and its payload is returned. A
+    /// single request is never over the limits, however long it is.
     pub fn push(&mut self, request: Request, payload: T) -> Result<(), T> {
         let fits = self.request_bytes + request.bytes <= self.limits.request_bytes;
         if self.requests > 0 && !fits {
@@ -158,13 +159,14 @@
         Ok(())
     }
 
-    /// Takes in a command that has its answer already.
+    /// Appends a command that is already answered.
     pub fn push_answer(&mut self, answer: Vec<u8>) {
         self.answer_bytes += answer.len();
         self.entries.push_back(Entry::Answered(answer));
     }
 
-    /// The oldest request that may begin: there is room for it, and no unanswered write of its session before it.
+    /// Starts the oldest request that may start: the limits allow it, and no earlier write of its session is
+    /// unanswered.
     pub fn start(&mut self) -> Option<Start<T>> {
         let at = (0..self.entries.len()).find(|&at| self.may_start(at))?;
         let Entry::Waiting { request, .. } = &self.entries[at] else { return None };
@@ -180,15 +182,16 @@
 
     fn may_start(&self, at: usize) -> bool {
         let Entry::Waiting { request, .. } = &self.entries[at] else { return false };
-        let room = self.started < self.limits.started && self.answer_bytes < self.limits.answer_bytes;
-        if at > 0 && !room {
+        let within_limits =
+            self.started < self.limits.started && self.answer_bytes < self.limits.answer_bytes;
+        if at > 0 && !within_limits {
             return false;
         }
         let earlier = self.entries.range(..at).filter_map(Entry::request);
         !earlier.into_iter().any(|earlier| blocks(earlier, request))
     }
 
-    /// Notes the answer of a request; false if none is owed for it.
+    /// Records the answer of a request; returns false if it is not unanswered.
     pub fn answer(&mut self, now: Duration, id: u64, answer: Vec<u8>) -> bool {
         let is_it = |entry: &Entry<T>| entry.request().is_some_and(|request| request.id == id);
         let Some(at) = self.entries.iter().position(is_it) else { return false };
@@ -228,8 +231,8 @@
         }
     }
 
-    /// A request whose time is over: at its deadline if it never began, `grace` later if it has, for until then its
-    /// own answer may come.
+    /// A request that is out of time: at its deadline if it was never started, `grace` later if it was, since its own
+    /// answer may arrive until then.
     pub fn overdue(&self, now: Duration, grace: Duration) -> Option<Overdue> {
         self.entries.iter().find_map(|entry| match entry {
             Entry::Started(request) if request.deadline + grace <= now => Some(Overdue::Started(request.id)),
@@ -238,7 +241,7 @@
         })
     }
 
-    /// When `overdue` may next find one.
+    /// When `overdue` may next return one.
     pub fn next_due(&self, grace: Duration) -> Option<Duration> {
         let due = |entry: &Entry<T>| match entry {
             Entry::Started(request) => Some(request.deadline + grace),
@@ -249,7 +252,7 @@
     }
 }
 
-/// Whether a later request has to wait for an earlier one: a session's reads see its writes, and its writes keep their
+/// Whether a later request has to wait for an earlier one: reads of a session see its writes, and its writes keep their
 /// order.
 fn blocks(earlier: &Request, later: &Request) -> bool {
     earlier.writes && earlier.session.is_some() && earlier.session == later.session
--- a/crates/request-guard/src/connection.rs
+++ b/crates/request-guard/src/connection.rs
@@ -1,35 +1,37 @@
-//! What a client's connection still owes, and whether it may end.
+//! What is still outstanding on a client's connection when it ends.
 
 use crate::invariants::{Invariants, Violation};
 
-/// Who ends a connection.
+/// The party that ends a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndedBy {
-    /// The client has left, or the network took it: nothing is owed any more.
+    /// The client closed it, or the network failed: nothing is outstanding any more.
     Client,
-    /// This process, which owes what it has taken.
+    /// This process, which must first finish what it has accepted.
     Process,
-    /// This process, after it told the client that what it sent is no request: half of one is not owed.
+    /// This process, after it told the client that its input is not a valid request: a partly read request does not
+    /// count.
     ProcessWithError,
 }
 
-/// What is owed on a connection at one moment.
+/// What is outstanding on a connection at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Outstanding {
-    /// Requests that were taken and have no answer.
+    /// Requests that were accepted and have no answer.
     pub unanswered: usize,
-    /// Bytes of answers that are not handed to the machine.
+    /// Bytes of answers that were not handed to the kernel.
     pub unsent: usize,
-    /// Bytes of a request that is not whole yet.
+    /// Bytes of a partly read request.
     pub half_read: usize,
 }
 
 impl Outstanding {
+    /// Whether nothing is outstanding.
     pub fn is_none(&self) -> bool {
         *self == Outstanding::default()
     }
 
-    /// Every end of a connection passes here; what the end breaks is counted.
+    /// Called at every end of a connection; counts what the end violates.
     pub fn record_violations(&self, by: EndedBy, invariants: &Invariants) {
         if by == EndedBy::Client {
             return;
--- a/crates/request-guard/src/invariants.rs
+++ b/crates/request-guard/src/invariants.rs
@@ -1,23 +1,23 @@
-//! What must never happen, counted while the process runs. All counts stay 0 in a correct program, whatever fails
+//! Violations of invariants, counted while the process runs. All counts stay 0 in a correct program, whatever fails
 //! around it.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Something that must not happen.
+/// Something that must never happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// An attempt's last byte went out after its request had ended.
+    /// The last byte of an attempt was written after its request had ended.
     SentAfterEnd,
-    /// An attempt's last byte went out after its deadline.
+    /// The last byte of an attempt was written after its deadline.
     SentAfterDeadline,
     /// A request got a second final answer.
     AnsweredTwice,
-    /// This process ended a connection that held a request without its answer.
+    /// This process ended a connection with an unanswered request.
     EndedUnanswered,
-    /// This process ended a connection before all of an answer was handed over.
+    /// This process ended a connection before all of an answer was handed to the kernel.
     EndedUnsent,
-    /// This process ended a connection without a word when it had read half a request.
+    /// This process ended a connection without an error message after it had read part of a request.
     EndedHalfRead,
 }
 
@@ -31,6 +31,7 @@
         Violation::EndedHalfRead,
     ];
 
+    /// The name shown in counters.
     pub fn name(self) -> &'static str {
         match self {
             Violation::SentAfterEnd => "sent_after_end",
@@ -48,20 +49,23 @@
 pub struct Invariants([AtomicU64; Violation::ALL.len()]);
 
 impl Invariants {
+    /// Counts a violation.
     pub fn count(&self, violation: Violation) {
         self.0[violation as usize].fetch_add(1, Ordering::Relaxed);
     }
 
+    /// How often a violation has happened.
     pub fn read(&self, violation: Violation) -> u64 {
         self.0[violation as usize].load(Ordering::Relaxed)
     }
 
+    /// The number of all violations.
     pub fn total(&self) -> u64 {
         Violation::ALL.into_iter().map(|violation| self.read(violation)).sum()
     }
 }
 
-/// `violations=0`, or the sum and each that is not 0.
+/// `violations=0`, or the total and each count that is not 0.
 impl fmt::Display for Invariants {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "violations={}", self.total())?;
--- a/crates/request-guard/src/lib.rs
+++ b/crates/request-guard/src/lib.rs
@@ -1,8 +1,8 @@
-//! One guard for all that is done for a request or on a client's connection: starting it, sending or repeating it to a
-//! server, answering it, and ending the connection. Decisions are made in one actor and carried out in another, a moment
-//! or a standstill later; whoever carries one out asks here, at that moment, whether it still holds. What is done all the
-//! same counts as a violation. No I/O: the time is handed in, and whether a client is still there is asked through
-//! [`ClientPresence`].
+//! Guards every action for a request or on a client's connection: starting it, sending or resending it to a server,
+//! answering it, and ending the connection. Decisions are made in one actor and carried out in another, a moment or a
+//! stall later; whoever carries one out checks here, at that moment, that it still holds. An action that happens
+//! nevertheless is counted as a violation. No I/O: the time is passed in, and whether a client is still connected is
+//! checked through [`ClientPresence`].
 
 mod connection;
 mod invariants;
--- a/crates/request-guard/src/request.rs
+++ b/crates/request-guard/src/request.rs
@@ -1,5 +1,5 @@
-//! The life of one request: open until it is answered or its client has left, whichever comes first. Everybody who works
-//! for it holds the same guard; the permit of an attempt is asked right before its bytes are written.
+//! The lifetime of one request: open until it is answered or its client has left, whichever comes first. All that work
+//! for a request share its guard; the permit of an attempt is checked right before its bytes are written.
 
 use crate::invariants::{Invariants, Violation};
 use std::fmt;
@@ -7,17 +7,18 @@
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Whether a client is still there, asked of the machine at that moment.
+/// Checks with the operating system, at the time of the call, whether a client is still connected.
 pub trait ClientPresence: Send + Sync {
+    /// Whether the client has closed its connection.
     fn has_left(&self) -> bool;
 }
 
-/// Why an attempt is not to be written.
+/// Why an attempt must not be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Withheld {
-    /// The request was answered, or given up.
+    /// The request was answered or abandoned.
     Ended,
-    /// Its deadline has passed, or the reasons for which this server was chosen hold no more.
+    /// Its deadline has passed, or the reasons for which this server was chosen no longer hold.
     OutOfTime,
     /// Its client has closed the connection.
     ClientLeft,
@@ -34,7 +35,7 @@
     invariants: Arc<Invariants>,
 }
 
-/// Shared by all that work for one request; clones are the same. Times count from the process's start.
+/// Shared by all that work for one request; clones share their state. Times count from the start of the process.
 #[derive(Clone)]
 pub struct RequestGuard(Arc<Inner>);
 
@@ -45,6 +46,7 @@
 }
 
 impl RequestGuard {
+    /// The guard of a request that has just arrived.
     pub fn new(
         deadline: Duration,
         client: Box<dyn ClientPresence>,
@@ -53,17 +55,18 @@
         RequestGuard(Arc::new(Inner { deadline, state: AtomicU8::new(OPEN), client, invariants }))
     }
 
-    /// It has no final answer yet, and its client is there as far as is known.
+    /// Whether the request has no final answer yet and its client is, as far as is known, still connected.
     pub fn is_open(&self) -> bool {
         self.0.state.load(Ordering::Relaxed) == OPEN
     }
 
-    /// Notes its final answer. Only the first counts: one after an end of any kind must not go out.
+    /// Records the final answer. Only the first call before any end returns true; an answer after that must not be
+    /// sent.
     pub fn answer(&self) -> bool {
         self.end(ANSWERED)
     }
 
-    /// Its client has left: nothing more is done for it.
+    /// Records that the client has left: nothing more is done for the request.
     pub fn abandon(&self) -> bool {
         self.end(ABANDONED)
     }
@@ -72,7 +75,7 @@
         self.0.state.compare_exchange(OPEN, state, Ordering::Relaxed, Ordering::Relaxed).is_ok()
     }
 
-    /// Asked before it is started. One that has ended, or is out of time, is not.
+    /// Checked before the request is started: it must not have ended, nor be past its deadline.
     pub fn may_start(&self, now: Duration) -> Result<(), Withheld> {
         if !self.is_open() {
             Err(Withheld::Ended)
@@ -83,16 +86,16 @@
         }
     }
 
-    /// A permit for one attempt, which holds until that time unless it is changed.
+    /// A permit for one attempt, valid until this time unless that is changed.
     pub fn permit(&self, valid_until: Duration) -> AttemptPermit {
         AttemptPermit { request: self.clone(), valid_until: Arc::new(AtomicU64::new(micros(valid_until))) }
     }
 }
 
-/// Written, or never to be written.
+/// `valid_until` of a permit that was consumed: the attempt was written, or never will be.
 const CONSUMED: u64 = u64::MAX;
 
-/// Whether one attempt may still be written; clones are the same.
+/// Whether one attempt may still be written; clones share their state.
 #[derive(Clone)]
 pub struct AttemptPermit {
     request: RequestGuard,
@@ -101,37 +104,37 @@
 }
 
 impl AttemptPermit {
-    /// The reasons for this attempt hold until then from now on. No use once it is settled.
+    /// Changes until when the permit is valid. Must not be called once it is consumed.
     pub fn set_valid_until(&self, at: Duration) {
         self.valid_until.store(micros(at), Ordering::Relaxed);
     }
 
-    /// It is written, or never to be written.
+    /// Whether the attempt was written, or never will be.
     pub fn is_consumed(&self) -> bool {
         self.valid_until.load(Ordering::Relaxed) == CONSUMED
     }
 
-    /// Whether it could be written now, as far as this process knows; nothing is settled by asking, and the machine is
-    /// not asked for the client.
+    /// Whether the attempt could be written now, as far as this process knows. Does not consume the permit, and does
+    /// not check with the operating system whether the client is still connected.
     pub fn check(&self, now: Duration) -> Result<(), Withheld> {
         self.check_validity(now, self.valid_until.load(Ordering::Relaxed))
     }
 
-    /// Asked right before the first byte is written, and never again: it is settled then, one way or the other.
+    /// Called once, right before the first byte is written: consumes the permit, whether or not it is granted.
     pub fn consume(&self, now: Duration) -> Result<(), Withheld> {
         let valid_until = self.valid_until.swap(CONSUMED, Ordering::Relaxed);
         self.check_validity(now, valid_until)?;
         self.client_is_there()
     }
 
-    /// Asked before each further piece of an attempt that the machine did not take at once: it begins at the server
-    /// with its last byte only.
+    /// Checked before each further piece of an attempt that the kernel did not take at once: the server begins to
+    /// execute it with its last byte only.
     pub fn may_continue(&self, now: Duration) -> Result<(), Withheld> {
         self.request.may_start(now)?;
         self.client_is_there()
     }
 
-    /// The run-time check: called once the last byte is handed over, with a fresh look at the clock.
+    /// Counts violations; called with a fresh reading of the clock once the last byte was handed over.
     pub fn record_written(&self, now: Duration) {
         let invariants = &self.request.0.invariants;
         if !self.request.is_open() {
@@ -157,7 +160,7 @@
     }
 }
 
-/// A process may be held up for so long between looking at its clock and writing (`STANDING.md`).
+/// How long a process may stall between reading its clock and writing (`STANDING.md`).
 const MAX_CLOCK_TO_WRITE: Duration = Duration::from_millis(150);
 
 fn micros(at: Duration) -> u64 {
--- a/crates/server-list/src/entry.rs
+++ b/crates/server-list/src/entry.rs
@@ -1,27 +1,27 @@
-//! A list of servers as discovery tells it, checked and typed.
+//! A list of servers as discovery sends it, validated and typed.
 
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// What discovery says of a server.
+/// The state of a server according to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ServerState {
     Up,
-    /// It finishes what it has, and is to get nothing new.
+    /// It finishes what it has and must get nothing new.
     Draining,
     /// It is gone.
     Removed,
 }
 
 impl ServerState {
-    /// Whether it takes a server out of use.
+    /// Whether a server in this state is not to be used.
     pub fn takes_out_of_use(self) -> bool {
         self != ServerState::Up
     }
 }
 
-/// One server of a list. Fields that the front does not use are passed over.
+/// One server of a list. Fields that the front does not use are ignored.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct ServerEntry {
     pub id: String,
@@ -33,7 +33,7 @@
     #[serde(rename = "cell")]
     pub group: u64,
     pub state: ServerState,
-    /// `leader` or `follower`, where lists tell roles.
+    /// `leader` or `follower`, if the list contains roles.
     #[serde(default)]
     role: Option<String>,
     /// When it started, in Unix milliseconds; 0 if that was long ago.
@@ -42,7 +42,7 @@
 }
 
 impl ServerEntry {
-    /// Whether the list takes it for the primary of its group.
+    /// Whether the list names it as the primary of its group.
     pub fn is_leader(&self) -> bool {
         self.role.as_deref() == Some("leader")
     }
@@ -53,17 +53,17 @@
     }
 }
 
-/// A list, whole or of what has changed.
+/// A full list, or a list of changes.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct ServerList {
     pub version: u64,
-    /// Servers that it does not name are gone.
+    /// Whether servers that it does not name are gone.
     pub full: bool,
     pub servers: Vec<ServerEntry>,
 }
 
 impl ServerList {
-    /// Reads a list in JSON. The error says what was expected, and where.
+    /// Parses a list in JSON. The error contains what was expected, and where.
     pub fn parse(text: &[u8]) -> Result<ServerList, String> {
         serde_json::from_slice(text).map_err(|e| format!("expected a list of servers in JSON: {e}"))
     }
--- a/crates/server-list/src/lib.rs
+++ b/crates/server-list/src/lib.rs
@@ -1,8 +1,8 @@
-//! How a front comes to know its servers, without I/O: lists as typed entries, the table of what is known with what a
-//! new list changes in it, which of two watches is believed, and the pace at which servers are probed.
+//! What a front knows about its servers, without I/O: typed list entries, the table of known servers and the changes
+//! that a new list makes, which of two watches takes precedence, and the rate at which servers are probed.
 //!
-//! A change costs what has changed, not the size of the list; probes cost what the front's own transactions need, and a
-//! fixed rate beyond that.
+//! A change costs time in proportion to what has changed, not to the size of the list; probes cost what the front's own
+//! transactions need, and a fixed rate beyond that.
 
 mod backoff;
 mod entry;
--- a/crates/server-list/src/probes.rs
+++ b/crates/server-list/src/probes.rs
@@ -1,27 +1,27 @@
-//! The pace of probes: which of those that are wanted starts when.
+//! The rate of probes: which of the requested ones starts when.
 //!
-//! A probe of a group in which transactions wait starts at once. All others share two budgets, one for groups that had
-//! transactions of late and one for the rest, so that neither starves the other. Groups take turns within a budget. What
-//! is out at once is bounded, for each probe holds a connection.
+//! A probe of a group in which transactions wait starts at once. All others share two budgets, one for groups with
+//! recent transactions and one for the rest, so that neither starves the other. Within a budget, groups are served
+//! round-robin. The number of probes in flight is limited, since each occupies a connection.
 
 use oorandom::Rand64;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// A group that had a transaction is in use for so long after it.
+/// How long a group is in use after a transaction.
 const IN_USE: Duration = Duration::from_secs(10);
-/// Probes a second of groups in use in which nothing waits. A front of a small site needs some tens.
+/// Probes per second of groups in use in which nothing waits. A front of a small site needs some tens.
 const IN_USE_PER_SECOND: f64 = 100.0;
-/// Probes a second of groups that are not in use: one that is refused costs about half a millisecond.
+/// Probes per second of groups not in use; a refused probe costs about half a millisecond.
 const UNUSED_PER_SECOND: f64 = 8.0;
-/// So many may start at once after a pause: the servers of a small site.
+/// How many probes may start at once after a pause: the servers of a small site.
 const BURST: f64 = 120.0;
-/// Probes out at once, as parts of the connections to servers that there may be: of those that nothing waits for, and
-/// of all.
+/// The maximum of connections to servers divided by these gives the limits of probes in flight: of those that no
+/// transaction waits for, and of all.
 const BACKGROUND_DIVISOR: usize = 4;
 const TOTAL_DIVISOR: usize = 2;
 
-/// How many probes may be out at once.
+/// Limits on probes in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProbeLimits {
     pub background: usize,
@@ -29,7 +29,7 @@
 }
 
 impl ProbeLimits {
-    /// For so many connections to servers.
+    /// The limits for this many connections to servers.
     pub fn for_connections(connections: usize) -> ProbeLimits {
         let part = |part: usize| (connections / part).max(1);
         ProbeLimits { background: part(BACKGROUND_DIVISOR), all: part(TOTAL_DIVISOR) }
@@ -44,57 +44,57 @@
     Unused,
 }
 
-/// What is wanted of one group.
+/// The probes requested of one group.
 #[derive(Debug, Default)]
 struct Group {
     queued: VecDeque<u32>,
-    /// The lane in which its turn comes.
+    /// The lane in which the group is queued.
     lane: Option<Lane>,
     last_used: Option<Duration>,
 }
 
-/// Probes that may start, refilled at a rate.
+/// A token bucket of probes that may start.
 #[derive(Debug)]
 struct Budget {
     per_second: f64,
-    left: f64,
-    counted: Duration,
+    tokens: f64,
+    refilled_at: Duration,
 }
 
 impl Budget {
     fn new(per_second: f64) -> Budget {
-        Budget { per_second, left: BURST, counted: Duration::ZERO }
+        Budget { per_second, tokens: BURST, refilled_at: Duration::ZERO }
     }
 
     fn refill(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.counted).as_secs_f64();
-        self.left = (self.left + passed * self.per_second).min(BURST);
-        self.counted = now;
+        let passed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.tokens = (self.tokens + passed * self.per_second).min(BURST);
+        self.refilled_at = now;
     }
 
-    /// When there is enough for the next one.
+    /// When there is a token for the next probe.
     fn ready_at(&self) -> Duration {
-        let missing = (1.0 - self.left).max(0.0);
-        self.counted + Duration::from_secs_f64(missing / self.per_second)
+        let missing = (1.0 - self.tokens).max(0.0);
+        self.refilled_at + Duration::from_secs_f64(missing / self.per_second)
     }
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum State {
+enum ProbeState {
     #[default]
     None,
     Queued,
-    Out,
+    InFlight,
 }
 
-/// Probes that are wanted, and those that are out.
+/// Probes that are requested, and those in flight.
 #[derive(Debug)]
 pub struct ProbeQueue {
     limits: ProbeLimits,
     random: Rand64,
     groups: Vec<Group>,
-    servers: Vec<State>,
-    out: usize,
+    servers: Vec<ProbeState>,
+    in_flight: usize,
     demanded: VecDeque<u32>,
     in_use: VecDeque<u32>,
     unused: VecDeque<u32>,
@@ -103,13 +103,14 @@
 }
 
 impl ProbeQueue {
+    /// An empty queue; `seed` is for its random numbers.
     pub fn new(seed: u64, limits: ProbeLimits) -> ProbeQueue {
         ProbeQueue {
             limits,
             random: Rand64::new(u128::from(seed)),
             groups: Vec::new(),
             servers: Vec::new(),
-            out: 0,
+            in_flight: 0,
             demanded: VecDeque::new(),
             in_use: VecDeque::new(),
             unused: VecDeque::new(),
@@ -118,15 +119,15 @@
         }
     }
 
-    /// A probe of a server is wanted. One that is wanted already, or out, is not wanted twice.
+    /// Requests a probe of a server. Has no effect if one is requested already or in flight.
     pub fn request(&mut self, now: Duration, server: usize, group: usize, demanded: bool) {
         if server >= self.servers.len() {
-            self.servers.resize(server + 1, State::None);
+            self.servers.resize(server + 1, ProbeState::None);
         }
-        if self.servers[server] != State::None {
+        if self.servers[server] != ProbeState::None {
             return;
         }
-        self.servers[server] = State::Queued;
+        self.servers[server] = ProbeState::Queued;
         self.group(group).queued.push_back(server as u32);
         let in_use = self.group(group).last_used.is_some_and(|at| now < at + IN_USE);
         let lane = match (demanded, in_use) {
@@ -137,7 +138,7 @@
         self.enqueue(group, lane);
     }
 
-    /// A transaction has come for a group; `waits`: it waits there.
+    /// Records a transaction for a group; `waits`: it waits there.
     pub fn used(&mut self, now: Duration, group: usize, waits: bool) {
         self.group(group).last_used = Some(now);
         if !self.group(group).queued.is_empty() {
@@ -147,7 +148,7 @@
 
     /// The next server to probe now.
     pub fn next(&mut self, now: Duration) -> Option<usize> {
-        if self.out >= self.limits.all {
+        if self.in_flight >= self.limits.all {
             return None;
         }
         if let Some(server) = self.take_next(Lane::Demanded) {
@@ -156,22 +157,22 @@
         self.in_use_budget.refill(now);
         self.unused_budget.refill(now);
         for lane in [Lane::InUse, Lane::Unused] {
-            if self.out < self.limits.background
-                && self.budget(lane).left >= 1.0
+            if self.in_flight < self.limits.background
+                && self.budget(lane).tokens >= 1.0
                 && let Some(server) = self.take_next(lane)
             {
-                // Fronts that were told the same list do not probe in step.
+                // A random cost, so that fronts that received the same list do not probe in step.
                 let cost = 0.5 + self.random.rand_float();
-                self.budget(lane).left -= cost;
+                self.budget(lane).tokens -= cost;
                 return Some(self.start(server));
             }
         }
         None
     }
 
-    /// When the next may start, unless one that is out has to end first or none is wanted.
+    /// When the next probe may start; `None` if one in flight has to end first, or none is requested.
     pub fn next_at(&self) -> Option<Duration> {
-        if self.out >= self.limits.background {
+        if self.in_flight >= self.limits.background {
             return None;
         }
         let in_use = (!self.in_use.is_empty()).then(|| self.in_use_budget.ready_at());
@@ -179,17 +180,17 @@
         in_use.into_iter().chain(unused).min()
     }
 
-    /// A probe has come to its end.
+    /// Records that a probe has ended.
     pub fn ended(&mut self, server: usize) {
-        if let Some(state) = self.servers.get_mut(server).filter(|state| **state == State::Out) {
-            *state = State::None;
-            self.out -= 1;
+        if let Some(state) = self.servers.get_mut(server).filter(|state| **state == ProbeState::InFlight) {
+            *state = ProbeState::None;
+            self.in_flight -= 1;
         }
     }
 
-    /// How many are wanted and not out.
+    /// The number of probes that are requested and not in flight.
     pub fn queued(&self) -> usize {
-        self.servers.iter().filter(|state| **state == State::Queued).count()
+        self.servers.iter().filter(|state| **state == ProbeState::Queued).count()
     }
 
     fn group(&mut self, group: usize) -> &mut Group {
@@ -211,7 +212,7 @@
         }
     }
 
-    /// A group gets its turns in this lane, unless it has them in a better one.
+    /// Queues a group in a lane, unless it is queued in that one or a higher one.
     fn enqueue(&mut self, group: usize, lane: Lane) {
         let at = self.group(group).lane;
         let better = |now: Lane| (now as usize) <= (lane as usize);
@@ -222,11 +223,11 @@
         self.lane(lane).push_back(group as u32);
     }
 
-    /// One server of the group whose turn it is.
+    /// One server of the next group in a lane.
     fn take_next(&mut self, lane: Lane) -> Option<u32> {
         while let Some(at) = self.lane(lane).pop_front() {
             let group = &mut self.groups[at as usize];
-            // It may have gone over to a better lane.
+            // It may have moved to a higher lane.
             if group.lane != Some(lane) {
                 continue;
             }
@@ -244,8 +245,8 @@
     }
 
     fn start(&mut self, server: u32) -> usize {
-        self.servers[server as usize] = State::Out;
-        self.out += 1;
+        self.servers[server as usize] = ProbeState::InFlight;
+        self.in_flight += 1;
         server as usize
     }
 }
--- a/crates/server-list/src/table.rs
+++ b/crates/server-list/src/table.rs
@@ -1,9 +1,9 @@
-//! All servers that are known, by index, and what a list changes in that.
+//! All known servers by index, and the changes that a list makes to them.
 
 use crate::entry::{ServerEntry, ServerState};
 use std::net::SocketAddr;
 
-/// What is kept of a server, beside the id that its index stands for.
+/// What is known of a server, except its id, which its index stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownServer {
     pub address: SocketAddr,
@@ -15,7 +15,7 @@
 }
 
 impl KnownServer {
-    /// What an entry says, with its group and its zone as indices.
+    /// The content of an entry, with group and zone as indices.
     pub fn from_entry(entry: &ServerEntry, group: usize, zone: usize) -> KnownServer {
         KnownServer {
             address: entry.address,
@@ -28,25 +28,25 @@
     }
 }
 
-/// What has become of one server by an entry of a list.
+/// How an entry of a list has changed one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Update {
-    /// It was not known, or anything of it differs.
+    /// It was not known before, or anything about it differs.
     pub changed: bool,
-    /// It is to be reached elsewhere.
+    /// Its address differs.
     pub moved: bool,
     /// Its state differs.
     pub state_changed: bool,
 }
 
-/// The servers that lists have named and that are not forgotten.
+/// The servers that lists have named and that were not forgotten.
 #[derive(Debug, Default)]
 pub struct ServerTable {
     servers: Vec<Option<KnownServer>>,
 }
 
 impl ServerTable {
-    /// How many indices there are, with those of forgotten servers.
+    /// The number of indices, including those of forgotten servers.
     pub fn len(&self) -> usize {
         self.servers.len()
     }
@@ -55,16 +55,17 @@
         self.servers.is_empty()
     }
 
+    /// What is known of a server.
     pub fn get(&self, server: usize) -> Option<&KnownServer> {
         self.servers.get(server)?.as_ref()
     }
 
-    /// All that are known, by index.
+    /// All known servers, by index.
     pub fn known(&self) -> impl Iterator<Item = (usize, &KnownServer)> {
         self.servers.iter().enumerate().filter_map(|(at, known)| Some((at, known.as_ref()?)))
     }
 
-    /// Takes in what a list says of a server.
+    /// Applies a list's entry for a server.
     pub fn update(&mut self, server: usize, now: KnownServer) -> Update {
         if server >= self.servers.len() {
             self.servers.resize(server + 1, None);
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Marks all that a whole list did not name as removed; gives those that were not before.
+    /// Marks all servers that a full list did not name as removed; returns those that were not removed before.
     pub fn remove_unnamed(&mut self, named: &[usize]) -> Vec<usize> {
         let mut missing = vec![true; self.servers.len()];
         named.iter().for_each(|&server| missing[server] = false);
@@ -94,6 +95,7 @@
         removed
     }
 
+    /// Removes a server, whose index may be used again.
     pub fn forget(&mut self, server: usize) {
         if let Some(known) = self.servers.get_mut(server) {
             *known = None;
--- a/crates/server-list/src/versions.rs
+++ b/crates/server-list/src/versions.rs
@@ -1,8 +1,8 @@
-//! Which lists are believed, where watches follow each other and versions may go back.
+//! Which lists are accepted, given that watches follow one another and versions may go back.
 
 use crate::entry::{ServerList, ServerState};
 
-/// The version that is known, and the watch that told it.
+/// The known version, and the watch that sent it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Versions {
     version: Option<u64>,
@@ -10,21 +10,21 @@
 }
 
 impl Versions {
-    /// From a version that was known before any watch.
+    /// Starts from a version that was known before any watch.
     pub fn new(version: Option<u64>) -> Versions {
         Versions { version, watch: None }
     }
 
-    /// What the next watch is to start from.
+    /// The version from which the next watch is to start.
     pub fn known(&self) -> Option<u64> {
         self.version
     }
 
-    /// What counts of a list that a watch has told.
+    /// The part of a list from a watch that is to be applied.
     ///
-    /// Versions rise, but where discovery has gone back: what one watch tells after another thing is news, whatever its
-    /// version. A later watch may be behind the one before it: of what is not newer than the known, only what takes a
-    /// server out of use counts, for that binds as soon as it is told.
+    /// Versions increase, unless discovery was reset to an earlier state: what the same watch sends later is therefore
+    /// accepted whatever its version. A new watch may be behind the previous one: of a list that is not newer than the
+    /// known version, only entries that take a server out of use are accepted, since those bind at once.
     pub fn accept(&mut self, watch: u64, mut list: ServerList) -> Option<ServerList> {
         let newer = self.version.is_none_or(|known| list.version > known);
         if list.full || newer || self.watch == Some(watch) {
--- a/crates/timer-wheel/src/lib.rs
+++ b/crates/timer-wheel/src/lib.rs
@@ -1,10 +1,10 @@
-//! A hierarchical timing wheel: alarms are set, cancelled and found due in a few steps each, however many
-//! there are.
+//! A hierarchical timer wheel: scheduling, cancelling and finding due timers take a few steps each, however many there
+//! are.
 //!
-//! Time is cut into ticks. Each level has 64 slots; a slot of the lowest level is one tick, one of the next
-//! as long as the whole level below. An alarm lies in the lowest level that still tells its tick from those
-//! before it, and sinks a level each time the level below comes round to it. It is due at the end of its
-//! tick, never before its time. Slots are lists through the entries, so that an alarm is taken out from
+//! Time is divided into ticks. Each level has 64 slots; a slot of the lowest level is one tick, a slot of any other
+//! level is as long as the whole level below. A timer is placed in the lowest level that still distinguishes its tick
+//! from the present one, and moves down a level each time the present tick reaches its slot. It is due at the end of
+//! its tick, never before its time. Slots are linked lists through the entries, so that a timer can be removed from
 //! anywhere.
 //!
 //! ```
@@ -23,14 +23,14 @@
 
 use std::time::Duration;
 
-/// Slots of a level, and the bits of a tick that choose one.
+/// Slots of a level, and the number of bits of a tick that select one.
 const SLOTS: usize = 64;
 const BITS: u32 = 6;
-/// With ticks of a quarter of a millisecond they reach for 74 hours; what is later waits in the last slot.
+/// With ticks of 250 microseconds the levels cover 74 hours; later timers wait in the last slot.
 const LEVELS: usize = 5;
 const NONE: u32 = u32::MAX;
 
-/// Names an alarm that was set. One that has rung or was cancelled names nothing any more.
+/// Identifies a scheduled timer. The key of a timer that has fired or was cancelled is no longer valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct TimerKey {
     index: u32,
@@ -39,7 +39,7 @@
 
 #[derive(Debug)]
 struct Entry<T> {
-    /// The tick at whose end it is due, or the next free entry.
+    /// The tick at whose end it is due.
     tick: u64,
     slot: u32,
     newer: u32,
@@ -48,23 +48,24 @@
     value: Option<T>,
 }
 
-/// Alarms by their time.
+/// Timers ordered by their time.
 #[derive(Debug)]
 pub struct TimerWheel<T> {
     tick: Duration,
-    /// All ticks up to this one are over.
+    /// The last tick that has passed.
     now: u64,
     entries: Vec<Entry<T>>,
     free: Vec<u32>,
     heads: Vec<u32>,
-    /// Which slots of a level hold anything.
+    /// Bit set of the occupied slots, for each level.
     occupied: [u64; LEVELS],
-    /// Taken from the wheel, and not given out yet.
+    /// Timers that are due and not yet returned.
     due: Vec<u32>,
     len: usize,
 }
 
 impl<T> TimerWheel<T> {
+    /// An empty wheel with ticks of this length.
     pub fn new(tick: Duration) -> TimerWheel<T> {
         TimerWheel {
             tick: tick.max(Duration::from_nanos(1)),
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Alarms that are set.
+    /// The number of scheduled timers.
     pub fn len(&self) -> usize {
         self.len
     }
@@ -87,8 +88,7 @@
         self.len == 0
     }
 
-    /// Sets an alarm: due once that time has come, at the latest a tick after. A time that is over is due at
-    /// once.
+    /// Schedules a timer. It is due once its time has come, at most one tick later; a time in the past is due at once.
     pub fn schedule(&mut self, at: Duration, value: T) -> TimerKey {
         let tick = at.as_nanos().div_ceil(self.tick.as_nanos());
         let tick = u64::try_from(tick).unwrap_or(u64::MAX).max(self.now + 1);
@@ -105,7 +105,7 @@
         TimerKey { index, generation }
     }
 
-    /// Takes an alarm out; `None` if it has rung or was cancelled before.
+    /// Cancels a timer; `None` if it has fired or was cancelled before.
     pub fn cancel(&mut self, key: TimerKey) -> Option<T> {
         let entry =
             self.entries.get(key.index as usize).filter(|entry| entry.generation == key.generation)?;
@@ -126,10 +126,10 @@
         entry.value.take()
     }
 
-    /// Puts an entry into the slot where its tick belongs, seen from now.
+    /// Links an entry into the slot for its tick, as seen from the present tick.
     fn place(&mut self, index: u32) {
         let tick = self.entries[index as usize].tick;
-        // The highest bit in which its tick differs from now says how far up it lies.
+        // The highest bit in which its tick differs from the present one gives the level.
         let differs = 63 - (tick ^ self.now).max(1).leading_zeros();
         let level = ((differs / BITS) as usize).min(LEVELS - 1);
         let reach = BITS * LEVELS as u32;
@@ -160,15 +160,14 @@
         self.entries[index as usize].slot = NONE;
     }
 
-    /// The next tick at which a slot has to be looked at: its alarms are due, or sink.
+    /// The next tick at which a slot has to be emptied: its timers are due, or move down a level.
     fn next_tick(&self) -> Option<u64> {
         let level = |level: usize| {
             let (shift, occupied) = (BITS * level as u32, self.occupied[level]);
             if occupied == 0 {
                 return None;
             }
-            // Slots lie behind the present one, those before it in the next round of a level that has no
-            // level above.
+            // Slots lie ahead of the present one; in the highest level, those before it belong to the next round.
             let here = (self.now >> shift) as u32 % SLOTS as u32;
             let ahead = occupied.rotate_right(here).trailing_zeros();
             let ahead = if ahead == 0 { SLOTS as u64 } else { u64::from(ahead) };
@@ -177,14 +176,14 @@
         (0..LEVELS).filter_map(level).min()
     }
 
-    /// The earliest time at which an alarm may be due; it may turn out to be none.
+    /// The earliest time at which a timer may be due; `pop_due` may find none then.
     pub fn next_due(&self) -> Option<Duration> {
         let tick = if self.due.is_empty() { self.next_tick()? } else { self.now };
         let nanos = u128::from(tick) * self.tick.as_nanos();
         Some(u64::try_from(nanos).map_or(Duration::MAX, Duration::from_nanos))
     }
 
-    /// One that is due; those of earlier ticks come first.
+    /// Returns a timer that is due; those of earlier ticks come first.
     pub fn pop_due(&mut self, now: Duration) -> Option<T> {
         let until = u64::try_from(now.as_nanos() / self.tick.as_nanos()).unwrap_or(u64::MAX);
         while self.due.is_empty() {
@@ -199,7 +198,8 @@
         self.release(index)
     }
 
-    /// Empties the slots that the present tick has come to: alarms are due, or sink to where they belong now.
+    /// Empties the slots that the present tick has reached: timers are due, or move down to the level where they belong
+    /// now.
     fn empty_slots(&mut self) {
         for level in (0..LEVELS).rev() {
             let shift = BITS * level as u32;
--- a/crates/wait-queue/src/heap.rs
+++ b/crates/wait-queue/src/heap.rs
@@ -1,12 +1,11 @@
-//! A heap of small indices by a key, from which any index can be taken out.
+//! A min-heap of small indices ordered by a key, from which any index can be removed.
 
-/// Four children to a node: as few levels as with two at half the depth, and all of a node's children lie
-/// beside each other in memory.
+/// Four children to a node give half the depth of a binary heap, and the children of a node are adjacent in memory.
 const ARITY: usize = 4;
 const ABSENT: u32 = u32::MAX;
 
-/// A min-heap that knows where each index stands: setting, changing and removing take steps in proportion to
-/// the depth.
+/// A min-heap that tracks the position of each index: setting, changing and removing take time in proportion to the
+/// depth.
 ///
 /// ```
 /// use juniperdock_wait_queue::Heap;
@@ -39,7 +38,7 @@
         self.nodes.is_empty()
     }
 
-    /// Puts an index in, or gives it another key.
+    /// Inserts an index, or changes its key.
     pub fn set(&mut self, index: u32, key: u64) {
         if self.at.len() <= index as usize {
             self.at.resize(index as usize + 1, ABSENT);
@@ -54,7 +53,7 @@
         self.sift_down(at);
     }
 
-    /// Takes an index out, if it is in.
+    /// Removes an index; returns whether it was present.
     pub fn remove(&mut self, index: u32) -> bool {
         let Some(at) = self.at.get_mut(index as usize).filter(|at| **at != ABSENT) else { return false };
         let at = std::mem::replace(at, ABSENT) as usize;
--- a/crates/wait-queue/src/lib.rs
+++ b/crates/wait-queue/src/lib.rs
@@ -1,27 +1,28 @@
-//! Txns that wait for a member: by group, by value, by the time at which they are given up. No input or
-//! output, and no choice: the caller says in which order types go, and who gives way.
+//! Txns that wait for a member, by group, by value and by the time at which they are given up. No I/O, and no
+//! decisions: the caller chooses the order of types and which txn is removed when a limit is reached.
 //!
-//! Each group has a queue for each *rank* (a txn type, first tries and later tries of clients apart, and what
-//! has been sent before apart: those are few and come back in any order), newest first. A queue is a list
-//! through the entries themselves, so that an entry is put in, taken out from anywhere and found at either
-//! end in a few steps, however many wait. Two heaps of all entries find those whose time is over: one by a
-//! *soft* time, which moves with how long the type takes of late (one heap a type), one by a *hard* time.
+//! Each group has one queue for each [`QueueKey`], newest first. A key is a txn type; first tries of clients are kept
+//! apart from retries, and txns that have been submitted before from those that have not, because the former are few
+//! and return in any order. A queue is a linked list through the entries, so that inserting, removing from anywhere and
+//! reading either end take constant time, however many wait. Heaps over all entries find those that have expired: one
+//! for each type by its *soft* deadline, which takes the type's recent answer time into account, and one by the *hard*
+//! deadline.
 //!
 //! ```
-//! use juniperdock_wait_queue::{WaitQueue, WaitLimits, QueueKey, WaitingTxn};
+//! use juniperdock_wait_queue::{QueueKey, WaitLimits, WaitQueue, WaitingTxn};
 //! use std::time::Duration;
 //!
 //! let ms = Duration::from_millis;
 //! let limits = WaitLimits { per_group: 10, total: 100, bytes_per_group: 1000, total_bytes: 10_000 };
 //! let mut queue = WaitQueue::new(2, limits);
 //! let wait = |txn, kind| WaitingTxn {
-//!     txn, group: 4, kind, retried: false, submitted: false, arrived: ms(txn as u64),
-//!     soft_deadline: ms(500), hard_deadline: ms(900), bytes: 40,
+//!     txn, group: 4, kind, retried: false, submitted: false, arrived: ms(txn as u64), soft_deadline: ms(500),
+//!     hard_deadline: ms(900), bytes: 40,
 //! };
 //! queue.insert(wait(0, 1)).unwrap();
 //! queue.insert(wait(1, 1)).unwrap();
 //! assert_eq!(queue.newest(QueueKey { kind: 1, retried: false, submitted: false }, 4), Some(1));
-//! // Type 1 takes 100 ms of late: what has to end by 500 ms is hopeless from 400 ms on.
+//! // Type 1 recently took 100 ms, so a txn with a soft deadline of 500 ms has expired from 400 ms on.
 //! let takes = |kind| [ms(0), ms(100)][kind];
 //! assert_eq!(queue.next_expired(ms(399), takes), None);
 //! assert_eq!(queue.next_expired(ms(400), takes), Some(0));
@@ -35,7 +36,7 @@
 
 const NONE: u32 = u32::MAX;
 
-/// What waits.
+/// A txn that waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WaitingTxn {
     pub txn: usize,
@@ -44,17 +45,17 @@
     pub kind: usize,
     /// Its client has tried before.
     pub retried: bool,
-    /// It has been sent before.
+    /// It has been submitted to a member before.
     pub submitted: bool,
     pub arrived: Duration,
-    /// When its answer has to be there to be worth anything.
+    /// The time by which its answer has to arrive to be of any value.
     pub soft_deadline: Duration,
-    /// When it is given up, however quick members are.
+    /// The time at which it is given up, however fast members are.
     pub hard_deadline: Duration,
     pub bytes: usize,
 }
 
-/// How much may wait. The limits of one group keep it from taking all there is.
+/// Limits on what may wait. Those of one group keep it from using up the total.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WaitLimits {
     pub per_group: usize,
@@ -63,7 +64,7 @@
     pub total_bytes: usize,
 }
 
-/// Which limit leaves no room.
+/// The limit that was reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueFull {
     Group,
@@ -73,7 +74,7 @@
 #[derive(Clone, Debug)]
 struct Entry {
     wait: WaitingTxn,
-    /// Its queue in the pool, and its neighbours there: newer and older.
+    /// The index of its group's queues in the pool, and its neighbours in its queue.
     pool: u32,
     newer: u32,
     older: u32,
@@ -88,7 +89,7 @@
 
 const EMPTY: Queue = Queue { newest: NONE, oldest: NONE, len: 0 };
 
-/// What shares a queue.
+/// Txns with the same key share a queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueKey {
     pub kind: usize,
@@ -105,12 +106,13 @@
 }
 
 impl WaitingTxn {
+    /// The queue in which it waits.
     pub fn key(&self) -> QueueKey {
         QueueKey { kind: self.kind, retried: self.retried, submitted: self.submitted }
     }
 }
 
-/// A group's queues, one for each rank.
+/// The queues of a group, one for each key.
 #[derive(Clone, Debug)]
 struct GroupQueues {
     group: usize,
@@ -119,19 +121,19 @@
     bytes: usize,
 }
 
-/// The store. Txns and groups are small indices; groups without a waiting txn take no memory.
+/// The queues of all groups. Txns and groups are small indices; groups without a waiting txn take no memory.
 #[derive(Clone, Debug)]
 pub struct WaitQueue {
     kinds: usize,
     limits: WaitLimits,
     entries: Vec<Option<Entry>>,
     pool: Vec<GroupQueues>,
-    /// Places in the pool that are free, and which one a group has.
+    /// Unused entries of the pool, and the entry of each group.
     free: Vec<u32>,
     of_group: BTreeMap<usize, u32>,
     soft: Vec<Heap>,
     hard: Heap,
-    /// Groups by how much waits there.
+    /// Groups by the number of waiting txns.
     fullest: Heap,
     len: usize,
     bytes: usize,
@@ -142,6 +144,7 @@
 }
 
 impl WaitQueue {
+    /// An empty queue for `kinds` txn types.
     pub fn new(kinds: usize, limits: WaitLimits) -> WaitQueue {
         WaitQueue {
             kinds,
@@ -158,7 +161,7 @@
         }
     }
 
-    /// Other limits from now on; what waits already stays.
+    /// Changes the limits; txns that wait already stay.
     pub fn set_limits(&mut self, limits: WaitLimits) {
         self.limits = limits;
     }
@@ -167,7 +170,7 @@
         self.of_group.get(&group).map(|&at| &self.pool[at as usize])
     }
 
-    /// Whether one more of that size may wait in a group.
+    /// Whether one more txn of this size may wait in a group.
     pub fn check_limits(&self, group: usize, bytes: usize) -> Result<(), QueueFull> {
         let (len, of_group) = self.queues(group).map_or((0, 0), |queues| (queues.len, queues.bytes));
         if len >= self.limits.per_group || of_group + bytes > self.limits.bytes_per_group {
@@ -179,16 +182,16 @@
         Ok(())
     }
 
-    /// Puts a txn in, newest of its rank or where its arrival belongs; it is not given up yet for its time.
-    /// The error says which limit leaves no room; then nothing has changed.
+    /// Inserts a txn by its arrival time. It is not checked for expiry. On an error, which names the limit that was
+    /// reached, nothing has changed.
     pub fn insert(&mut self, wait: WaitingTxn) -> Result<(), QueueFull> {
         self.check_limits(wait.group, wait.bytes)?;
         self.remove(wait.txn);
         let at = self.slot_of(wait.group);
         let key = wait.key().index();
         let queue = self.pool[at as usize].of[key];
-        // What is new is the newest; one that was sent before looks for its place from that end, among its
-        // like.
+        // A new txn is the newest of its queue; one that was submitted before is inserted by its arrival time, searched
+        // for from the newest end.
         let (mut newer, mut older) = (NONE, queue.newest);
         while let Some(next) = self.entry(older).filter(|next| next.wait.arrived > wait.arrived) {
             (newer, older) = (older, next.older);
@@ -212,7 +215,7 @@
         Ok(())
     }
 
-    /// Makes `to` the neighbour of `of` on its older or newer side, or the end of the queue.
+    /// Makes `to` the older or newer neighbour of `of`, or the end of the queue if `of` is none.
     fn link(&mut self, at: u32, key: usize, of: u32, to: u32, older: bool) {
         let link = match self.entries.get_mut(of as usize).and_then(Option::as_mut) {
             Some(entry) if older => &mut entry.older,
@@ -237,7 +240,7 @@
         at
     }
 
-    /// Notes how full a group is; one without a txn gives its place back.
+    /// Updates the group's place in `fullest`; a group without a waiting txn frees its entry of the pool.
     fn update_fullest(&mut self, at: u32) {
         let queues = &self.pool[at as usize];
         if queues.len > 0 {
@@ -249,7 +252,7 @@
         self.free.push(at);
     }
 
-    /// Takes a txn out, wherever it stands; gives what waited.
+    /// Removes a txn from anywhere in its queue and returns it.
     pub fn remove(&mut self, txn: usize) -> Option<WaitingTxn> {
         let entry = self.entries.get_mut(txn)?.take()?;
         let Entry { wait, pool, newer, older } = entry;
@@ -268,7 +271,7 @@
         Some(wait)
     }
 
-    /// Gives a txn that waits other times.
+    /// Changes the deadlines of a waiting txn.
     pub fn set_deadlines(&mut self, txn: usize, soft: Duration, hard: Duration) {
         if let Some(Some(entry)) = self.entries.get_mut(txn) {
             (entry.wait.soft_deadline, entry.wait.hard_deadline) = (soft, hard);
@@ -281,11 +284,12 @@
         self.entries.get(txn as usize)?.as_ref()
     }
 
+    /// The entry of a waiting txn.
     pub fn get(&self, txn: usize) -> Option<&WaitingTxn> {
         self.entries.get(txn)?.as_ref().map(|entry| &entry.wait)
     }
 
-    /// How many wait in a group, in all, or of a rank.
+    /// The number of txns that wait in a group.
     pub fn len(&self, group: usize) -> usize {
         self.queues(group).map_or(0, |queues| queues.len)
     }
@@ -294,23 +298,27 @@
         self.len(group) == 0
     }
 
+    /// The number of all waiting txns.
     pub fn total(&self) -> usize {
         self.len
     }
 
+    /// The size of all waiting txns in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// How many of a rank wait in a group.
+    /// The number of txns with this key that wait in a group.
     pub fn len_of_key(&self, key: QueueKey, group: usize) -> usize {
         self.queues(group).map_or(0, |queues| queues.of[key.index()].len as usize)
     }
 
+    /// The newest txn with this key in a group.
     pub fn newest(&self, key: QueueKey, group: usize) -> Option<usize> {
         self.end(key, group, |queue| queue.newest)
     }
 
+    /// The oldest txn with this key in a group.
     pub fn oldest(&self, key: QueueKey, group: usize) -> Option<usize> {
         self.end(key, group, |queue| queue.oldest)
     }
@@ -320,14 +328,14 @@
         (end != NONE).then_some(end as usize)
     }
 
-    /// The next older one of the same rank.
+    /// The next older txn in the same queue.
     pub fn older(&self, txn: usize) -> Option<usize> {
         let older = self.entry(txn as u32)?.older;
         (older != NONE).then_some(older as usize)
     }
 
-    /// One whose time is over: its hard time, or its soft time less what its type takes (`takes`, by type).
-    /// It stays until it is removed.
+    /// A txn that has passed its hard deadline, or its soft deadline less the time that its type takes (`takes`, by
+    /// type). It stays in the queue until it is removed.
     pub fn next_expired(&self, now: Duration, takes: impl Fn(usize) -> Duration) -> Option<usize> {
         let over = |heap: &Heap, lead: Duration| {
             let (key, txn) = heap.first()?;
@@ -337,7 +345,7 @@
             .or_else(|| self.soft.iter().enumerate().find_map(|(kind, heap)| over(heap, takes(kind))))
     }
 
-    /// The group where most wait.
+    /// The group with the most waiting txns.
     pub fn fullest(&self) -> Option<usize> {
         self.fullest.first().map(|(_, at)| self.pool[at as usize].group)
     }
