--- a/crates/pipeline/tests/pipeline.rs
+++ b/crates/pipeline/tests/pipeline.rs
@@ -1,4 +1,4 @@
-//! The pipeline as its users see it: order, bounds, deadlines, and a random history against a plain model.
+//! Order, limits and deadlines of the pipeline, and a random sequence compared with a plain model.
 
 use juniperdock_pipeline::{ArrivalTimes, Limits, Overdue, Pipeline, Reply, Request, Start};
 use proptest::prelude::*;
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn requests_begin_at_once_and_answers_leave_in_order() {
+fn requests_start_at_once_and_answers_are_sent_in_order() {
     let mut pipeline = pipeline(&[read(1, 7), read(2, 7), write(3, 8)]);
     assert_eq!(starts(&mut pipeline), [1, 2, 3]);
     assert!(pipeline.answer(ms(1), 3, vec![3]) && pipeline.answer(ms(1), 2, vec![2]));
@@ -44,7 +44,7 @@
     let answer = |byte| Reply::Answer(vec![byte]);
     assert_eq!(replies(&mut pipeline), [answer(1), answer(2), answer(3)]);
     assert!(pipeline.is_empty() && pipeline.answer_bytes() == 0);
-    assert!(!pipeline.answer(ms(3), 1, vec![1]), "one answer each");
+    assert!(!pipeline.answer(ms(3), 1, vec![1]), "each request is answered once");
 }
 
 #[test]
@@ -53,17 +53,21 @@
     assert_eq!(starts(&mut pipeline), [1, 4]);
     assert!(pipeline.answer(ms(5), 1, vec![]));
     assert_eq!(pipeline.start(), Some(Start { payload: 2, write_answered: Some(ms(5)) }));
-    assert_eq!(pipeline.start(), Some(Start { payload: 3, write_answered: Some(ms(5)) }), "beside a read");
+    assert_eq!(
+        pipeline.start(),
+        Some(Start { payload: 3, write_answered: Some(ms(5)) }),
+        "a write may start beside a read"
+    );
 }
 
 #[test]
-fn so_many_begin_at_once_and_the_others_wait_for_their_end() {
+fn requests_beyond_the_limit_of_started_ones_wait() {
     let all: Vec<Request> = (1..=7).map(|id| read(id, id)).collect();
     let mut pipeline = pipeline(&all);
     assert_eq!(starts(&mut pipeline), [1, 2, 3, 4]);
     assert!(pipeline.answer(ms(1), 3, vec![0]));
     assert_eq!(starts(&mut pipeline), [5]);
-    // While much waits behind a slow one nothing but the oldest begins.
+    // While many bytes of answers wait behind a slow one, only the oldest request may start.
     assert!(pipeline.answer(ms(1), 2, vec![0; 60]));
     assert_eq!((starts(&mut pipeline), pipeline.answer_bytes()), (vec![], 61));
     assert!(pipeline.answer(ms(2), 1, vec![0]));
@@ -73,11 +77,11 @@
     assert_eq!(starts(&mut pipeline), [1, 3]);
     assert!(pipeline.answer(ms(1), 3, vec![0; 60]) && pipeline.answer(ms(1), 1, vec![0]));
     assert_eq!(replies(&mut pipeline).len(), 1);
-    assert_eq!(starts(&mut pipeline), [2], "the oldest, however much waits behind it");
+    assert_eq!(starts(&mut pipeline), [2], "the oldest may start, however much waits behind it");
 }
 
 #[test]
-fn what_is_over_the_limits_is_refused_in_its_turn_and_takes_no_memory() {
+fn requests_over_the_limits_are_refused_in_order_and_take_no_memory() {
     let all: Vec<Request> = (0..10).map(|id| read(id, 7)).collect();
     let mut pipeline = pipeline(&all);
     for id in 10..100_000 {
@@ -92,7 +96,7 @@
 }
 
 #[test]
-fn a_single_request_always_fits() {
+fn a_single_request_is_never_over_the_limits() {
     let long = |id| Request { bytes: 5000, ..read(id, 7) };
     let mut pipeline = Pipeline::new(LIMITS);
     assert_eq!(pipeline.push(long(1), 1), Ok(()));
@@ -103,7 +107,7 @@
 }
 
 #[test]
-fn each_is_overdue_in_its_own_time_wherever_it_stands() {
+fn each_request_is_overdue_at_its_own_time_whatever_its_place() {
     let late = Request { deadline: ms(50), ..read(2, 7) };
     let mut pipeline = pipeline(&[write(1, 7), late, read(3, 8)]);
     assert_eq!(starts(&mut pipeline), [1, 3]);
@@ -117,14 +121,14 @@
 }
 
 #[test]
-fn bytes_are_dated_by_when_they_came_however_late_they_are_taken() {
+fn arrival_times_do_not_depend_on_when_bytes_are_consumed() {
     let mut times = ArrivalTimes::default();
     times.received(10, ms(1));
     times.received(0, ms(2));
     times.received(10, ms(3));
     assert_eq!(times.arrival_of_next(5), Some(ms(1)));
     times.consume(5);
-    assert_eq!(times.arrival_of_next(10), Some(ms(3)), "it was whole then");
+    assert_eq!(times.arrival_of_next(10), Some(ms(3)), "the last byte arrived then");
     times.consume(10);
     assert_eq!(times.arrival_of_next(5), Some(ms(3)));
     times.consume(5);
@@ -154,10 +158,10 @@
 }
 
 proptest! {
-    /// Whatever happens in whatever order: every command gets one reply, in its turn; a request begins at most once,
-    /// and only after the writes of its session that stood before it have their answers.
+    /// For any sequence of events, every command gets one reply, in order; a request starts at most once, and only
+    /// after the earlier writes of its session are answered.
     #[test]
-    fn every_command_gets_one_reply_in_its_turn(steps in prop::collection::vec(step(), 1..200)) {
+    fn every_command_gets_one_reply_in_order(steps in prop::collection::vec(step(), 1..200)) {
         let mut pipeline = Pipeline::new(LIMITS);
         let (mut wanted, mut got) = (Vec::new(), Vec::new());
         let (mut unanswered, mut started): (Vec<Request>, Vec<u64>) = (Vec::new(), Vec::new());
--- a/crates/request-guard/tests/guard.rs
+++ b/crates/request-guard/tests/guard.rs
@@ -1,4 +1,4 @@
-//! What the guard lets through, and what it counts.
+//! What the guard permits, and what it counts.
 
 use juniperdock_request_guard::{
     ClientPresence, EndedBy, Invariants, Outstanding, RequestGuard, Violation, Withheld,
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn an_attempt_is_written_once_and_only_while_its_reasons_hold() {
+fn an_attempt_is_written_once_and_only_while_its_permit_is_valid() {
     let (request, _client, _) = request(ms(500));
     let permit = request.permit(ms(300));
     assert_eq!(permit.check(ms(299)), Ok(()));
@@ -38,11 +38,11 @@
 }
 
 #[test]
-fn a_client_that_left_a_moment_ago_is_seen_by_the_last_look() {
+fn a_client_that_just_left_is_noticed_right_before_writing() {
     let (request, client, _) = request(ms(500));
     let permit = request.permit(ms(500));
     client.0.store(true, Ordering::Relaxed);
-    assert_eq!(permit.check(ms(1)), Ok(()), "as far as is known");
+    assert_eq!(permit.check(ms(1)), Ok(()), "it has not been noticed yet");
     assert_eq!(permit.consume(ms(1)), Err(Withheld::ClientLeft));
     assert_eq!(permit.may_continue(ms(1)), Err(Withheld::ClientLeft));
 }
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn what_was_done_all_the_same_is_counted() {
+fn violations_are_counted() {
     let (request, _client, invariants) = request(ms(500));
     let permit = request.permit(ms(500));
     permit.record_written(ms(499));
@@ -71,11 +71,11 @@
     permit.record_written(ms(700));
     request.abandon();
     permit.record_written(ms(10));
-    let owed = Outstanding { unanswered: 1, unsent: 2, half_read: 3 };
-    owed.record_violations(EndedBy::Client, &invariants);
+    let outstanding = Outstanding { unanswered: 1, unsent: 2, half_read: 3 };
+    outstanding.record_violations(EndedBy::Client, &invariants);
     assert_eq!(invariants.total(), 2);
-    owed.record_violations(EndedBy::ProcessWithError, &invariants);
-    owed.record_violations(EndedBy::Process, &invariants);
+    outstanding.record_violations(EndedBy::ProcessWithError, &invariants);
+    outstanding.record_violations(EndedBy::Process, &invariants);
     Outstanding::default().record_violations(EndedBy::Process, &invariants);
     assert_eq!(
         invariants.to_string(),
--- a/crates/server-list/tests/backoff.rs
+++ b/crates/server-list/tests/backoff.rs
@@ -1,17 +1,17 @@
-//! Fronts that have all lost their watches call a discovery that can serve one call of each of them in some seconds.
+//! Fronts that have all lost their watches call a discovery service that needs some seconds to serve one call of each.
 
 use juniperdock_server_list::Backoff;
 use oorandom::Rand64;
 use std::time::Duration;
 
 const FRONTS: usize = 32;
-/// One call of every front takes discovery so long.
+/// How long discovery needs for one call of every front.
 const ALL_CALLS: Duration = Duration::from_secs(8);
-/// It refuses a call that it could not answer in this time, for a part of the work of an answer.
+/// It refuses a call that it could not answer within this time; a refusal costs a fraction of an answer.
 const MAX_QUEUE: Duration = Duration::from_secs(2);
 const REFUSAL_PART: u32 = 5;
 
-/// How many fronts have been answered by then, each calling again after what `wait` says.
+/// How many fronts are served by then, if each retries after the time that `wait` returns.
 fn served(seed: u64, until: Duration, mut wait: impl FnMut(usize) -> Duration) -> usize {
     let cost = ALL_CALLS / FRONTS as u32;
     let mut random = Rand64::new(u128::from(seed));
@@ -34,13 +34,13 @@
 }
 
 #[test]
-fn waits_that_grow_let_an_overloaded_discovery_serve_all() {
+fn growing_waits_let_an_overloaded_discovery_serve_all_fronts() {
     for seed in 0..20 {
         let mut backoffs: Vec<Backoff> =
             (0..FRONTS as u64).map(|front| Backoff::new(seed * 100 + front)).collect();
         let with = served(seed, Duration::from_secs(40), |front| backoffs[front].next_wait());
         assert_eq!(with, FRONTS, "seed {seed}");
-        // Some times a second, as after any other failure, keeps it busy with refusals for good.
+        // Several retries a second, as after any other failure, keep it busy with refusals for good.
         let mut random = Rand64::new(u128::from(seed));
         let without = served(seed, Duration::from_secs(40), |_| {
             Duration::from_millis(250).mul_f64(random.rand_float())
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn waits_are_bounded_and_start_anew_after_an_answer() {
+fn waits_are_bounded_and_reset_after_an_answer() {
     let mut backoff = Backoff::new(7);
     let waits: Vec<Duration> = (0..20).map(|_| backoff.next_wait()).collect();
     assert!(waits[0] <= Duration::from_millis(500) && waits[0] >= Duration::from_millis(250));
--- a/crates/server-list/tests/server_list.rs
+++ b/crates/server-list/tests/server_list.rs
@@ -1,4 +1,4 @@
-//! Lists, what they change, which of them count, and the pace of probes.
+//! Lists, the changes that they make, which of them are accepted, and the rate of probes.
 
 use juniperdock_server_list::{
     KnownServer, ProbeLimits, ProbeQueue, ServerList, ServerState, ServerTable, Update, Versions,
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn entries_are_typed_and_what_is_wrong_is_named() {
+fn entries_are_typed_and_errors_show_where() {
     let text = r#"{"version":4,"full":true,"servers":[
         {"id":"m","addr":"127.0.0.1:5","zone":"a","cell":3,"state":"up","role":"leader","started_ms":7},
         {"id":"n","addr":"127.0.0.1:6","cell":3,"state":"draining","started_ms":0,"role":null}]}"#;
@@ -46,22 +46,30 @@
 }
 
 #[test]
-fn changes_of_a_version_that_goes_back_are_not_lost() {
+fn changes_are_accepted_after_versions_go_back() {
     let mut versions = Versions::new(Some(7));
     let some = |ids: &[&str]| Some(ids.iter().map(|id| (*id).to_owned()).collect::<Vec<_>>());
-    assert_eq!(ids(versions.accept(1, change(7, false, &[("known", "up")]))), None, "known before");
+    assert_eq!(ids(versions.accept(1, change(7, false, &[("known", "up")]))), None, "known already");
     assert_eq!(ids(versions.accept(1, change(8, false, &[("a", "up")]))), some(&["a"]));
-    // Discovery has gone back: what the same watch goes on to tell is news.
+    // Discovery was reset to an earlier version: further lists of the same watch are accepted.
     let back = change(3, false, &[("b", "up"), ("c", "draining")]);
     assert_eq!(ids(versions.accept(1, back)), some(&["b", "c"]));
     assert_eq!(ids(versions.accept(1, change(9, false, &[]))), some(&[]));
-    // A later watch that is behind takes servers out of use, and brings none back.
+    // A new watch that is behind takes servers out of use, and brings none back.
     let behind = change(8, false, &[("a", "up"), ("d", "draining"), ("e", "removed")]);
     assert_eq!(ids(versions.accept(2, behind)), some(&["d", "e"]));
     assert_eq!(versions.known(), Some(9));
-    assert_eq!(ids(versions.accept(2, change(9, false, &[("g", "up")]))), None, "known from the one before");
+    assert_eq!(
+        ids(versions.accept(2, change(9, false, &[("g", "up")]))),
+        None,
+        "known from the previous watch"
+    );
     assert_eq!(ids(versions.accept(2, change(10, false, &[("f", "up")]))), some(&["f"]));
-    assert_eq!(ids(versions.accept(2, change(2, true, &[("a", "up")]))), some(&["a"]), "a whole list counts");
+    assert_eq!(
+        ids(versions.accept(2, change(2, true, &[("a", "up")]))),
+        some(&["a"]),
+        "a full list is accepted"
+    );
     assert_eq!(versions.known(), Some(2));
 }
 
@@ -71,7 +79,7 @@
 }
 
 #[test]
-fn a_table_tells_what_a_list_changes() {
+fn the_table_reports_what_a_list_changes() {
     let mut table = ServerTable::default();
     let all = Update { changed: true, moved: true, state_changed: true };
     assert_eq!(table.update(2, known(5, ServerState::Up)), all);
@@ -84,7 +92,7 @@
     assert_eq!(table.update(2, known(6, ServerState::Draining)), drains);
     table.update(0, known(7, ServerState::Up));
     assert_eq!(table.remove_unnamed(&[2]), [0]);
-    assert_eq!(table.remove_unnamed(&[2]), [0_usize; 0], "it is told once");
+    assert_eq!(table.remove_unnamed(&[2]), [0_usize; 0], "a removal is reported once");
     assert_eq!(
         table.known().map(|(at, server)| (at, server.state)).collect::<Vec<_>>(),
         [(0, ServerState::Removed), (2, ServerState::Draining)]
@@ -100,7 +108,7 @@
     std::iter::from_fn(|| queue.next(now)).collect()
 }
 
-/// Starts all that may start until then; each probe ends at once.
+/// Starts all probes that may start until then; each ends at once.
 fn run(queue: &mut ProbeQueue, until: Duration) -> Vec<(Duration, usize)> {
     let (mut now, mut all) = (Duration::ZERO, Vec::new());
     while now < until {
@@ -115,14 +123,14 @@
 }
 
 #[test]
-fn a_change_of_everything_is_probed_at_a_rate() {
+fn after_a_change_of_all_servers_probes_are_rate_limited() {
     let mut queue = ProbeQueue::new(7, WIDE);
     (0..20_000).for_each(|server| queue.request(ms(0), server, server / 3, false));
     assert_eq!(queue.queued(), 20_000);
     let started = run(&mut queue, Duration::from_secs(20));
-    // A burst, then 8 a second, whatever their number.
+    // A burst, then 8 a second, whatever the number of servers.
     assert!((250..330).contains(&started.len()), "{}", started.len());
-    // Groups take turns: none is probed twice before all had one.
+    // Round-robin: no group is probed twice before all were probed once.
     let mut groups: Vec<usize> = started.iter().map(|(_, server)| server / 3).collect();
     groups.sort_unstable();
     groups.dedup();
@@ -130,17 +138,17 @@
 }
 
 #[test]
-fn what_transactions_wait_for_is_probed_at_once_and_starves_nobody() {
+fn groups_with_waiting_transactions_are_probed_at_once_without_starving_others() {
     let mut queue = ProbeQueue::new(7, WIDE);
     (0..20_000).for_each(|server| queue.request(ms(0), server, server / 3, false));
     run(&mut queue, Duration::from_secs(1));
     let now = Duration::from_secs(1);
-    // One that was queued far behind, and one that is asked for now.
+    // One group that is queued far behind, and one that is requested now.
     queue.used(now, 5000, true);
     queue.request(now, 60_000, 20_000, true);
     let first: Vec<usize> = starts(&mut queue, now).into_iter().take(4).collect();
     assert!(first.contains(&60_000) && (15_000..15_003).all(|server| first.contains(&server)), "{first:?}");
-    // Groups in use have a budget of their own beside those that are not.
+    // Groups in use have their own budget beside those that are not.
     (6000..6600).for_each(|group| queue.used(now, group, false));
     let started = run(&mut queue, Duration::from_secs(4));
     let used = started.iter().filter(|(_, server)| (18_000..19_800).contains(server)).count();
@@ -149,14 +157,14 @@
 }
 
 #[test]
-fn probes_out_are_bounded_and_one_is_not_wanted_twice() {
+fn probes_in_flight_are_limited_and_not_requested_twice() {
     let mut queue = ProbeQueue::new(7, ProbeLimits { background: 4, all: 6 });
     (0..50).for_each(|server| queue.request(ms(0), server, server, false));
     (0..50).for_each(|server| queue.request(ms(0), server, server, false));
     assert_eq!(starts(&mut queue, ms(0)), [0, 1, 2, 3]);
-    assert_eq!((queue.queued(), queue.next_at()), (46, None), "one has to end first");
+    assert_eq!((queue.queued(), queue.next_at()), (46, None), "a probe must end first");
     (100..110).for_each(|server| queue.request(ms(0), server, server, true));
-    assert_eq!(starts(&mut queue, ms(0)), [100, 101], "what is waited for has room of its own");
+    assert_eq!(starts(&mut queue, ms(0)), [100, 101], "demanded probes have a higher limit");
     (0..3).for_each(|server| queue.ended(server));
     queue.ended(49);
     assert_eq!(starts(&mut queue, ms(0)), [102, 103, 104]);
@@ -164,12 +172,12 @@
 }
 
 proptest! {
-    /// Whatever is asked for in whatever order: each probe wanted starts once, and the bounds hold.
+    /// For any sequence of events, each requested probe starts once, and the limits hold.
     #[test]
-    fn each_probe_that_is_wanted_starts_once(steps in prop::collection::vec((0..40usize, 0..4u8), 1..300), seed: u64) {
+    fn each_requested_probe_starts_once(steps in prop::collection::vec((0..40usize, 0..4u8), 1..300), seed: u64) {
         let limits = ProbeLimits { background: 5, all: 8 };
         let mut queue = ProbeQueue::new(seed, limits);
-        let (mut wanted, mut out) = (std::collections::BTreeSet::new(), Vec::new());
+        let (mut requested, mut out) = (std::collections::BTreeSet::new(), Vec::new());
         let mut now = Duration::ZERO;
         for (server, step) in steps {
             now += ms(3);
@@ -177,7 +185,7 @@
                 0 | 1 => {
                     queue.request(now, server, server / 4, step == 1);
                     if !out.contains(&server) {
-                        wanted.insert(server);
+                        requested.insert(server);
                     }
                 }
                 2 => queue.used(now, server / 4, server % 2 == 0),
@@ -188,21 +196,21 @@
                 }
             }
             if let Some(server) = queue.next(now) {
-                prop_assert!(wanted.remove(&server));
+                prop_assert!(requested.remove(&server));
                 out.push(server);
             }
             prop_assert!(out.len() <= limits.all);
-            prop_assert_eq!(queue.queued(), wanted.len());
+            prop_assert_eq!(queue.queued(), requested.len());
         }
-        // In the end all that was wanted has started.
+        // In the end all requested probes have started.
         for _ in 0..10_000 {
             out.drain(..).for_each(|server| queue.ended(server));
             now += ms(50);
             while let Some(server) = queue.next(now) {
-                prop_assert!(wanted.remove(&server));
+                prop_assert!(requested.remove(&server));
                 out.push(server);
             }
         }
-        prop_assert!(wanted.is_empty(), "{:?}", wanted);
+        prop_assert!(requested.is_empty(), "{:?}", requested);
     }
 }
--- a/crates/timer-wheel/benches/timer_wheel.rs
+++ b/crates/timer-wheel/benches/timer_wheel.rs
@@ -1,5 +1,5 @@
-//! The wheel beside a heap in which what is over stays until its time, as the front's clock had: one txn sets
-//! two alarms, one of which rings and one of which is no longer wanted.
+//! Compares the wheel with a heap in which cancelled timers stay until their time, as the front's clock used before.
+//! One txn schedules two timers, of which one fires and one is cancelled.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use juniperdock_timer_wheel::TimerWheel;
@@ -13,13 +13,13 @@
 }
 
 fn txns(c: &mut Criterion) {
-    let mut all = c.benchmark_group("a txn's alarms");
+    let mut all = c.benchmark_group("timers of a txn");
     all.sample_size(10)
         .warm_up_time(Duration::from_millis(300))
         .measurement_time(Duration::from_millis(1500));
     for pending in [1_000u64, 100_000] {
         let mut rng = oorandom::Rand64::new(7);
-        // Each lives a second; so many are set in one.
+        // Each timer lasts a second; this many are scheduled in that time.
         let step = 1_000_000 / pending;
         let (mut wheel, mut now) = (TimerWheel::new(us(250)), 0);
         for i in 0..pending {
--- a/crates/timer-wheel/tests/model.rs
+++ b/crates/timer-wheel/tests/model.rs
@@ -1,4 +1,4 @@
-//! The wheel beside a sorted list, on random histories over all its levels.
+//! Compares the wheel with a plain list, on random sequences of operations that reach all its levels.
 
 use juniperdock_timer_wheel::{TimerKey, TimerWheel};
 use proptest::prelude::*;
@@ -14,7 +14,7 @@
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn none_rings_early_or_over_a_tick_late_and_none_is_lost(
+    fn timers_fire_once_neither_early_nor_more_than_a_tick_late(
         steps in proptest::collection::vec((0..4u8, 0..34u32, 0..1000u64, any::<prop::sample::Index>()), 1..200),
     ) {
         let mut wheel = TimerWheel::new(us(TICK));
@@ -30,7 +30,7 @@
                     prop_assert_eq!(wheel.cancel(key), None);
                 }
                 _ => {
-                    // To the next time that the wheel names, or so far.
+                    // Advances to the next time that the wheel gives, or by the drawn span.
                     let next = wheel.next_due().map(|at| at.as_micros() as u64);
                     now = if power % 2 == 0 { next.unwrap_or(now).max(now) } else { now + span };
                     let mut fired = Vec::new();
@@ -48,7 +48,7 @@
             }
             prop_assert_eq!(wheel.len(), reference.len());
             if let Some(first) = reference.iter().map(|&(at, ..)| at).min() {
-                let next = wheel.next_due().expect("alarms are set").as_micros() as u64;
+                let next = wheel.next_due().expect("timers are scheduled").as_micros() as u64;
                 prop_assert!(next <= (first.max(now) + 2 * TICK), "{next} is after {first}");
             }
         }
--- a/crates/wait-queue/benches/wait_queue.rs
+++ b/crates/wait-queue/benches/wait_queue.rs
@@ -1,6 +1,7 @@
-//! The store beside plain ones, with so many txns held in one vacant group: what one arrival costs, one
-//! client that leaves, a look for what is to be given up, and letting go of the best one. Plain: a list that
-//! is walked and sorted as the router did before; and ordered trees from the standard library.
+//! Compares the queue with two simpler stores while many txns wait in one group without a primary. Measured are an
+//! arrival, a client that leaves, a search for an expired txn, and the release of the most valuable one. The simpler
+//! stores are a list that is scanned and sorted, as the router used before, and ordered trees from the standard
+//! library.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use juniperdock_wait_queue::{QueueKey, WaitLimits, WaitQueue, WaitingTxn};
@@ -31,7 +32,7 @@
     }
 }
 
-/// The order in which txns are let go.
+/// The order in which txns are released.
 fn release_order(w: &WaitingTxn) -> (usize, bool, std::cmp::Reverse<Duration>, usize) {
     (w.kind, w.retried, std::cmp::Reverse(w.arrived), w.txn)
 }
@@ -59,7 +60,7 @@
     }
 }
 
-/// As the router held them before: walked for what is over, sorted for what is best.
+/// What the router used before: scanned for expired txns, sorted for the most valuable one.
 #[derive(Default)]
 struct List(Vec<WaitingTxn>);
 
@@ -109,7 +110,8 @@
     }
 }
 
-/// One event of each kind: an arrival, a client that leaves, a look at the times, and one that is let go.
+/// One event of each kind: an arrival, a search for an expired txn, a client that leaves, and a look at the most
+/// valuable txn.
 fn events(store: &mut impl Store, next: &mut usize, rng: &mut oorandom::Rand32, count: usize) {
     let new = wait(*next % (2 * count), *next, rng);
     store.put(new);
@@ -135,7 +137,7 @@
         let limits = WaitLimits { per_group: most, total: most, bytes_per_group: most, total_bytes: most };
         let mut queue = WaitQueue::new(KINDS, limits);
         let (mut next, mut rng) = fill(&mut queue, count);
-        all.bench_function(BenchmarkId::new("held", count), |b| {
+        all.bench_function(BenchmarkId::new("wait queue", count), |b| {
             b.iter(|| events(&mut queue, &mut next, &mut rng, count))
         });
         let mut trees = Trees::default();
--- a/crates/wait-queue/tests/model.rs
+++ b/crates/wait-queue/tests/model.rs
@@ -1,4 +1,4 @@
-//! The store beside a plain list, on random histories: both must always say the same.
+//! Compares the queue with a plain list, on random sequences of operations.
 
 use juniperdock_wait_queue::{Heap, QueueFull, QueueKey, WaitLimits, WaitQueue, WaitingTxn};
 use proptest::prelude::*;
@@ -46,7 +46,7 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn both_hold_the_same(steps in proptest::collection::vec(step(), 1..250)) {
+    fn the_queue_matches_a_plain_list(steps in proptest::collection::vec(step(), 1..250)) {
         let (mut queue, mut reference, mut now) = (WaitQueue::new(KINDS, LIMITS), Vec::<WaitingTxn>::new(), 1000u64);
         let takes = [ms(0), ms(50), ms(400)];
         for step in steps {
@@ -107,7 +107,7 @@
     }
 
     #[test]
-    fn the_heap_gives_what_a_sorted_list_gives(steps in proptest::collection::vec((0..40u32, 0..90u64, 0..3u8), 1..300)) {
+    fn the_heap_matches_a_sorted_map(steps in proptest::collection::vec((0..40u32, 0..90u64, 0..3u8), 1..300)) {
         let (mut heap, mut reference) = (Heap::default(), std::collections::BTreeMap::new());
         for (index, key, what) in steps {
             match what {
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn one_vacant_group_leaves_room_for_the_others() {
+fn one_group_without_a_primary_does_not_use_up_the_total() {
     let most = WaitLimits { per_group: 50, total: 80, bytes_per_group: usize::MAX, total_bytes: usize::MAX };
     let mut queue = WaitQueue::new(1, most);
     let wait = |txn: usize, group| {
@@ -143,8 +143,8 @@
     };
     let put = (0..60).filter(|&txn| queue.insert(wait(txn, 7)).is_ok()).count();
     assert_eq!((put, queue.insert(wait(60, 7))), (50, Err(QueueFull::Group)));
-    assert!((70..100).all(|txn| queue.insert(wait(txn, txn)).is_ok()), "each of the others finds room");
+    assert!((70..100).all(|txn| queue.insert(wait(txn, txn)).is_ok()), "the other groups are accepted");
     assert_eq!((queue.insert(wait(100, 100)), queue.fullest()), (Err(QueueFull::Total), Some(7)));
-    // Where all is full, the fullest group gives way.
+    // When the total is reached, a txn of the fullest group is removed.
     assert!(queue.remove(0).is_some() && queue.insert(wait(100, 100)).is_ok());
 }
