--- a/crates/attempt-outcome/tests/histories.rs
+++ b/crates/attempt-outcome/tests/histories.rs
@@ -44,7 +44,7 @@
         let mut all: Vec<(Duration, Target, Option<AttemptOutcome>)> = Vec::new();
         for (wait, member, action) in steps {
             now += Duration::from_millis(wait);
-            let target = Target { member: member, group: member / 2, zone: member % 2, term: 1 };
+            let target = Target { member, group: member / 2, zone: member % 2, term: 1 };
             let blocked = history.blocked_at(now, 5, target);
             let in_flight = all.last().is_some_and(|last| last.2.is_none());
             let may_have_run = |e: &Option<AttemptOutcome>| e.is_none_or(|e| !e.never_ran());
--- a/crates/pipeline/tests/pipeline.rs
+++ b/crates/pipeline/tests/pipeline.rs
@@ -21,7 +21,7 @@
 fn pipeline(requests: &[Request]) -> Pipeline<u64> {
     let mut pipeline = Pipeline::new(LIMITS);
     for request in requests {
-        pipeline.push(*request, request.id).expect("room");
+        pipeline.push(*request, request.id).expect("within the limits");
     }
     pipeline
 }
--- a/crates/primary-tracker/benches/events.rs
+++ b/crates/primary-tracker/benches/events.rs
@@ -28,7 +28,7 @@
         let mut tracker = tracker(groups);
         eprintln!("{groups} groups of {MEMBERS}: {} bytes of records", tracker.bytes());
         let mut step = 0u64;
-        all.bench_function(BenchmarkId::new("report of the holder", groups), |b| {
+        all.bench_function(BenchmarkId::new("report of the primary", groups), |b| {
             b.iter(|| {
                 step += 1;
                 let group = (step as usize).wrapping_mul(7919) % groups;
--- a/crates/primary-tracker/src/record.rs
+++ b/crates/primary-tracker/src/record.rs
@@ -419,8 +419,10 @@
     /// Gives the role to the member with the newest eligible claim; among equally new ones to the highest index.
     fn accept_claim(&mut self, now: Duration, group: usize) -> bool {
         let state = &self.groups[group];
-        let may = state.members.iter().copied().filter(|&member| self.may_become_primary(now, state, member));
-        let Some(next) = may.max_by_key(|&member| (self.claims[member as usize].claimed_at, member)) else {
+        let eligible =
+            state.members.iter().copied().filter(|&member| self.may_become_primary(now, state, member));
+        let Some(next) = eligible.max_by_key(|&member| (self.claims[member as usize].claimed_at, member))
+        else {
             return false;
         };
         let (state, claims) = (&mut self.groups[group], &mut self.claims[next as usize]);
@@ -437,8 +439,8 @@
         let leaderless_since = std::mem::take(&mut state.leaderless_since);
         let leaderless_for =
             leaderless_since.time().map(|leaderless_since| now.saturating_sub(leaderless_since));
-        let learns = !std::mem::take(&mut state.restored);
-        if let Some(span) = leaderless_for.filter(|_| learns) {
+        let is_sample = !std::mem::take(&mut state.restored);
+        if let Some(span) = leaderless_for.filter(|_| is_sample) {
             state.leaderless_durations.add(span);
             self.leaderless_durations.add(span);
         }
@@ -546,8 +548,8 @@
 
     /// The member that gets new writes: the primary, unless a planned change holds them.
     pub fn writer(&self, group: usize) -> Option<usize> {
-        let held = self.plans.get(&group).is_some_and(Plan::holds_writes);
-        self.primary(group).filter(|_| !held)
+        let writes_held = self.plans.get(&group).is_some_and(Plan::holds_writes);
+        self.primary(group).filter(|_| !writes_held)
     }
 
     /// Whether a member is the primary by a claim made after the last sign against it, so that reads may rely on it.
--- a/crates/wait-queue/benches/wait_queue.rs
+++ b/crates/wait-queue/benches/wait_queue.rs
@@ -46,7 +46,7 @@
 
 impl Store for WaitQueue {
     fn put(&mut self, wait: WaitingTxn) {
-        WaitQueue::insert(self, wait).expect("room");
+        WaitQueue::insert(self, wait).expect("within the limits");
     }
     fn remove(&mut self, txn: usize) {
         WaitQueue::remove(self, txn);
--- a/crates/wait-queue/src/lib.rs
+++ b/crates/wait-queue/src/lib.rs
@@ -116,7 +116,7 @@
 #[derive(Clone, Debug)]
 struct GroupQueues {
     group: usize,
-    of: Box<[Queue]>,
+    by_key: Box<[Queue]>,
     len: usize,
     bytes: usize,
 }
@@ -189,7 +189,7 @@
         self.remove(wait.txn);
         let at = self.slot_of(wait.group);
         let key = wait.key().index();
-        let queue = self.pool[at as usize].of[key];
+        let queue = self.pool[at as usize].by_key[key];
         // A new txn is the newest of its queue; one that was submitted before is inserted by its arrival time, searched
         // for from the newest end.
         let (mut newer, mut older) = (NONE, queue.newest);
@@ -204,7 +204,7 @@
         self.link(at, key, newer, txn as u32, true);
         self.link(at, key, older, txn as u32, false);
         let queues = &mut self.pool[at as usize];
-        queues.of[key].len += 1;
+        queues.by_key[key].len += 1;
         queues.len += 1;
         queues.bytes += wait.bytes;
         self.len += 1;
@@ -220,8 +220,8 @@
         let link = match self.entries.get_mut(of as usize).and_then(Option::as_mut) {
             Some(entry) if older => &mut entry.older,
             Some(entry) => &mut entry.newer,
-            None if older => &mut self.pool[at as usize].of[key].newest,
-            None => &mut self.pool[at as usize].of[key].oldest,
+            None if older => &mut self.pool[at as usize].by_key[key].newest,
+            None => &mut self.pool[at as usize].by_key[key].oldest,
         };
         *link = to;
     }
@@ -231,8 +231,8 @@
             return at;
         }
         let at = self.free.pop().unwrap_or_else(|| {
-            let of = vec![EMPTY; self.kinds * QueueKey::PER_KIND].into_boxed_slice();
-            self.pool.push(GroupQueues { group, of, len: 0, bytes: 0 });
+            let by_key = vec![EMPTY; self.kinds * QueueKey::PER_KIND].into_boxed_slice();
+            self.pool.push(GroupQueues { group, by_key, len: 0, bytes: 0 });
             self.pool.len() as u32 - 1
         });
         self.pool[at as usize].group = group;
@@ -260,7 +260,7 @@
         self.link(pool, key, newer, older, true);
         self.link(pool, key, older, newer, false);
         let queues = &mut self.pool[pool as usize];
-        queues.of[key].len -= 1;
+        queues.by_key[key].len -= 1;
         queues.len -= 1;
         queues.bytes -= wait.bytes;
         self.len -= 1;
@@ -310,7 +310,7 @@
 
     /// The number of txns with this key that wait in a group.
     pub fn len_of_key(&self, key: QueueKey, group: usize) -> usize {
-        self.queues(group).map_or(0, |queues| queues.of[key.index()].len as usize)
+        self.queues(group).map_or(0, |queues| queues.by_key[key.index()].len as usize)
     }
 
     /// The newest txn with this key in a group.
@@ -324,7 +324,7 @@
     }
 
     fn end(&self, key: QueueKey, group: usize, of: impl Fn(&Queue) -> u32) -> Option<usize> {
-        let end = of(&self.queues(group)?.of[key.index()]);
+        let end = of(&self.queues(group)?.by_key[key.index()]);
         (end != NONE).then_some(end as usize)
     }
 
