--- a/crates/attempt-outcome/tests/histories.rs
+++ b/crates/attempt-outcome/tests/histories.rs
@@ -60,7 +60,10 @@
                     Scope::Group => from.group == target.group,
                 };
                 prop_assert!(blocked.is_some() || inside && now < at + window, "sent outside its scope or window");
-                prop_assert_eq!(blocked == Some(Blocked::OutOfScope), !inside && history.blocked_everywhere(now, 5).is_none());
+                prop_assert_eq!(
+                    blocked == Some(Blocked::OutOfScope),
+                    !inside && history.blocked_everywhere(now, 5).is_none()
+                );
             }
             prop_assert!(!in_flight || blocked == Some(Blocked::InFlight));
             prop_assert!(!ran || blocked.is_some());
--- a/crates/primary-tracker/src/record.rs
+++ b/crates/primary-tracker/src/record.rs
@@ -366,7 +366,7 @@
     }
 
     /// Applies the rules of one group until none changes anything. `writes_in_flight`: writes in flight at the primary
-    /// of its newest plan.
+    /// that its plan replaces.
     pub fn apply_rules(&mut self, now: Duration, group: usize, writes_in_flight: usize) {
         if group >= self.groups.len() {
             return;
--- a/crates/primary-tracker/tests/histories.rs
+++ b/crates/primary-tracker/tests/histories.rs
@@ -101,7 +101,10 @@
                 let writes_wait = tracker.plan(group).is_some_and(|plan| plan.holds_writes());
                 prop_assert_eq!(writes_wait, tracker.phase(group) == Phase::HandingOver);
                 prop_assert!(!writes_wait || tracker.writer(group).is_none());
-                prop_assert!(!writes_wait || tracker.plan_deadline(group).is_some_and(|at| at > now), "no plan outlasts its time limit");
+                prop_assert!(
+                    !writes_wait || tracker.plan_deadline(group).is_some_and(|at| at > now),
+                    "no plan outlasts its time limit"
+                );
             }
             let counted: usize = Phase::ALL.iter().map(|&phase| tracker.in_phase(phase)).sum();
             prop_assert_eq!(counted, GROUPS);
--- a/crates/server-clock/tests/server_clock.rs
+++ b/crates/server-clock/tests/server_clock.rs
@@ -74,7 +74,8 @@
             // A primary's position is the present at some time between the request and now.
             let at = if primary { asked + travel as i64 / 2 } else { asked - lag as i64 };
             let position = ms((start + at).max(0) as u64);
-            let verdict = clock.judge(PositionSample { server, position, primary, asked: here(asked), now: here(real) });
+            let verdict =
+                clock.judge(PositionSample { server, position, primary, asked: here(asked), now: here(real) });
             match verdict {
                 Verdict::Behind(by) => {
                     advanced += by.as_millis() as i64;
--- a/crates/wait-queue/tests/model.rs
+++ b/crates/wait-queue/tests/model.rs
@@ -53,14 +53,17 @@
             now += 1;
             match step {
                 Step::Put { txn, group, kind, retried, submitted, ago, soft_deadline, hard_deadline, bytes } => {
-                    let (arrived, soft_deadline, hard_deadline) = (ms(now - ago), ms(now + soft_deadline), ms(now + hard_deadline));
-                    let wait = WaitingTxn { txn, group, kind, retried, submitted, arrived, soft_deadline, hard_deadline, bytes };
+                    let (arrived, soft_deadline, hard_deadline) =
+                        (ms(now - ago), ms(now + soft_deadline), ms(now + hard_deadline));
+                    let wait =
+                        WaitingTxn { txn, group, kind, retried, submitted, arrived, soft_deadline, hard_deadline, bytes };
                     let of_group = || reference.iter().filter(|other| other.group == group);
                     let full = of_group().count() >= LIMITS.per_group
                         || of_group().map(|w| w.bytes).sum::<usize>() + bytes > LIMITS.bytes_per_group;
                     let all = reference.len() >= LIMITS.total
                         || reference.iter().map(|w| w.bytes).sum::<usize>() + bytes > LIMITS.total_bytes;
-                    let expected = if full { Err(QueueFull::Group) } else if all { Err(QueueFull::Total) } else { Ok(()) };
+                    let expected =
+                        if full { Err(QueueFull::Group) } else if all { Err(QueueFull::Total) } else { Ok(()) };
                     prop_assert_eq!(queue.insert(wait), expected);
                     if expected.is_ok() {
                         reference.retain(|other| other.txn != txn);
@@ -73,7 +76,8 @@
                 }
                 Step::Due(later) => {
                     now += later;
-                    let over = |w: &WaitingTxn| w.hard_deadline <= ms(now) || w.soft_deadline <= ms(now) + takes[w.kind];
+                    let over =
+                        |w: &WaitingTxn| w.hard_deadline <= ms(now) || w.soft_deadline <= ms(now) + takes[w.kind];
                     let mut due = Vec::new();
                     while let Some(txn) = queue.next_expired(ms(now), |kind| takes[kind]) {
                         due.push(txn);
@@ -86,7 +90,10 @@
                     reference.retain(|w| !over(w));
                 }
             }
-            prop_assert_eq!((queue.total(), queue.bytes()), (reference.len(), reference.iter().map(|w| w.bytes).sum::<usize>()));
+            prop_assert_eq!(
+                (queue.total(), queue.bytes()),
+                (reference.len(), reference.iter().map(|w| w.bytes).sum::<usize>())
+            );
             let of_group = |group| reference.iter().filter(|w| w.group == group).count();
             for group in 0..4 {
                 prop_assert_eq!(queue.len(group), of_group(group));
