--- a/crates/attempt-outcome/src/lib.rs
+++ b/crates/attempt-outcome/src/lib.rs
@@ -1,26 +1,26 @@
-//! What became of a txn's submissions. From this record alone follow whether it may be sent again, which
-//! stores may take it, and which final answers are true. No input or output.
+//! What is known of a txn's submissions. From this record follow whether the txn may be sent again, which members may
+//! get it, and which final answers are true. No I/O.
 //!
-//! A submission ends in one of three ways: it *ran*, it *never ran*, or it *may have run*. What may have run
-//! stays so: a later submission that never ran takes nothing back. The window in which stores know a repeat
-//! of a referenced txn by its mark counts from the first submission that may have run, from when it was sent.
+//! A submission ends in one of three ways: it *ran*, it *never ran*, or it *may have run*. If one may have run, this
+//! does not change when a later submission never ran. The deduplication window of a referenced txn, in which stores
+//! recognise a repeat by its mark, starts when the first submission that may have run was sent.
 //!
 //! ```
 //! use juniperdock_attempt_outcome::{Effect, AttemptOutcome, SubmissionHistory, Target, FinalAnswer};
 //! use std::time::Duration;
 //!
 //! let ms = Duration::from_millis;
-//! let mut fate = SubmissionHistory::new(Effect::OnceOnly);
-//! let at = Target { member: 0, group: 7, zone: 0, term: 1 };
-//! assert_eq!(fate.blocked_at(ms(5), 3, at), None);
-//! fate.sent(ms(5), at);
-//! assert_eq!(fate.final_answer(), FinalAnswer::Unknown);
-//! fate.ended(AttemptOutcome::Full);
-//! assert_eq!((fate.blocked_at(ms(9), 3, at), fate.final_answer()), (None, FinalAnswer::Decline));
-//! fate.sent(ms(9), at);
-//! fate.ended(AttemptOutcome::Dropped);
-//! assert!(fate.blocked_at(ms(12), 3, at).is_some());
-//! assert_eq!(fate.final_answer(), FinalAnswer::Unknown);
+//! let mut history = SubmissionHistory::new(Effect::OnceOnly);
+//! let target = Target { member: 0, group: 7, zone: 0, term: 1 };
+//! assert_eq!(history.blocked_at(ms(5), 3, target), None);
+//! history.sent(ms(5), target);
+//! assert_eq!(history.final_answer(), FinalAnswer::Unknown);
+//! history.ended(AttemptOutcome::Full);
+//! assert_eq!((history.blocked_at(ms(9), 3, target), history.final_answer()), (None, FinalAnswer::Decline));
+//! history.sent(ms(9), target);
+//! history.ended(AttemptOutcome::Dropped);
+//! assert!(history.blocked_at(ms(12), 3, target).is_some());
+//! assert_eq!(history.final_answer(), FinalAnswer::Unknown);
 //! ```
 
 use std::time::Duration;
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Effect {
     Repeatable,
-    /// A repeat is known by its mark within the window, among the members of the scope.
+    /// Repeats within the window are recognised by their mark and dropped by the members in the scope.
     Referenced {
         window: Duration,
         scope: Scope,
@@ -37,7 +37,7 @@
     OnceOnly,
 }
 
-/// Which members drop the repeats of a referenced txn.
+/// The members that drop repeats of a referenced txn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Scope {
     Everywhere,
@@ -49,28 +49,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptOutcome {
     Committed,
-    /// An error from the member; it may have had an effect.
+    /// The member answered with an error; the submission may have had an effect.
     Errored,
-    /// No member could use such a statement; the client has this as its answer.
+    /// The statement is invalid at any member; the client gets this as its answer.
     Invalid,
-    /// An answer came that can't be made out. It may have had an effect; the member lives.
+    /// The answer could not be parsed. The submission may have had an effect; the member is alive.
     Spoilt,
-    /// Turned away unseen.
+    /// The member was full and refused it unread.
     Full,
     TimedOut,
     /// No connection could be made.
     Unreachable,
-    /// The connection broke while the submission was out.
+    /// The connection broke while the submission was in flight.
     Dropped,
     Cancelled,
     /// It was never sent.
     Moot,
-    /// Turned away untouched: wrong role, or too far behind.
+    /// The member refused it without executing it: wrong role, or too far behind.
     Misplaced,
 }
 
 impl AttemptOutcome {
-    /// Whether this ending proves that nothing ran.
+    /// Whether this outcome proves that nothing ran.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -88,165 +88,171 @@
     pub member: usize,
     pub group: usize,
     pub zone: usize,
-    /// The group's newest term when it was sent.
+    /// The group's newest term when the submission was sent.
     pub term: u32,
 }
 
-/// A submission that is out.
+/// A submission in flight, or one that was.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Out {
+pub struct Submission {
     pub sent_at: Duration,
     pub target: Target,
 }
 
 /// What is known of a txn's effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum State {
-    /// No submission, or none that reached a member.
+pub enum EffectState {
+    /// There was no submission, or none that may have run.
     NeverRan,
-    /// One is out, and none before it may have run.
-    Out,
-    /// It may have run; a mark is remembered until the window ends.
+    /// A submission is in flight, and none before it may have run.
+    InFlight,
+    /// A submission may have run; the mark of a referenced txn is remembered until its window ends.
     MayHaveRun,
     Ran,
 }
 
-/// Why a txn may not be sent now, or not there.
+/// Why a txn may not be sent now, or not to this target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Barred {
-    /// One submission of a txn is out at a time.
-    IsOut,
-    /// It had as many submissions as are allowed.
-    TooMany,
+pub enum Blocked {
+    /// Only one submission of a txn may be in flight at a time.
+    InFlight,
+    /// It has used up the allowed number of submissions.
+    TooManySubmissions,
     /// It has run.
     Ran,
-    /// It takes effect once only, and may have.
+    /// It may take effect only once, and may have done so.
     OnceOnly,
-    /// The stores no longer know its mark.
-    WindowOver,
-    /// Stores there do not know its mark.
+    /// Stores no longer remember its mark.
+    WindowExpired,
+    /// The target is outside the scope in which its mark is known.
     OutOfScope,
 }
 
-/// The final answers that are true of a txn which no member has answered.
+/// The final answers that are true for a txn which no member has answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FinalAnswer {
-    /// Trying again is harmless.
+    /// It has not run, or repeating it is harmless: the client may retry.
     Decline,
-    /// Whether it took effect is not known.
+    /// It is not known whether the txn took effect.
     Unknown,
-    /// It has run: nothing but its member's answer is true.
+    /// It has run: only the member's own answer is true.
     Committed,
 }
 
-/// The record of one txn, from its arrival to its final answer.
+/// The submissions of one txn, from its arrival to its final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct SubmissionHistory {
     effect: Effect,
-    out: Option<Out>,
+    in_flight: Option<Submission>,
     /// The first submission that may have run.
-    first: Option<Out>,
+    first_possible_run: Option<Submission>,
     submissions: u32,
     ran: bool,
 }
 
 impl SubmissionHistory {
     pub fn new(effect: Effect) -> SubmissionHistory {
-        SubmissionHistory { effect, out: None, first: None, submissions: 0, ran: false }
+        SubmissionHistory { effect, in_flight: None, first_possible_run: None, submissions: 0, ran: false }
     }
 
-    /// Why a submission may not go to that place now; `None` where it may. `most`: submissions in all.
-    pub fn blocked_at(&self, now: Duration, most: u32, to: Target) -> Option<Barred> {
-        self.blocked_everywhere(now, most).or_else(|| {
+    /// Why a submission may not go to this target now; `None` if it may. `max_submissions` limits submissions in total.
+    pub fn blocked_at(&self, now: Duration, max_submissions: u32, target: Target) -> Option<Blocked> {
+        self.blocked_everywhere(now, max_submissions).or_else(|| {
             let Effect::Referenced { scope, .. } = self.effect else { return None };
-            let first = self.first?.target;
+            let first_possible_run = self.first_possible_run?.target;
             let inside = match scope {
                 Scope::Everywhere => true,
-                Scope::Zone => first.zone == to.zone,
-                Scope::Group => first.group == to.group,
+                Scope::Zone => first_possible_run.zone == target.zone,
+                Scope::Group => first_possible_run.group == target.group,
             };
-            (!inside).then_some(Barred::OutOfScope)
+            (!inside).then_some(Blocked::OutOfScope)
         })
     }
 
-    /// Why no submission may go anywhere now.
-    pub fn blocked_everywhere(&self, now: Duration, most: u32) -> Option<Barred> {
+    /// Why no submission may go to any target now.
+    pub fn blocked_everywhere(&self, now: Duration, max_submissions: u32) -> Option<Blocked> {
         match self.effect {
-            _ if self.out.is_some() => Some(Barred::IsOut),
-            _ if self.submissions >= most => Some(Barred::TooMany),
-            _ if self.ran => Some(Barred::Ran),
-            Effect::OnceOnly if self.first.is_some() => Some(Barred::OnceOnly),
+            _ if self.in_flight.is_some() => Some(Blocked::InFlight),
+            _ if self.submissions >= max_submissions => Some(Blocked::TooManySubmissions),
+            _ if self.ran => Some(Blocked::Ran),
+            Effect::OnceOnly if self.first_possible_run.is_some() => Some(Blocked::OnceOnly),
             Effect::Referenced { .. } if self.window_end().is_some_and(|ends| now >= ends) => {
-                Some(Barred::WindowOver)
+                Some(Blocked::WindowExpired)
             }
             _ => None,
         }
     }
 
-    /// Until when it may be sent again, where it may have run and its stores remember marks for a while only.
+    /// Until when a txn that may have run may be sent again, if stores remember its mark for a limited time only.
     pub fn window_end(&self) -> Option<Duration> {
-        match (self.effect, self.first) {
-            (Effect::Referenced { window, .. }, Some(first)) => Some(first.sent_at + window),
+        match (self.effect, self.first_possible_run) {
+            (Effect::Referenced { window, .. }, Some(first_possible_run)) => {
+                Some(first_possible_run.sent_at + window)
+            }
             _ => None,
         }
     }
 
-    /// Until when it could be sent again, should the submission that is out now turn out to be one that may
-    /// have run. `None` where that would be its last.
+    /// Until when the txn could be sent again if the submission in flight turned out to be one that may have run.
+    /// `None` if it could not be sent again at all.
     pub fn resendable_until(&self) -> Option<Duration> {
-        match (self.effect, self.first.or(self.out)) {
+        match (self.effect, self.first_possible_run.or(self.in_flight)) {
             (Effect::Repeatable, _) | (_, None) => Some(Duration::MAX),
-            (Effect::Referenced { window, .. }, Some(first)) => Some(first.sent_at + window),
+            (Effect::Referenced { window, .. }, Some(first_possible_run)) => {
+                Some(first_possible_run.sent_at + window)
+            }
             (Effect::OnceOnly, Some(_)) => None,
         }
     }
 
-    /// A submission goes out. The caller has asked `bars`.
+    /// Records that a submission was sent. The caller has checked `blocked_at`.
     pub fn sent(&mut self, now: Duration, target: Target) {
-        debug_assert!(self.out.is_none(), "one submission at a time");
-        self.out = Some(Out { sent_at: now, target });
+        debug_assert!(self.in_flight.is_none(), "one submission at a time");
+        self.in_flight = Some(Submission { sent_at: now, target });
         self.submissions += 1;
     }
 
-    /// The submission that was out has ended; gives what it was.
-    pub fn ended(&mut self, ending: AttemptOutcome) -> Option<Out> {
-        let out = self.out.take()?;
-        self.ran |= ending == AttemptOutcome::Committed;
-        if !ending.never_ran() {
-            self.first.get_or_insert(out);
+    /// Records the outcome of the submission in flight, and returns that submission.
+    pub fn ended(&mut self, outcome: AttemptOutcome) -> Option<Submission> {
+        let in_flight = self.in_flight.take()?;
+        self.ran |= outcome == AttemptOutcome::Committed;
+        if !outcome.never_ran() {
+            self.first_possible_run.get_or_insert(in_flight);
         }
-        Some(out)
+        Some(in_flight)
     }
 
-    pub fn in_flight(&self) -> Option<&Out> {
-        self.out.as_ref()
+    pub fn in_flight(&self) -> Option<&Submission> {
+        self.in_flight.as_ref()
     }
 
-    /// Submissions so far.
+    /// The number of submissions so far.
     pub fn submissions(&self) -> u32 {
         self.submissions
     }
 
-    /// No member has had it, as far as is known.
+    /// Whether no submission that has ended may have run.
     pub fn none_may_have_run(&self) -> bool {
-        self.first.is_none()
+        self.first_possible_run.is_none()
     }
 
-    pub fn state(&self) -> State {
-        match (self.first, self.out) {
-            _ if self.ran => State::Ran,
-            (Some(_), _) => State::MayHaveRun,
-            (None, Some(_)) => State::Out,
-            (None, None) => State::NeverRan,
+    pub fn state(&self) -> EffectState {
+        match (self.first_possible_run, self.in_flight) {
+            _ if self.ran => EffectState::Ran,
+            (Some(_), _) => EffectState::MayHaveRun,
+            (None, Some(_)) => EffectState::InFlight,
+            (None, None) => EffectState::NeverRan,
         }
     }
 
-    /// The only final answer that is true now, if no member's answer is passed on.
+    /// The only final answer that is true now, unless a member's own answer is passed on.
     pub fn final_answer(&self) -> FinalAnswer {
         let harmless = match self.effect {
             Effect::Repeatable => true,
             Effect::Referenced { scope: Scope::Everywhere, .. } => true,
-            Effect::Referenced { .. } | Effect::OnceOnly => self.first.is_none() && self.out.is_none(),
+            Effect::Referenced { .. } | Effect::OnceOnly => {
+                self.first_possible_run.is_none() && self.in_flight.is_none()
+            }
         };
         match self.effect {
             Effect::Repeatable => FinalAnswer::Decline,
--- a/crates/wait-queue/src/lib.rs
+++ b/crates/wait-queue/src/lib.rs
@@ -1,30 +1,31 @@
-//! Txns that wait for a member: by group, by value, by the time at which they are given up. No input or
-//! output, and no choice: the caller says in which order types go, and who gives way.
+//! Txns that wait for a member, by group, by value and by the time at which they are given up. No I/O, and no
+//! decisions: the caller chooses the order of types and which txn is removed when a limit is reached.
 //!
-//! Each group has a queue for each *rank* (a txn type, first tries and later tries of clients apart, and what
-//! has been sent before apart: those are few and come back in any order), newest first. A queue is a list
-//! through the entries themselves, so that an entry is put in, taken out from anywhere and found at either
-//! end in a few steps, however many wait. Two heaps of all entries find those whose time is over: one by a
-//! *soft* time, which moves with how long the type takes of late (one heap a type), one by a *hard* time.
+//! Each group has one queue for each [`QueueKey`], newest first. A key is a txn type; first tries of clients are kept
+//! apart from retries, and txns that have been submitted before from those that have not, because the former are few
+//! and return in any order. A queue is a linked list through the entries, so that inserting, removing from anywhere and
+//! reading either end take constant time, however many wait. Heaps over all entries find those that have expired: one
+//! for each type by its *soft* deadline, which takes the type's recent answer time into account, and one by the *hard*
+//! deadline.
 //!
 //! ```
-//! use juniperdock_wait_queue::{WaitQueue, WaitLimits, QueueKey, WaitingTxn};
+//! use juniperdock_wait_queue::{QueueKey, WaitLimits, WaitQueue, WaitingTxn};
 //! use std::time::Duration;
 //!
 //! let ms = Duration::from_millis;
 //! let limits = WaitLimits { per_group: 10, total: 100, bytes_per_group: 1000, total_bytes: 10_000 };
-//! let mut held = WaitQueue::new(2, limits);
+//! let mut queue = WaitQueue::new(2, limits);
 //! let wait = |txn, kind| WaitingTxn {
-//!     txn, group: 4, kind, retried: false, submitted: false, arrived: ms(txn as u64),
-//!     soft_deadline: ms(500), hard_deadline: ms(900), bytes: 40,
+//!     txn, group: 4, kind, retried: false, submitted: false, arrived: ms(txn as u64), soft_deadline: ms(500),
+//!     hard_deadline: ms(900), bytes: 40,
 //! };
-//! held.insert(wait(0, 1)).unwrap();
-//! held.insert(wait(1, 1)).unwrap();
-//! assert_eq!(held.newest(QueueKey { kind: 1, retried: false, submitted: false }, 4), Some(1));
-//! // Type 1 takes 100 ms of late: what has to end by 500 ms is hopeless from 400 ms on.
+//! queue.insert(wait(0, 1)).unwrap();
+//! queue.insert(wait(1, 1)).unwrap();
+//! assert_eq!(queue.newest(QueueKey { kind: 1, retried: false, submitted: false }, 4), Some(1));
+//! // Type 1 recently took 100 ms, so a txn with a soft deadline of 500 ms has expired from 400 ms on.
 //! let takes = |kind| [ms(0), ms(100)][kind];
-//! assert_eq!(held.next_expired(ms(399), takes), None);
-//! assert_eq!(held.next_expired(ms(400), takes), Some(0));
+//! assert_eq!(queue.next_expired(ms(399), takes), None);
+//! assert_eq!(queue.next_expired(ms(400), takes), Some(0));
 //! ```
 
 mod heap;
@@ -35,7 +36,7 @@
 
 const NONE: u32 = u32::MAX;
 
-/// What waits.
+/// A txn that waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WaitingTxn {
     pub txn: usize,
@@ -44,17 +45,17 @@
     pub kind: usize,
     /// Its client has tried before.
     pub retried: bool,
-    /// It has been sent before.
+    /// It has been submitted to a member before.
     pub submitted: bool,
     pub arrived: Duration,
-    /// When its answer has to be there to be worth anything.
+    /// The time by which its answer has to arrive to be of any value.
     pub soft_deadline: Duration,
-    /// When it is given up, however quick members are.
+    /// The time at which it is given up, however fast members are.
     pub hard_deadline: Duration,
     pub bytes: usize,
 }
 
-/// How much may wait. The limits of one group keep it from taking all there is.
+/// Limits on what may wait. Those of one group keep it from using up the total.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WaitLimits {
     pub per_group: usize,
@@ -63,7 +64,7 @@
     pub total_bytes: usize,
 }
 
-/// Which limit leaves no room.
+/// The limit that was reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueFull {
     Group,
@@ -73,7 +74,7 @@
 #[derive(Clone, Debug)]
 struct Entry {
     wait: WaitingTxn,
-    /// Its queue in the pool, and its neighbours there: newer and older.
+    /// The index of its group's queues in the pool, and its neighbours in its queue.
     pool: u32,
     newer: u32,
     older: u32,
@@ -88,7 +89,7 @@
 
 const EMPTY: Queue = Queue { newest: NONE, oldest: NONE, len: 0 };
 
-/// What shares a queue.
+/// Txns with the same key share a queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueKey {
     pub kind: usize,
@@ -97,41 +98,42 @@
 }
 
 impl QueueKey {
-    const OF_KIND: usize = 4;
+    const PER_KIND: usize = 4;
 
     fn index(self) -> usize {
-        self.kind * Self::OF_KIND + usize::from(self.retried) * 2 + usize::from(self.submitted)
+        self.kind * Self::PER_KIND + usize::from(self.retried) * 2 + usize::from(self.submitted)
     }
 }
 
 impl WaitingTxn {
-    pub fn rank(&self) -> QueueKey {
+    /// The queue in which it waits.
+    pub fn key(&self) -> QueueKey {
         QueueKey { kind: self.kind, retried: self.retried, submitted: self.submitted }
     }
 }
 
-/// A group's queues, one for each rank.
+/// The queues of a group, one for each key.
 #[derive(Clone, Debug)]
-struct Queues {
+struct GroupQueues {
     group: usize,
-    of: Box<[Queue]>,
+    by_key: Box<[Queue]>,
     len: usize,
     bytes: usize,
 }
 
-/// The store. Txns and groups are small indices; groups without a waiting txn take no memory.
+/// The queues of all groups. Txns and groups are small indices; groups without a waiting txn take no memory.
 #[derive(Clone, Debug)]
 pub struct WaitQueue {
     kinds: usize,
-    most: WaitLimits,
+    limits: WaitLimits,
     entries: Vec<Option<Entry>>,
-    pool: Vec<Queues>,
-    /// Places in the pool that are free, and which one a group has.
+    pool: Vec<GroupQueues>,
+    /// Unused entries of the pool, and the entry of each group.
     free: Vec<u32>,
     of_group: BTreeMap<usize, u32>,
     soft: Vec<Heap>,
     hard: Heap,
-    /// Groups by how much waits there.
+    /// Groups by the number of waiting txns.
     fullest: Heap,
     len: usize,
     bytes: usize,
@@ -142,10 +144,11 @@
 }
 
 impl WaitQueue {
-    pub fn new(kinds: usize, most: WaitLimits) -> WaitQueue {
+    /// An empty queue for `kinds` txn types.
+    pub fn new(kinds: usize, limits: WaitLimits) -> WaitQueue {
         WaitQueue {
             kinds,
-            most,
+            limits,
             entries: Vec::new(),
             pool: Vec::new(),
             free: Vec::new(),
@@ -158,37 +161,37 @@
         }
     }
 
-    /// Other limits from now on; what waits already stays.
-    pub fn set_limits(&mut self, most: WaitLimits) {
-        self.most = most;
+    /// Changes the limits; txns that wait already stay.
+    pub fn set_limits(&mut self, limits: WaitLimits) {
+        self.limits = limits;
     }
 
-    fn queues(&self, group: usize) -> Option<&Queues> {
+    fn queues(&self, group: usize) -> Option<&GroupQueues> {
         self.of_group.get(&group).map(|&at| &self.pool[at as usize])
     }
 
-    /// Whether one more of that size may wait in a group.
-    pub fn room(&self, group: usize, bytes: usize) -> Result<(), QueueFull> {
+    /// Whether one more txn of this size may wait in a group.
+    pub fn check_limits(&self, group: usize, bytes: usize) -> Result<(), QueueFull> {
         let (len, of_group) = self.queues(group).map_or((0, 0), |queues| (queues.len, queues.bytes));
-        if len >= self.most.per_group || of_group + bytes > self.most.bytes_per_group {
+        if len >= self.limits.per_group || of_group + bytes > self.limits.bytes_per_group {
             return Err(QueueFull::Group);
         }
-        if self.len >= self.most.total || self.bytes + bytes > self.most.total_bytes {
+        if self.len >= self.limits.total || self.bytes + bytes > self.limits.total_bytes {
             return Err(QueueFull::Total);
         }
         Ok(())
     }
 
-    /// Puts a txn in, newest of its rank or where its arrival belongs; it is not given up yet for its time.
-    /// The error says which limit leaves no room; then nothing has changed.
+    /// Inserts a txn by its arrival time. It is not checked for expiry. On an error, which names the limit that was
+    /// reached, nothing has changed.
     pub fn insert(&mut self, wait: WaitingTxn) -> Result<(), QueueFull> {
-        self.room(wait.group, wait.bytes)?;
+        self.check_limits(wait.group, wait.bytes)?;
         self.remove(wait.txn);
-        let at = self.place_of(wait.group);
-        let rank = wait.rank().index();
-        let queue = self.pool[at as usize].of[rank];
-        // What is new is the newest; one that was sent before looks for its place from that end, among its
-        // like.
+        let at = self.slot_of(wait.group);
+        let key = wait.key().index();
+        let queue = self.pool[at as usize].by_key[key];
+        // A new txn is the newest of its queue; one that was submitted before is inserted by its arrival time, searched
+        // for from the newest end.
         let (mut newer, mut older) = (NONE, queue.newest);
         while let Some(next) = self.entry(older).filter(|next| next.wait.arrived > wait.arrived) {
             (newer, older) = (older, next.older);
@@ -198,38 +201,38 @@
             self.entries.resize_with(txn + 1, || None);
         }
         self.entries[txn] = Some(Entry { wait, pool: at, newer, older });
-        self.link(at, rank, newer, txn as u32, true);
-        self.link(at, rank, older, txn as u32, false);
+        self.link(at, key, newer, txn as u32, true);
+        self.link(at, key, older, txn as u32, false);
         let queues = &mut self.pool[at as usize];
-        queues.of[rank].len += 1;
+        queues.by_key[key].len += 1;
         queues.len += 1;
         queues.bytes += wait.bytes;
         self.len += 1;
         self.bytes += wait.bytes;
-        self.weigh(at);
+        self.update_fullest(at);
         self.soft[wait.kind].set(txn as u32, micros(wait.soft_deadline));
         self.hard.set(txn as u32, micros(wait.hard_deadline));
         Ok(())
     }
 
-    /// Makes `to` the neighbour of `of` on its older or newer side, or the end of the queue.
-    fn link(&mut self, at: u32, rank: usize, of: u32, to: u32, older: bool) {
-        let place = match self.entries.get_mut(of as usize).and_then(Option::as_mut) {
+    /// Makes `to` the older or newer neighbour of `of`, or the end of the queue if `of` is none.
+    fn link(&mut self, at: u32, key: usize, of: u32, to: u32, older: bool) {
+        let link = match self.entries.get_mut(of as usize).and_then(Option::as_mut) {
             Some(entry) if older => &mut entry.older,
             Some(entry) => &mut entry.newer,
-            None if older => &mut self.pool[at as usize].of[rank].newest,
-            None => &mut self.pool[at as usize].of[rank].oldest,
+            None if older => &mut self.pool[at as usize].by_key[key].newest,
+            None => &mut self.pool[at as usize].by_key[key].oldest,
         };
-        *place = to;
+        *link = to;
     }
 
-    fn place_of(&mut self, group: usize) -> u32 {
+    fn slot_of(&mut self, group: usize) -> u32 {
         if let Some(&at) = self.of_group.get(&group) {
             return at;
         }
         let at = self.free.pop().unwrap_or_else(|| {
-            let of = vec![EMPTY; self.kinds * QueueKey::OF_KIND].into_boxed_slice();
-            self.pool.push(Queues { group, of, len: 0, bytes: 0 });
+            let by_key = vec![EMPTY; self.kinds * QueueKey::PER_KIND].into_boxed_slice();
+            self.pool.push(GroupQueues { group, by_key, len: 0, bytes: 0 });
             self.pool.len() as u32 - 1
         });
         self.pool[at as usize].group = group;
@@ -237,8 +240,8 @@
         at
     }
 
-    /// Notes how full a group is; one without a txn gives its place back.
-    fn weigh(&mut self, at: u32) {
+    /// Updates the group's place in `fullest`; a group without a waiting txn frees its entry of the pool.
+    fn update_fullest(&mut self, at: u32) {
         let queues = &self.pool[at as usize];
         if queues.len > 0 {
             self.fullest.set(at, u64::MAX - queues.len as u64);
@@ -249,26 +252,26 @@
         self.free.push(at);
     }
 
-    /// Takes a txn out, wherever it stands; gives what waited.
+    /// Removes a txn from anywhere in its queue and returns it.
     pub fn remove(&mut self, txn: usize) -> Option<WaitingTxn> {
         let entry = self.entries.get_mut(txn)?.take()?;
         let Entry { wait, pool, newer, older } = entry;
-        let rank = wait.rank().index();
-        self.link(pool, rank, newer, older, true);
-        self.link(pool, rank, older, newer, false);
+        let key = wait.key().index();
+        self.link(pool, key, newer, older, true);
+        self.link(pool, key, older, newer, false);
         let queues = &mut self.pool[pool as usize];
-        queues.of[rank].len -= 1;
+        queues.by_key[key].len -= 1;
         queues.len -= 1;
         queues.bytes -= wait.bytes;
         self.len -= 1;
         self.bytes -= wait.bytes;
-        self.weigh(pool);
+        self.update_fullest(pool);
         self.soft[wait.kind].remove(txn as u32);
         self.hard.remove(txn as u32);
         Some(wait)
     }
 
-    /// Gives a txn that waits other times.
+    /// Changes the deadlines of a waiting txn.
     pub fn set_deadlines(&mut self, txn: usize, soft: Duration, hard: Duration) {
         if let Some(Some(entry)) = self.entries.get_mut(txn) {
             (entry.wait.soft_deadline, entry.wait.hard_deadline) = (soft, hard);
@@ -281,11 +284,12 @@
         self.entries.get(txn as usize)?.as_ref()
     }
 
+    /// The entry of a waiting txn.
     pub fn get(&self, txn: usize) -> Option<&WaitingTxn> {
         self.entries.get(txn)?.as_ref().map(|entry| &entry.wait)
     }
 
-    /// How many wait in a group, in all, or of a rank.
+    /// The number of txns that wait in a group.
     pub fn len(&self, group: usize) -> usize {
         self.queues(group).map_or(0, |queues| queues.len)
     }
@@ -294,40 +298,44 @@
         self.len(group) == 0
     }
 
+    /// The number of all waiting txns.
     pub fn total(&self) -> usize {
         self.len
     }
 
+    /// The size of all waiting txns in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// How many of a rank wait in a group.
-    pub fn of_rank(&self, rank: QueueKey, group: usize) -> usize {
-        self.queues(group).map_or(0, |queues| queues.of[rank.index()].len as usize)
+    /// The number of txns with this key that wait in a group.
+    pub fn len_of_key(&self, key: QueueKey, group: usize) -> usize {
+        self.queues(group).map_or(0, |queues| queues.by_key[key.index()].len as usize)
     }
 
-    pub fn newest(&self, rank: QueueKey, group: usize) -> Option<usize> {
-        self.end(rank, group, |queue| queue.newest)
+    /// The newest txn with this key in a group.
+    pub fn newest(&self, key: QueueKey, group: usize) -> Option<usize> {
+        self.end(key, group, |queue| queue.newest)
     }
 
-    pub fn oldest(&self, rank: QueueKey, group: usize) -> Option<usize> {
-        self.end(rank, group, |queue| queue.oldest)
+    /// The oldest txn with this key in a group.
+    pub fn oldest(&self, key: QueueKey, group: usize) -> Option<usize> {
+        self.end(key, group, |queue| queue.oldest)
     }
 
-    fn end(&self, rank: QueueKey, group: usize, of: impl Fn(&Queue) -> u32) -> Option<usize> {
-        let end = of(&self.queues(group)?.of[rank.index()]);
+    fn end(&self, key: QueueKey, group: usize, of: impl Fn(&Queue) -> u32) -> Option<usize> {
+        let end = of(&self.queues(group)?.by_key[key.index()]);
         (end != NONE).then_some(end as usize)
     }
 
-    /// The next older one of the same rank.
+    /// The next older txn in the same queue.
     pub fn older(&self, txn: usize) -> Option<usize> {
         let older = self.entry(txn as u32)?.older;
         (older != NONE).then_some(older as usize)
     }
 
-    /// One whose time is over: its hard time, or its soft time less what its type takes (`takes`, by type).
-    /// It stays until it is removed.
+    /// A txn that has passed its hard deadline, or its soft deadline less the time that its type takes (`takes`, by
+    /// type). It stays in the queue until it is removed.
     pub fn next_expired(&self, now: Duration, takes: impl Fn(usize) -> Duration) -> Option<usize> {
         let over = |heap: &Heap, lead: Duration| {
             let (key, txn) = heap.first()?;
@@ -337,7 +345,7 @@
             .or_else(|| self.soft.iter().enumerate().find_map(|(kind, heap)| over(heap, takes(kind))))
     }
 
-    /// The group where most wait.
+    /// The group with the most waiting txns.
     pub fn fullest(&self) -> Option<usize> {
         self.fullest.first().map(|(_, at)| self.pool[at as usize].group)
     }
