--- a/crates/connection/src/connect.rs
+++ b/crates/connection/src/connect.rs
@@ -3,7 +3,7 @@
 //! used: its I/O timers expire after the worker's ready coroutines have run, and what they wake is not looked at before
 //! the next event.
 
-use crate::{Bell, BufferLimits, Kept, Link, is_shortage};
+use crate::{Bell, BufferLimits, Link, SharedStream, is_shortage};
 use may::io::{CoIo, WaitIo};
 use rustix::io::Errno;
 use socket2::{Domain, SockAddr, SockRef, Socket, Type};
@@ -23,7 +23,7 @@
 }
 
 impl ConnectError {
-    fn of(error: io::Error) -> ConnectError {
+    fn from_io(error: io::Error) -> ConnectError {
         // No free port, route cache entry or epoll watch: connect(2), epoll_ctl(2).
         let local = [Errno::ADDRNOTAVAIL, Errno::AGAIN, Errno::NOSPC];
         let is_local = Errno::from_io_error(&error).is_some_and(|error| local.contains(&error));
@@ -49,8 +49,8 @@
 /// A connection that is coming up. Dropping it gives it up.
 pub struct Connecting {
     // Dropped in this order: the socket is closed last.
-    io: CoIo<Kept>,
-    socket: Kept,
+    io: CoIo<SharedStream>,
+    socket: SharedStream,
     to: SockAddr,
 }
 
@@ -60,13 +60,14 @@
     /// # Errors
     /// Where the machine refuses at once.
     pub fn begin(to: SocketAddr) -> Result<Connecting, ConnectError> {
-        let socket = Socket::new(Domain::for_address(to), Type::STREAM, None).map_err(ConnectError::of)?;
-        socket.set_nonblocking(true).map_err(ConnectError::of)?;
+        let socket =
+            Socket::new(Domain::for_address(to), Type::STREAM, None).map_err(ConnectError::from_io)?;
+        socket.set_nonblocking(true).map_err(ConnectError::from_io)?;
         let to = SockAddr::from(to);
-        shake_hands(&socket, &to)?;
-        let socket = Kept(Arc::new(socket.into()));
+        poll_handshake(&socket, &to)?;
+        let socket = SharedStream(Arc::new(socket.into()));
         // Registered once the handshake is under way: a socket before that counts as hung up.
-        let io = CoIo::new(socket.clone()).map_err(|error| ConnectError::of(error.into()))?;
+        let io = CoIo::new(socket.clone()).map_err(|error| ConnectError::from_io(error.into()))?;
         Ok(Connecting { io, socket, to })
     }
 
@@ -80,7 +81,7 @@
     /// # Errors
     /// Where the handshake has failed.
     pub fn is_up(&self) -> Result<bool, ConnectError> {
-        shake_hands(&SockRef::from(&*self.socket.0), &self.to)
+        poll_handshake(&SockRef::from(&*self.socket.0), &self.to)
     }
 
     /// Waits until the machine has something to tell or the bell rings.
@@ -90,20 +91,20 @@
 
     /// The link over a connection that is up.
     pub fn into_link(self, limits: BufferLimits) -> Link {
-        Link::of(self.io, self.socket, limits)
+        Link::with_socket(self.io, self.socket, limits)
     }
 }
 
 /// Begins a handshake, or asks for its state: true once the connection is up (EALREADY, EISCONN of connect(2)). A call
 /// that a signal interrupts leaves the handshake under way.
-fn shake_hands(socket: &Socket, to: &SockAddr) -> Result<bool, ConnectError> {
+fn poll_handshake(socket: &Socket, to: &SockAddr) -> Result<bool, ConnectError> {
     loop {
         let Err(error) = socket.connect(to) else { return Ok(true) };
         match Errno::from_io_error(&error) {
             Some(Errno::ISCONN) => return Ok(true),
             Some(Errno::INPROGRESS | Errno::ALREADY) => return Ok(false),
             Some(Errno::INTR) => {}
-            _ => return Err(ConnectError::of(error)),
+            _ => return Err(ConnectError::from_io(error)),
         }
     }
 }
--- a/crates/connection/src/lib.rs
+++ b/crates/connection/src/lib.rs
@@ -22,7 +22,7 @@
 use std::time::{Duration, Instant};
 
 /// What is read at once, and the most memory that an empty buffer keeps over a wait.
-const PIECE: usize = 4096;
+const READ_CHUNK: usize = 4096;
 
 /// How far the bytes of an attempt had come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -64,9 +64,9 @@
 /// socket; were that the last one here, the descriptor would be closed by then, and where another process has
 /// it too, the machine would go on telling this process of it, at a place in memory that is free again.
 #[derive(Clone)]
-struct Kept(Arc<std::net::TcpStream>);
+struct SharedStream(Arc<std::net::TcpStream>);
 
-impl AsRawFd for Kept {
+impl AsRawFd for SharedStream {
     fn as_raw_fd(&self) -> RawFd {
         self.0.as_raw_fd()
     }
@@ -79,15 +79,15 @@
 impl PeerWatch {
     /// The connection is closed here, or the other side has ended its sending or is gone, as far as the machine knows.
     pub fn has_left(&self) -> bool {
-        self.0.upgrade().is_none_or(|stream| hung_up(&stream))
+        self.0.upgrade().is_none_or(|stream| is_hung_up(&stream))
     }
 }
 
 /// A socket that the other side has reset, closed or ended its sending on, also behind bytes that are not read yet.
-fn hung_up(stream: &std::net::TcpStream) -> bool {
-    let ends = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-    let mut asked = [PollFd::new(stream, ends)];
-    poll(&mut asked, Some(&Timespec::default())).is_ok() && asked[0].revents().intersects(ends)
+fn is_hung_up(stream: &std::net::TcpStream) -> bool {
+    let hangup_events = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
+    let mut poll_fds = [PollFd::new(stream, hangup_events)];
+    poll(&mut poll_fds, Some(&Timespec::default())).is_ok() && poll_fds[0].revents().intersects(hangup_events)
 }
 
 /// The machine is short of something that others use, too (`socket(2)`, `listen(2)`): worth another try.
@@ -98,7 +98,7 @@
 
 /// The machine is short of memory or buffers just now: says nothing of the connection (`send(2)`, `recv(2)`). Told as
 /// progress, so that whoever moves bytes tries again.
-fn is_passing(error: &std::io::Error) -> bool {
+fn is_transient(error: &std::io::Error) -> bool {
     matches!(Errno::from_io_error(error), Some(Errno::NOBUFS | Errno::NOMEM))
 }
 
@@ -111,8 +111,8 @@
 
 pub struct Link {
     // Dropped in this order: the socket is closed last.
-    io: CoIo<Kept>,
-    socket: Kept,
+    io: CoIo<SharedStream>,
+    socket: SharedStream,
     pub inbound: VecDeque<u8>,
     outbound: VecDeque<u8>,
     limits: BufferLimits,
@@ -126,12 +126,12 @@
     /// A connection that came in, from the listener or from another process.
     pub fn came(stream: std::net::TcpStream, limits: BufferLimits) -> Result<Link, Failure> {
         let failed = |why: String| Failure { reached: Reached::Nothing, why };
-        let socket = Kept(Arc::new(stream));
+        let socket = SharedStream(Arc::new(stream));
         let io = CoIo::new(socket.clone()).map_err(|e| failed(e.to_string()))?;
-        Ok(Link::of(io, socket, limits))
+        Ok(Link::with_socket(io, socket, limits))
     }
 
-    fn of(io: CoIo<Kept>, socket: Kept, limits: BufferLimits) -> Link {
+    fn with_socket(io: CoIo<SharedStream>, socket: SharedStream, limits: BufferLimits) -> Link {
         // Where it fails, small messages may come later; that is no reason to end the connection.
         let _ = socket.0.set_nodelay(true);
         let (inbound, outbound) = (VecDeque::new(), VecDeque::new());
@@ -161,7 +161,7 @@
     /// that end are not read yet: where the buffer is full, its end can't be read. What the other side could not
     /// yet hand over, its end too, is not known here.
     pub fn has_left(&self) -> bool {
-        self.ended || hung_up(&self.socket.0)
+        self.ended || is_hung_up(&self.socket.0)
     }
 
     /// For others who act for the client at the other end.
@@ -212,15 +212,15 @@
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) if is_passing(&e) => {
+                Err(e) if is_transient(&e) => {
                     self.short = true;
                     return Ok(true);
                 }
                 // What the other side sent before it ended may still be there to be read.
                 Err(e) => {
-                    let lost = self.failure(e.to_string());
+                    let failure = self.failure(e.to_string());
                     self.read()?;
-                    return Err(lost);
+                    return Err(failure);
                 }
             }
         }
@@ -229,10 +229,10 @@
 
     fn read(&mut self) -> Result<bool, Failure> {
         let mut moved = false;
-        let mut piece = [0u8; PIECE];
+        let mut piece = [0u8; READ_CHUNK];
         while !self.ended && self.inbound.len() < self.limits.inbound {
-            let room = piece.len().min(self.limits.inbound - self.inbound.len());
-            match (&*self.socket.0).read(&mut piece[..room]) {
+            let space = piece.len().min(self.limits.inbound - self.inbound.len());
+            match (&*self.socket.0).read(&mut piece[..space]) {
                 Ok(0) => {
                     self.ended = true;
                     moved = true;
@@ -241,13 +241,13 @@
                     self.inbound.extend(&piece[..n]);
                     moved = true;
                     // All there was; what comes after ends the next wait at once.
-                    if n < room {
+                    if n < space {
                         break;
                     }
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) if is_passing(&e) => {
+                Err(e) if is_transient(&e) => {
                     self.short = true;
                     return Ok(true);
                 }
@@ -261,7 +261,7 @@
     /// connection large for the rest of its life.
     pub fn wait(&mut self) {
         for buffer in [&mut self.inbound, &mut self.outbound] {
-            if buffer.is_empty() && buffer.capacity() > PIECE {
+            if buffer.is_empty() && buffer.capacity() > READ_CHUNK {
                 *buffer = VecDeque::new();
             }
         }
@@ -284,17 +284,19 @@
 
 impl Door {
     /// Connections beyond this many wait for their turn at the machine's own door.
-    const WAITING: i32 = 1024;
+    const BACKLOG: i32 = 1024;
     /// Between two tries to open one.
-    const PAUSE: Duration = Duration::from_millis(5);
+    const RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
     /// Where the machine is short of descriptors or buffers just now it is tried again, for so long. Blocks its thread.
-    pub fn open(at: SocketAddr, patience: Duration) -> Result<Door, String> {
-        let begun = Instant::now();
+    pub fn open(at: SocketAddr, retry_for: Duration) -> Result<Door, String> {
+        let started = Instant::now();
         loop {
             match Self::listen(at) {
                 Ok(listener) => return Door::of(listener),
-                Err(e) if is_shortage(&e) && begun.elapsed() < patience => std::thread::sleep(Self::PAUSE),
+                Err(e) if is_shortage(&e) && started.elapsed() < retry_for => {
+                    std::thread::sleep(Self::RETRY_INTERVAL)
+                }
                 Err(e) => return Err(format!("listening at {at}: {e}")),
             }
         }
@@ -305,14 +307,14 @@
         socket.set_reuse_address(true)?;
         socket.set_reuse_port(true)?;
         socket.bind(&at.into())?;
-        socket.listen(Self::WAITING)?;
+        socket.listen(Self::BACKLOG)?;
         Ok(socket.into())
     }
 
     /// One that was opened by another process.
     pub fn of(listener: std::net::TcpListener) -> Result<Door, String> {
-        let door = |listener| Door { listener, shared: AtomicBool::new(false) };
-        CoIo::new(listener).map(door).map_err(|e| format!("listening: {e}"))
+        let new = |listener| Door { listener, shared: AtomicBool::new(false) };
+        CoIo::new(listener).map(new).map_err(|e| format!("listening: {e}"))
     }
 
     /// A descriptor of the same listener.
@@ -377,7 +379,7 @@
     pub fn receive(&self, buffer: &mut [u8]) -> Option<(usize, SocketAddr)> {
         loop {
             match self.0.inner().recv_from(buffer) {
-                Ok(came) => return Some(came),
+                Ok(received) => return Some(received),
                 // What the machine tells of one that was sent to nobody is no datagram.
                 Err(e) if e.kind() == ErrorKind::Interrupted || e.kind() == ErrorKind::ConnectionRefused => {}
                 Err(_) => return None,
@@ -426,88 +428,92 @@
     }
 
     #[test]
-    fn what_is_half_written_when_its_connection_ends_was_never_written() {
+    fn failure_with_unsent_bytes_reports_connection_and_with_none_reports_written() {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free address");
         let at = listener.local_addr().expect("an address");
         // More than the machine takes from one that is not read by the other side.
         let long = vec![b'x'; 64 << 20];
         let mut link = open(at, long.len());
-        let (far, _) = listener.accept().expect("a connection");
+        let (peer, _) = listener.accept().expect("a connection");
         link.queue(&long).expect("room");
         assert!(link.pump().expect("some of it goes") && !link.flushed());
-        drop(far);
-        let lost = loop {
+        drop(peer);
+        let failure = loop {
             match link.pump() {
                 Ok(_) => std::thread::sleep(Duration::from_millis(1)),
-                Err(lost) => break lost,
+                Err(failure) => break failure,
             }
         };
-        assert_eq!(lost.reached, Reached::Connection, "{lost}");
+        assert_eq!(failure.reached, Reached::Connection, "{failure}");
         // All of a short one was handed over: it may have run.
         let mut link = open(at, 4096);
-        let (far, _) = listener.accept().expect("a connection");
+        let (peer, _) = listener.accept().expect("a connection");
         link.queue(b"short").expect("room");
         assert!(link.pump().expect("it goes") && link.flushed());
-        drop(far);
-        let lost = loop {
+        drop(peer);
+        let failure = loop {
             match link.pump() {
                 Ok(_) if link.ended => break Reached::Written,
                 Ok(_) => std::thread::sleep(Duration::from_millis(1)),
-                Err(lost) => break lost.reached,
+                Err(failure) => break failure.reached,
             }
         };
-        assert_eq!(lost, Reached::Written);
+        assert_eq!(failure, Reached::Written);
     }
 
     #[test]
-    fn a_door_wakes_for_its_bell_and_goes_on_in_another_hand() {
+    fn listener_returns_none_when_woken_and_accepts_through_a_duplicated_descriptor() {
         let at = SocketAddr::from(([127, 0, 0, 1], 0));
-        let door = Door::open(at, Duration::ZERO).expect("a free address");
-        let other = std::net::TcpListener::from(door.descriptor().expect("a descriptor"));
+        let listener = Door::open(at, Duration::ZERO).expect("a free address");
+        let other = std::net::TcpListener::from(listener.descriptor().expect("a descriptor"));
         let at = other.local_addr().expect("an address");
-        let (tell, told) = channel();
-        let bell = door.bell();
+        let (sender, results) = channel();
+        let waker = listener.bell();
         spawn("door", 64 << 10, move || {
             // One connection, then the bell with nobody there, then one through the same listener taken over.
-            let came = door.next().map(|came| came.is_some());
-            let _ = tell.send(came.ok());
-            let rung = door.next().map(|came| came.is_some());
-            let _ = tell.send(rung.ok());
-            drop(door);
-            let door = Door::of(other);
-            let _ = tell
-                .send(door.and_then(|door| door.next().map_err(|e| e.to_string())).ok().map(|c| c.is_some()));
+            let accepted = listener.next().map(|stream| stream.is_some());
+            let _ = sender.send(accepted.ok());
+            let woken = listener.next().map(|stream| stream.is_some());
+            let _ = sender.send(woken.ok());
+            drop(listener);
+            let listener = Door::of(other);
+            let _ = sender.send(
+                listener
+                    .and_then(|listener| listener.next().map_err(|e| e.to_string()))
+                    .ok()
+                    .map(|c| c.is_some()),
+            );
         })
         .expect("a coroutine");
-        let wait = || told.recv_timeout(Duration::from_secs(20)).expect("word");
+        let wait = || results.recv_timeout(Duration::from_secs(20)).expect("word");
         let _first = std::net::TcpStream::connect(at).expect("a connection");
         assert_eq!(wait(), Some(true));
-        bell.ring();
+        waker.ring();
         assert_eq!(wait(), Some(false), "nobody came");
         let _second = std::net::TcpStream::connect(at).expect("the listener is still open");
         assert_eq!(wait(), Some(true));
     }
 
     #[test]
-    fn a_connection_that_was_passed_on_is_told_of_no_more_here() {
+    fn dropped_link_is_unregistered_from_epoll_while_its_duplicate_is_open() {
         use std::os::linux::fs::MetadataExt;
-        let door = std::net::TcpListener::bind("127.0.0.1:0").expect("a free address");
-        let _far =
-            std::net::TcpStream::connect(door.local_addr().expect("an address")).expect("a connection");
+        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free address");
+        let _peer =
+            std::net::TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
         let link =
-            Link::came(door.accept().expect("a connection").0, BufferLimits { inbound: 9, outbound: 9 })
+            Link::came(listener.accept().expect("a connection").0, BufferLimits { inbound: 9, outbound: 9 })
                 .expect("a link");
         let passed_on = link.descriptor().expect("a descriptor");
         let socket =
             std::fs::metadata(format!("/proc/self/fd/{}", passed_on.as_raw_fd())).expect("it is open");
-        let told_of = || {
+        let registrations = || {
             let open = std::fs::read_dir("/proc/self/fdinfo").expect("descriptors");
             let lines = open.flatten().filter_map(|entry| std::fs::read_to_string(entry.path()).ok());
-            let word = format!("ino:{:x} ", socket.st_ino());
-            lines.filter(|text| text.contains("tfd:") && text.contains(&word)).count()
+            let inode = format!("ino:{:x} ", socket.st_ino());
+            lines.filter(|text| text.contains("tfd:") && text.contains(&inode)).count()
         };
-        assert_eq!(told_of(), 1);
+        assert_eq!(registrations(), 1);
         drop(link);
-        assert_eq!(told_of(), 0, "the other descriptor keeps the socket open");
+        assert_eq!(registrations(), 0, "the other descriptor keeps the socket open");
     }
 }
--- a/crates/connection/src/timer.rs
+++ b/crates/connection/src/timer.rs
@@ -27,11 +27,11 @@
 }
 
 /// Between two tries to open one.
-const PAUSE: Duration = Duration::from_millis(5);
+const RETRY_INTERVAL: Duration = Duration::from_millis(5);
 /// A timer that is set to nothing would never fire.
-const LEAST: Duration = Duration::from_nanos(1);
+const MIN_DELAY: Duration = Duration::from_nanos(1);
 /// The farthest that a timer is set.
-const MOST: Duration = Duration::from_secs(3600);
+const MAX_DELAY: Duration = Duration::from_secs(3600);
 
 #[derive(Clone)]
 struct Descriptor(Arc<OwnedFd>);
@@ -64,11 +64,13 @@
     ///
     /// # Errors
     /// What the machine says last.
-    pub fn open(patience: Duration) -> io::Result<Timer> {
-        let begun = Instant::now();
+    pub fn open(retry_for: Duration) -> io::Result<Timer> {
+        let started = Instant::now();
         loop {
             match Timer::create() {
-                Err(e) if is_shortage(&e) && begun.elapsed() < patience => std::thread::sleep(PAUSE),
+                Err(e) if is_shortage(&e) && started.elapsed() < retry_for => {
+                    std::thread::sleep(RETRY_INTERVAL)
+                }
                 opened => return opened,
             }
         }
@@ -97,7 +99,7 @@
 impl TimerSetter {
     /// It fires after so long, once, in place of whenever it was set to fire; after an hour at the latest.
     pub fn set(&self, after: Duration) {
-        let after = after.clamp(LEAST, MOST);
+        let after = after.clamp(MIN_DELAY, MAX_DELAY);
         let it_value = Timespec { tv_sec: after.as_secs() as i64, tv_nsec: i64::from(after.subsec_nanos()) };
         let it_interval = Timespec { tv_sec: 0, tv_nsec: 0 };
         let spec = Itimerspec { it_interval, it_value };
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -75,20 +75,20 @@
     use super::*;
 
     #[test]
-    fn frames_come_whole_and_bad_ones_are_named() {
+    fn split_frames_are_reassembled_and_bad_ones_are_rejected_with_a_reason() {
         let two = [frame(&good(1.into())), frame(&fault("no"))].concat();
         for piece in [1, 5, 1000] {
-            let (mut frames, mut seen) = (Frames::default(), Vec::new());
+            let (mut frames, mut statuses) = (Frames::default(), Vec::new());
             for part in two.chunks(piece) {
                 frames.take(part);
                 while let Some(object) = frames.whole().expect("good frames") {
-                    seen.push(object["ok"].as_bool());
+                    statuses.push(object["ok"].as_bool());
                 }
             }
-            assert_eq!(seen, [Some(true), Some(false)]);
+            assert_eq!(statuses, [Some(true), Some(false)]);
         }
         let old = br#"{"v":9}"#;
-        for (bytes, names) in [
+        for (bytes, expected) in [
             (vec![255; 4], "at most"),
             ([&4u32.to_be_bytes()[..], b"what"].concat(), "JSON"),
             ([&(old.len() as u32).to_be_bytes()[..], old].concat(), "version 1, found 9"),
@@ -96,7 +96,7 @@
         ] {
             let mut frames = Frames::default();
             frames.take(&bytes);
-            assert!(frames.whole().is_err_and(|why| why.contains(names)), "{names}");
+            assert!(frames.whole().is_err_and(|why| why.contains(expected)), "{expected}");
         }
     }
 }
--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -45,7 +45,7 @@
         let at = self.free.pop().unwrap_or(self.ids.len());
         self.of.insert(id.clone(), at);
         match self.ids.get_mut(at) {
-            Some(place) => *place = id,
+            Some(slot) => *slot = id,
             None => self.ids.push(id),
         }
         at
@@ -129,9 +129,9 @@
 
 /// Looks terms up by path, such as `Services.0.Value`; a list of plain values is joined by commas, and the
 /// length of a list of records stands under `.count`.
-struct Terms<'a>(&'a dyn Fn(&str) -> Option<String>);
+struct Settings<'a>(&'a dyn Fn(&str) -> Option<String>);
 
-impl Terms<'_> {
+impl Settings<'_> {
     fn text(&self, path: &str) -> Option<String> {
         (self.0)(path).filter(|text| !text.is_empty())
     }
@@ -156,10 +156,10 @@
     }
 
     /// A number inside its limits, where it is told.
-    fn within(&self, path: &str, most: f64) -> Result<Option<f64>, String> {
+    fn within(&self, path: &str, max: f64) -> Result<Option<f64>, String> {
         let number = self.opt::<f64>(path)?;
-        match number.filter(|n| !(0.0..=most).contains(n)) {
-            Some(n) => Err(format!("expected a number from 0 to {most} in {path}, found {n}")),
+        match number.filter(|n| !(0.0..=max).contains(n)) {
+            Some(n) => Err(format!("expected a number from 0 to {max} in {path}, found {n}")),
             None => Ok(number),
         }
     }
@@ -203,51 +203,54 @@
 }
 
 /// Builds the router of one instance from the terms it is handed, and tells the level of each txn type.
-pub fn open(seed: u64, term: &dyn Fn(&str) -> Option<String>) -> Result<(Router, Vec<Consistency>), String> {
-    let terms = Terms(term);
-    let kinds: usize = terms.opt("Services.count")?.unwrap_or(0);
-    let types = (0..kinds).map(|i| terms.txn_type(i)).collect::<Result<Vec<_>, _>>()?;
-    let levels = types.iter().map(|kind| kind.consistency).collect();
-    let standing = FrontInfo {
-        index: terms.opt("Me")?.unwrap_or(0),
-        fronts: terms.opt("Balancers")?.unwrap_or(1),
-        zone: terms.opt("Zone")?.unwrap_or(0),
+pub fn open(
+    seed: u64,
+    lookup: &dyn Fn(&str) -> Option<String>,
+) -> Result<(Router, Vec<Consistency>), String> {
+    let settings = Settings(lookup);
+    let type_count: usize = settings.opt("Services.count")?.unwrap_or(0);
+    let types = (0..type_count).map(|i| settings.txn_type(i)).collect::<Result<Vec<_>, _>>()?;
+    let consistencies = types.iter().map(|txn_type| txn_type.consistency).collect();
+    let front = FrontInfo {
+        index: settings.opt("Me")?.unwrap_or(0),
+        fronts: settings.opt("Balancers")?.unwrap_or(1),
+        zone: settings.opt("Zone")?.unwrap_or(0),
     };
     let cold = ColdStart {
-        share: terms.opt("Guarantees.ColdFrom")?.unwrap_or(1.0),
-        warm_up: terms.span("Guarantees.WarmUp")?.unwrap_or_default(),
-        multiple: terms.opt("Guarantees.TipMultiple")?.unwrap_or(1.0),
-        window: terms.span("Guarantees.OverloadFor")?.unwrap_or(Duration::from_secs(1)),
+        share: settings.opt("Guarantees.ColdFrom")?.unwrap_or(1.0),
+        warm_up: settings.span("Guarantees.WarmUp")?.unwrap_or_default(),
+        multiple: settings.opt("Guarantees.TipMultiple")?.unwrap_or(1.0),
+        window: settings.span("Guarantees.OverloadFor")?.unwrap_or(Duration::from_secs(1)),
     };
-    let mut router = Router::new(seed, standing, types, cold);
-    router.set_max_submissions(terms.opt("Bounds.TryLimit")?.unwrap_or(1));
-    if terms.flag("Bounds.Cancel")? {
+    let mut router = Router::new(seed, front, types, cold);
+    router.set_max_submissions(settings.opt("Bounds.TryLimit")?.unwrap_or(1));
+    if settings.flag("Bounds.Cancel")? {
         router.allow_cancelling();
     }
     // Where there are no reports, the answer to a probe tells neither role nor position.
-    let reports = terms.text("LoadInfo.Via").is_none_or(|via| via != "off");
-    router.allow_probes(terms.flag("Bounds.MayProbe")? && reports);
-    if terms.flag("Bounds.RetryAfter")? {
-        router.set_max_retry_after(terms.span("Bounds.MaxRetryAfter")?.unwrap_or_default());
+    let reports = settings.text("LoadInfo.Via").is_none_or(|via| via != "off");
+    router.allow_probes(settings.flag("Bounds.MayProbe")? && reports);
+    if settings.flag("Bounds.RetryAfter")? {
+        router.set_max_retry_after(settings.span("Bounds.MaxRetryAfter")?.unwrap_or_default());
     }
-    if matches!(terms.text("Specifics.ServerChecks").as_deref(), Some("reject" | "hold")) {
+    if matches!(settings.text("Specifics.ServerChecks").as_deref(), Some("reject" | "hold")) {
         router.assume_members_check_reads();
     }
     // By whom a session's writes are remembered says the term alone: where it is the router, a host may still tell an
     // age, and that of none would let a read pass by what its session wrote (rule 5).
-    if terms.text("Specifics.SessionMarks").as_deref() == Some("client") {
+    if settings.text("Specifics.SessionMarks").as_deref() == Some("client") {
         router.trust_client_session_marks();
     }
-    if terms.flag("Guarantees.GoneIsAdvice")? {
+    if settings.flag("Guarantees.GoneIsAdvice")? {
         router.treat_removal_as_advisory();
     }
-    let tenants: usize = terms.opt("Tenants.count")?.unwrap_or(0);
-    let quota = |i: usize| terms.within(&format!("Tenants.{i}.QuotaRps"), f64::MAX);
+    let tenants: usize = settings.opt("Tenants.count")?.unwrap_or(0);
+    let quota = |i: usize| settings.within(&format!("Tenants.{i}.QuotaRps"), f64::MAX);
     let quotas: Option<Vec<f64>> = (0..tenants).map(quota).collect::<Result<_, _>>()?;
-    let beyond = terms.within("OverShareWorth", 1.0)?.unwrap_or(1.0);
+    let over_quota_value = settings.within("OverShareWorth", 1.0)?.unwrap_or(1.0);
     // A tenant without a quota leaves nothing to share out by.
     if let Some(quotas) = quotas.filter(|quotas| !quotas.is_empty()) {
-        router.set_tenant_quotas(&quotas, beyond);
+        router.set_tenant_quotas(&quotas, over_quota_value);
     }
-    Ok((router, levels))
+    Ok((router, consistencies))
 }
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -10,7 +10,7 @@
 /// The longest head of an answer, in bytes.
 const MAX_HEAD: usize = 16 << 10;
 /// A line's memory is kept for the next one up to this many bytes.
-const KEPT_LINE: usize = 16 << 10;
+const RETAINED_LINE: usize = 16 << 10;
 /// What is kept of an answer before it is read, in bytes.
 pub const MAX_UNREAD: usize = 256 << 10;
 
@@ -56,12 +56,12 @@
 /// The answer to one request, as far as it has come.
 #[derive(Debug, Default)]
 pub struct Answer {
-    begun: bool,
+    head_read: bool,
     chunked: bool,
     /// Bytes that are left of the chunk or the body being read, then of its line end.
-    left: usize,
+    remaining: usize,
     line_end: usize,
-    over: bool,
+    complete: bool,
     line: Vec<u8>,
     /// Brackets that are open in it, and whether its end is inside a text, perhaps behind a backslash.
     depth: usize,
@@ -75,9 +75,9 @@
     /// Takes all that can be read from `bytes`; gives the lists that are whole now.
     pub fn take(&mut self, bytes: &mut VecDeque<u8>) -> Result<Vec<ServerList>, Failure> {
         let mut lists = Vec::new();
-        while !self.over {
-            if !self.begun {
-                if !self.head(bytes)? {
+        while !self.complete {
+            if !self.head_read {
+                if !self.read_head(bytes)? {
                     break;
                 }
             } else if self.line_end > 0 {
@@ -86,17 +86,17 @@
                     return Err(malformed(format!("expected the end of a chunk, found byte {byte:#04x}")));
                 }
                 self.line_end -= 1;
-            } else if self.left == 0 {
-                if !self.chunk(bytes)? {
+            } else if self.remaining == 0 {
+                if !self.read_chunk_size(bytes)? {
                     break;
                 }
             } else if bytes.is_empty() {
                 break;
             } else {
-                let n = self.left.min(bytes.len());
-                self.left -= n;
-                self.line_end = if self.left == 0 && self.chunked { 2 } else { 0 };
-                self.over = self.left == 0 && !self.chunked;
+                let n = self.remaining.min(bytes.len());
+                self.remaining -= n;
+                self.line_end = if self.remaining == 0 && self.chunked { 2 } else { 0 };
+                self.complete = self.remaining == 0 && !self.chunked;
                 for byte in bytes.drain(..n) {
                     self.signs += u64::from(byte == b'\n');
                     // Where a list is indented it goes on over line ends up to its last bracket; an empty line is
@@ -106,14 +106,14 @@
                     } else if byte == b'\n' && self.at_line_start() {
                         return Err(malformed("expected the rest of a list, found an empty line"));
                     } else {
-                        self.nest(byte);
+                        self.track_nesting(byte);
                         self.line.push(byte);
                     }
                 }
                 if self.line.len() > MAX_LINE {
                     return Err(malformed(format!("expected a line of at most {MAX_LINE} bytes")));
                 }
-                if self.over {
+                if self.complete {
                     lists.extend(self.end_line()?);
                 }
             }
@@ -123,15 +123,15 @@
 
     /// The list that the line holds, unless it is empty.
     fn end_line(&mut self) -> Result<Option<ServerList>, Failure> {
-        let list = list(&self.line)?;
+        let list = parse_list(&self.line)?;
         self.line.clear();
-        self.line.shrink_to(KEPT_LINE);
+        self.line.shrink_to(RETAINED_LINE);
         Ok(list)
     }
 
     /// The answer has come to its end.
     pub fn over(&self) -> bool {
-        self.over
+        self.complete
     }
 
     /// Nothing has come since the last line end but blanks.
@@ -139,7 +139,7 @@
         self.line.iter().rev().take_while(|byte| byte.is_ascii_whitespace()).any(|&byte| byte == b'\n')
     }
 
-    fn nest(&mut self, byte: u8) {
+    fn track_nesting(&mut self, byte: u8) {
         match byte {
             _ if std::mem::take(&mut self.escaped) => {}
             b'\\' => self.escaped = self.quoted,
@@ -150,7 +150,7 @@
         }
     }
 
-    fn head(&mut self, bytes: &mut VecDeque<u8>) -> Result<bool, Failure> {
+    fn read_head(&mut self, bytes: &mut VecDeque<u8>) -> Result<bool, Failure> {
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut head = httparse::Response::new(&mut headers);
         let length = match head.parse(bytes.make_contiguous()) {
@@ -172,20 +172,20 @@
         if !self.chunked {
             // Without a length the body lasts as long as the connection.
             let length = header("Content-Length").map_or(Ok(usize::MAX), str::parse);
-            self.left = length.map_err(|_| malformed("expected a number in Content-Length"))?;
-            self.over = self.left == 0;
+            self.remaining = length.map_err(|_| malformed("expected a number in Content-Length"))?;
+            self.complete = self.remaining == 0;
         }
-        self.begun = true;
+        self.head_read = true;
         bytes.drain(..length);
         Ok(true)
     }
 
-    fn chunk(&mut self, bytes: &mut VecDeque<u8>) -> Result<bool, Failure> {
+    fn read_chunk_size(&mut self, bytes: &mut VecDeque<u8>) -> Result<bool, Failure> {
         match httparse::parse_chunk_size(bytes.make_contiguous()) {
             Ok(httparse::Status::Complete((length, size))) => {
                 bytes.drain(..length);
-                self.left = usize::try_from(size).map_err(|_| malformed("expected a smaller chunk"))?;
-                self.over = size == 0;
+                self.remaining = usize::try_from(size).map_err(|_| malformed("expected a smaller chunk"))?;
+                self.complete = size == 0;
                 Ok(true)
             }
             Ok(httparse::Status::Partial) if bytes.len() < 1024 => Ok(false),
@@ -194,7 +194,7 @@
     }
 }
 
-fn list(line: &[u8]) -> Result<Option<ServerList>, Failure> {
+fn parse_list(line: &[u8]) -> Result<Option<ServerList>, Failure> {
     let line = line.trim_ascii();
     if line.is_empty() {
         return Ok(None);
--- a/crates/discovery/tests/answer.rs
+++ b/crates/discovery/tests/answer.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 
 #[test]
-fn a_watch_is_put_together_from_any_pieces() {
+fn watch_response_parses_the_same_for_any_split_of_its_bytes() {
     let entry = r#"{"id":"m","addr":"127.0.0.1:5","zone":"a","cell":3,"state":"up","started_ms":0}"#;
     let line = format!("{{\"version\":4,\"full\":true,\"servers\":[{entry}]}}\n\n");
     let (one, two) = line.split_at(30);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_list_may_be_indented_over_lines_and_counts_once_it_is_whole() {
+fn indented_list_is_returned_once_it_is_complete() {
     let entry = r#"{"id":"m}\\\"{","addr":"127.0.0.1:5","cell":3,"state":"up"}"#;
     let line = format!(r#"{{"version":4,"full":true,"servers":[{entry}]}}"#);
     let list = ServerList::parse(line.as_bytes()).expect("a list");
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn what_is_no_list_is_an_error() {
+fn malformed_response_is_an_error() {
     for text in [
         "HTTP/1.1 500 no\r\n\r\n",
         "hello\r\n\r\n",
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_status_says_whether_discovery_is_overloaded() {
+fn status_429_and_503_are_reported_as_overload() {
     for (status, overload) in [(503, true), (429, true), (500, false), (404, false)] {
         let mut bytes = VecDeque::from(format!("HTTP/1.1 {status} no\r\n\r\n").into_bytes());
         let failure = Answer::default().take(&mut bytes).expect_err("no list");
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -90,7 +90,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Control {
     /// Where the socket lies; its folder has to exist. Only its owner may use it.
-    #[garde(custom(named))]
+    #[garde(custom(validate_path))]
     pub path: PathBuf,
 }
 
@@ -98,15 +98,15 @@
 #[serde(deny_unknown_fields)]
 pub struct Snapshot {
     /// Where the file lies; its folder has to exist.
-    #[garde(custom(named))]
+    #[garde(custom(validate_path))]
     pub path: PathBuf,
     /// How often it is written, in seconds.
     #[garde(range(min = 1, max = 600))]
-    #[serde(default = "often")]
+    #[serde(default = "default_snapshot_interval_s")]
     pub every_s: u64,
 }
 
-fn often() -> u64 {
+fn default_snapshot_interval_s() -> u64 {
     5
 }
 
@@ -114,15 +114,15 @@
 #[serde(deny_unknown_fields)]
 pub struct Fellows {
     /// Files with one key each, 64 hex digits: the first seals what goes out, both open what comes in.
-    #[garde(length(min = 1, max = 2), inner(custom(named)))]
+    #[garde(length(min = 1, max = 2), inner(custom(validate_path)))]
     pub keys: Vec<PathBuf>,
     /// Each front asks one other so often, in milliseconds. The same at all fronts.
     #[garde(range(min = 50, max = 10_000))]
-    #[serde(default = "every")]
+    #[serde(default = "default_probe_interval_ms")]
     pub every_ms: u64,
     /// Which version is spoken: the older one while fronts are there that know no other.
     #[garde(range(min = 1, max = 2))]
-    #[serde(default = "newest")]
+    #[serde(default = "latest_version")]
     pub speaks: u8,
     /// Work on behalf of all has one owner at a time: members are asked by a few, `primary move` holds writes at
     /// every front. The same at all fronts.
@@ -131,11 +131,11 @@
     pub duties: bool,
 }
 
-fn every() -> u64 {
+fn default_probe_interval_ms() -> u64 {
     500
 }
 
-fn newest() -> u8 {
+fn latest_version() -> u8 {
     2
 }
 
@@ -183,12 +183,18 @@
 
 impl Default for Held {
     fn default() -> Self {
-        let most = usize::MAX >> 10;
-        Held { of_group: most, of_all: most, kib_of_group: most, kib_of_all: most, untaken_share: 0.45 }
+        let unlimited = usize::MAX >> 10;
+        Held {
+            of_group: unlimited,
+            of_all: unlimited,
+            kib_of_group: unlimited,
+            kib_of_all: unlimited,
+            untaken_share: 0.45,
+        }
     }
 }
 
-fn named(path: &Path, _: &()) -> garde::Result {
+fn validate_path(path: &Path, _: &()) -> garde::Result {
     if path.as_os_str().is_empty() {
         return Err(garde::Error::new("expected a path"));
     }
@@ -235,13 +241,13 @@
 where
     T: DeserializeOwned + JsonSchema + Validate<Context = ()>,
 {
-    let whole: Value = json5::from_str(text).map_err(|e| {
+    let document: Value = json5::from_str(text).map_err(|e| {
         let line = e.position().map(|at| at.line + 1);
         vec![Fault { line, field: String::new(), why: format!("expected JSON5: {e}") }]
     })?;
     let mut faults = Vec::new();
     let schema = schema_of::<T>();
-    unknown(text, &schema, &schema, &whole, &mut Vec::new(), &mut faults);
+    collect_unknown_fields(text, &schema, &schema, &document, &mut Vec::new(), &mut faults);
     if !faults.is_empty() {
         return Err(faults);
     }
@@ -267,7 +273,7 @@
 }
 
 /// Where an entry of a list begins, its brackets and braces counted; comments and texts may mislead it.
-fn entry_of(text: &str, from: usize, number: usize) -> Option<usize> {
+fn offset_of_entry(text: &str, from: usize, number: usize) -> Option<usize> {
     let (mut depth, mut left) = (0, number);
     for (at, c) in text[from..].char_indices() {
         match c {
@@ -302,7 +308,7 @@
         });
         from += at?.0;
         if let Some(entry) = entry {
-            from = entry_of(text, from, entry)?;
+            from = offset_of_entry(text, from, entry)?;
         }
     }
     Some(text[..from].matches('\n').count() + 1)
@@ -321,7 +327,7 @@
 }
 
 /// Notes every name that the schema does not know.
-fn unknown<'a>(
+fn collect_unknown_fields<'a>(
     text: &str,
     root: &Value,
     schema: &Value,
@@ -331,20 +337,22 @@
 ) {
     let schema = resolve(root, schema);
     if let Some(entries) = value.as_array() {
-        entries.iter().for_each(|entry| unknown(text, root, &schema["items"], entry, path, faults));
+        entries
+            .iter()
+            .for_each(|entry| collect_unknown_fields(text, root, &schema["items"], entry, path, faults));
     }
     let (Some(known), Some(fields)) = (schema["properties"].as_object(), value.as_object()) else { return };
     for (name, value) in fields {
         path.push(name);
         match known.get(name) {
-            Some(schema) => unknown(text, root, schema, value, path, faults),
+            Some(schema) => collect_unknown_fields(text, root, schema, value, path, faults),
             None => {
-                let near = known.keys().max_by(|a, b| {
-                    let like = |known: &str| strsim::jaro_winkler(known, name);
-                    like(a).total_cmp(&like(b))
+                let nearest = known.keys().max_by(|a, b| {
+                    let similarity = |known: &str| strsim::jaro_winkler(known, name);
+                    similarity(a).total_cmp(&similarity(b))
                 });
-                let near = near.map(|near| format!("; did you mean {near}?")).unwrap_or_default();
-                let why = format!("not known here{near}");
+                let nearest = nearest.map(|nearest| format!("; did you mean {nearest}?")).unwrap_or_default();
+                let why = format!("not known here{nearest}");
                 faults.push(Fault { line: line_of(text, path), field: path.join("."), why });
             }
         }
@@ -357,12 +365,12 @@
     use super::*;
 
     #[test]
-    fn every_fault_is_told_with_its_line_and_field() {
+    fn every_fault_is_reported_with_its_line_and_field() {
         let text = "{\n  // how we log\n  log: { form: 'json', levle: 'info' },\n  upgrade: {\n    \"redy_ms\": 5,\n  },\n}";
         let faults = read(text).expect_err("two names that are not known");
-        let told: Vec<String> = faults.iter().map(ToString::to_string).collect();
+        let messages: Vec<String> = faults.iter().map(ToString::to_string).collect();
         assert_eq!(
-            told,
+            messages,
             [
                 "line 3, log.levle: not known here; did you mean level?",
                 "line 5, upgrade.redy_ms: not known here; did you mean ready_ms?"
@@ -385,7 +393,7 @@
     }
 
     #[test]
-    fn the_example_is_good() {
+    fn example_file_is_valid_with_and_without_its_optional_sections() {
         let example = include_str!("../../../deploy/juniperdock.json5");
         assert_eq!(read(example).expect("no fault").upgrade.ready_ms, 10_000);
         // With what stands there as a comment, too.
@@ -397,7 +405,7 @@
     }
 
     #[test]
-    fn an_empty_file_is_as_none_and_what_is_written_is_read_again() {
+    fn empty_file_gives_the_defaults_and_a_written_file_reads_back_equal() {
         assert_eq!(read("{}").expect("all off"), Charter::default());
         let full = Charter { control: Some(Control { path: "/run/x".into() }), ..Charter::default() };
         let text = serde_json::to_string(&full).expect("JSON");
--- a/crates/pg/src/lib.rs
+++ b/crates/pg/src/lib.rs
@@ -22,7 +22,7 @@
 pub type Message<'a> = (u8, &'a [u8], usize);
 
 /// One typed message at the head of `bytes`: its type, its body and how long it is in all. `None` until all
-/// of it is there; the error says why what follows can't be followed. No longer one than `most` is waited
+/// of it is there; the error says why what follows can't be followed. No longer one than `max_length` is waited
 /// for.
 ///
 /// ```
@@ -31,12 +31,12 @@
 /// assert_eq!(juniperdock_pg::message(&query[..5], 9), Ok(None));
 /// assert!(juniperdock_pg::message(b"Q\0\0\0\x03", 9).is_err());
 /// ```
-pub fn message(bytes: &[u8], most: usize) -> Result<Option<Message<'_>>, String> {
+pub fn message(bytes: &[u8], max_length: usize) -> Result<Option<Message<'_>>, String> {
     let Some((&kind, rest)) = bytes.split_first() else { return Ok(None) };
     if !kind.is_ascii_alphabetic() {
         return Err(format!("expected a message type, found byte {kind:#04x}"));
     }
-    let Some(length) = length(rest, most)? else { return Ok(None) };
+    let Some(length) = length(rest, max_length)? else { return Ok(None) };
     Ok(rest.get(4..length).map(|body| (kind, body, length + 1)))
 }
 
@@ -51,11 +51,11 @@
     bytes.first_chunk::<4>().map_or(4, |head| u32::from_be_bytes(*head) as usize)
 }
 
-fn length(bytes: &[u8], most: usize) -> Result<Option<usize>, String> {
+fn length(bytes: &[u8], max_length: usize) -> Result<Option<usize>, String> {
     let Some(head) = bytes.first_chunk::<4>() else { return Ok(None) };
     match u32::from_be_bytes(*head) as usize {
-        n if (4..=most).contains(&n) => Ok(Some(n)),
-        n => Err(format!("expected a length from 4 to {most}, found {n}")),
+        n if (4..=max_length).contains(&n) => Ok(Some(n)),
+        n => Err(format!("expected a length from 4 to {max_length}, found {n}")),
     }
 }
 
