--- a/crates/connection/src/connect.rs
+++ b/crates/connection/src/connect.rs
@@ -1,7 +1,7 @@
-//! Opens connections without blocking. A [`Connecting`] is asked after each wake whether its handshake is over; how long
-//! that may take is its owner's to decide, by a clock of its own. The connect with a time limit that `may` offers is not
-//! used: its I/O timers expire after the worker's ready coroutines have run, and what they wake is not looked at before
-//! the next event.
+//! Opens connections without blocking. The owner of a [`Connecting`] checks after each wake whether the handshake
+//! has finished, and enforces its time limit by its own clock. The connect with a timeout that `may` offers is not
+//! used: its I/O timers expire only after the worker's ready coroutines have run, and the coroutines that they wake
+//! do not run before the next event.
 
 use crate::{Bell, BufferLimits, Link, SharedStream, is_shortage};
 use may::io::{CoIo, WaitIo};
@@ -12,13 +12,13 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Why a connection does not come up.
+/// Why a connection could not be established.
 #[derive(Debug)]
 pub enum ConnectError {
-    /// This machine lacks descriptors, ports, memory or buffers just now: says nothing of the other side, and another
-    /// try is worth it.
+    /// This machine temporarily lacks descriptors, ports, memory or buffers. This gives no information about the peer;
+    /// the attempt may be repeated.
     LocalShortage(io::Error),
-    /// The other side refused the connection, or can't be reached.
+    /// The peer refused the connection or is unreachable.
     Failed(io::Error),
 }
 
@@ -46,19 +46,19 @@
 
 impl std::error::Error for ConnectError {}
 
-/// A connection that is coming up. Dropping it gives it up.
+/// A TCP connection whose handshake is in progress. Dropping it aborts the handshake.
 pub struct Connecting {
-    // Dropped in this order: the socket is closed last.
+    // Field order is drop order: the socket is closed last.
     io: CoIo<SharedStream>,
     socket: SharedStream,
     to: SockAddr,
 }
 
 impl Connecting {
-    /// Sends the first packet of the handshake, and waits for nothing.
+    /// Starts the handshake without waiting for it.
     ///
     /// # Errors
-    /// Where the machine refuses at once.
+    /// If the socket can't be created or `connect(2)` fails immediately.
     pub fn begin(to: SocketAddr) -> Result<Connecting, ConnectError> {
         let socket =
             Socket::new(Domain::for_address(to), Type::STREAM, None).map_err(ConnectError::from_io)?;
@@ -66,37 +66,37 @@
         let to = SockAddr::from(to);
         poll_handshake(&socket, &to)?;
         let socket = SharedStream(Arc::new(socket.into()));
-        // Registered once the handshake is under way: a socket before that counts as hung up.
+        // Registered only after `connect(2)`: epoll reports a hang-up for a socket that is not connecting yet.
         let io = CoIo::new(socket.clone()).map_err(|error| ConnectError::from_io(error.into()))?;
         Ok(Connecting { io, socket, to })
     }
 
-    /// Wakes the coroutine that waits for it; of use to the link that it becomes, too.
+    /// Returns a waker for the coroutine that waits here. It stays valid for the link made by [`Self::into_link`].
     pub fn bell(&self) -> Bell {
         Bell(Arc::new(self.io.waker()))
     }
 
-    /// Whether the connection is up by now.
+    /// Whether the connection is established.
     ///
     /// # Errors
-    /// Where the handshake has failed.
+    /// If the handshake has failed.
     pub fn is_up(&self) -> Result<bool, ConnectError> {
         poll_handshake(&SockRef::from(&*self.socket.0), &self.to)
     }
 
-    /// Waits until the machine has something to tell or the bell rings.
+    /// Waits for an event on the socket or a wake-up.
     pub fn wait(&self) {
         self.io.wait_io();
     }
 
-    /// The link over a connection that is up.
+    /// Turns an established connection into a link.
     pub fn into_link(self, limits: BufferLimits) -> Link {
         Link::with_socket(self.io, self.socket, limits)
     }
 }
 
-/// Begins a handshake, or asks for its state: true once the connection is up (EALREADY, EISCONN of connect(2)). A call
-/// that a signal interrupts leaves the handshake under way.
+/// Starts a handshake or polls its state; true once the connection is established (EALREADY, EISCONN of `connect(2)`).
+/// A call that a signal interrupts leaves the handshake in progress.
 fn poll_handshake(socket: &Socket, to: &SockAddr) -> Result<bool, ConnectError> {
     loop {
         let Err(error) = socket.connect(to) else { return Ok(true) };
--- a/crates/connection/src/lib.rs
+++ b/crates/connection/src/lib.rs
@@ -1,5 +1,6 @@
-//! A connection on `may` coroutines. One coroutine owns it: it moves bytes without blocking, then waits until
-//! the socket or another's bell wakes it. One bounded ring buffer a direction; no second descriptor.
+//! Non-blocking sockets for `may` coroutines. Each is owned by one coroutine, which moves bytes without blocking and
+//! then waits for a socket event or for a wake-up by another coroutine. A connection has one bounded ring buffer per
+//! direction and uses a single descriptor.
 
 mod connect;
 mod timer;
@@ -21,21 +22,21 @@
 use std::sync::{Arc, Weak};
 use std::time::{Duration, Instant};
 
-/// What is read at once, and the most memory that an empty buffer keeps over a wait.
+/// Bytes per read call, and the largest capacity that an empty buffer keeps during a wait.
 const READ_CHUNK: usize = 4096;
 
-/// How far the bytes of an attempt had come.
+/// How far an attempt got in sending its bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reached {
-    /// No connection came up.
+    /// No connection was established.
     Nothing,
-    /// A connection, but not all that was to be written has been.
+    /// A connection was established, but not all bytes were written.
     Connection,
-    /// All that was to be written has been handed to the machine.
+    /// All bytes were handed to the kernel.
     Written,
 }
 
-/// Why a connection can't go on, and how far it had come.
+/// Why a connection failed, and how far it got.
 #[derive(Debug)]
 pub struct Failure {
     pub reached: Reached,
@@ -50,19 +51,21 @@
 
 impl std::error::Error for Failure {}
 
-/// Wakes the coroutine that waits on a link.
+/// Wakes the coroutine that waits on a socket.
 #[derive(Clone)]
 pub struct Bell(Arc<WaitIoWaker>);
 
 impl Bell {
+    /// Wakes the waiting coroutine.
     pub fn ring(&self) {
         self.0.wakeup();
     }
 }
 
-/// The socket of a connection. Its selector lets go of a descriptor only after it has dropped its
-/// socket; were that the last one here, the descriptor would be closed by then, and where another process has
-/// it too, the machine would go on telling this process of it, at a place in memory that is free again.
+/// The socket of a connection, shared so that it outlives its `CoIo`. `CoIo` unregisters the descriptor from epoll only
+/// after it has dropped its socket. If that were the last reference, the descriptor would already be closed; where
+/// another process holds a duplicate, epoll would go on reporting events to this process, with a pointer to freed
+/// memory.
 #[derive(Clone)]
 struct SharedStream(Arc<std::net::TcpStream>);
 
@@ -72,58 +75,60 @@
     }
 }
 
-/// Asks the machine whether the other side of a connection that came in has left, without holding the socket open.
+/// Checks whether the peer of an accepted connection has left, without keeping the socket open.
 #[derive(Clone)]
 pub struct PeerWatch(Weak<std::net::TcpStream>);
 
 impl PeerWatch {
-    /// The connection is closed here, or the other side has ended its sending or is gone, as far as the machine knows.
+    /// Whether the connection is closed on this side, or the kernel has seen the peer's end of stream or its reset.
     pub fn has_left(&self) -> bool {
         self.0.upgrade().is_none_or(|stream| is_hung_up(&stream))
     }
 }
 
-/// A socket that the other side has reset, closed or ended its sending on, also behind bytes that are not read yet.
+/// Whether the peer has reset, closed or half-closed the connection, even if bytes before that are still unread.
 fn is_hung_up(stream: &std::net::TcpStream) -> bool {
     let hangup_events = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
     let mut poll_fds = [PollFd::new(stream, hangup_events)];
     poll(&mut poll_fds, Some(&Timespec::default())).is_ok() && poll_fds[0].revents().intersects(hangup_events)
 }
 
-/// The machine is short of something that others use, too (`socket(2)`, `listen(2)`): worth another try.
+/// Whether an error means a temporary shortage of a shared resource (`socket(2)`, `listen(2)`): a retry may succeed.
 fn is_shortage(error: &std::io::Error) -> bool {
     let errors = [Errno::NOBUFS, Errno::NOMEM, Errno::NFILE, Errno::MFILE, Errno::INTR];
     Errno::from_io_error(error).is_some_and(|error| errors.contains(&error))
 }
 
-/// The machine is short of memory or buffers just now: says nothing of the connection (`send(2)`, `recv(2)`). Told as
-/// progress, so that whoever moves bytes tries again.
+/// Whether an error means a temporary shortage of memory or buffers (`send(2)`, `recv(2)`), which gives no information
+/// about the connection. It is reported as progress, so that the caller tries again.
 fn is_transient(error: &std::io::Error) -> bool {
     matches!(Errno::from_io_error(error), Some(Errno::NOBUFS | Errno::NOMEM))
 }
 
-/// How much a link keeps each way, in bytes.
+/// Buffer limits of a link, in bytes per direction.
 #[derive(Clone, Copy, Debug)]
 pub struct BufferLimits {
     pub inbound: usize,
     pub outbound: usize,
 }
 
+/// A stream connection with bounded buffers, owned by one coroutine.
 pub struct Link {
-    // Dropped in this order: the socket is closed last.
+    // Field order is drop order: the socket is closed last.
     io: CoIo<SharedStream>,
     socket: SharedStream,
+    /// Bytes received and not consumed yet.
     pub inbound: VecDeque<u8>,
     outbound: VecDeque<u8>,
     limits: BufferLimits,
-    /// The other side has ended its sending.
+    /// The end of the peer's stream has been read.
     pub ended: bool,
-    /// The machine was short of memory or buffers when bytes were last moved.
+    /// The last transfer of bytes met a shortage of memory or buffers.
     short: bool,
 }
 
 impl Link {
-    /// A connection that came in, from the listener or from another process.
+    /// Wraps a connected stream that was accepted here or received from another process.
     pub fn came(stream: std::net::TcpStream, limits: BufferLimits) -> Result<Link, Failure> {
         let failed = |why: String| Failure { reached: Reached::Nothing, why };
         let socket = SharedStream(Arc::new(stream));
@@ -132,53 +137,59 @@
     }
 
     fn with_socket(io: CoIo<SharedStream>, socket: SharedStream, limits: BufferLimits) -> Link {
-        // Where it fails, small messages may come later; that is no reason to end the connection.
+        // On failure small messages may be delayed, which is no reason to close the connection.
         let _ = socket.0.set_nodelay(true);
         let (inbound, outbound) = (VecDeque::new(), VecDeque::new());
         Link { io, socket, inbound, outbound, limits, ended: false, short: false }
     }
 
-    /// A descriptor of the same connection, for another process. Whoever reads it takes from the other.
+    /// Duplicates the descriptor for another process. Bytes that one of the two reads are lost to the other.
     pub fn descriptor(&self) -> Result<OwnedFd, Failure> {
         let failed = |e: std::io::Error| Failure { reached: Reached::Connection, why: e.to_string() };
         self.socket.0.try_clone().map(OwnedFd::from).map_err(failed)
     }
 
+    /// Returns a waker for the coroutine that waits on this link.
     pub fn bell(&self) -> Bell {
         Bell(Arc::new(self.io.waker()))
     }
 
-    /// Whether all that was queued has been handed to the machine.
+    /// Whether all queued bytes have been handed to the kernel.
     pub fn flushed(&self) -> bool {
         self.outbound.is_empty()
     }
 
+    /// The number of queued bytes not yet handed to the kernel.
     pub fn unsent(&self) -> usize {
         self.outbound.len()
     }
 
-    /// Whether the other side has ended its sending or is gone, as far as the machine knows, though bytes before
-    /// that end are not read yet: where the buffer is full, its end can't be read. What the other side could not
-    /// yet hand over, its end too, is not known here.
+    /// Whether the kernel has seen the peer's end of stream or its reset, even if bytes before that are still unread:
+    /// with a full buffer the end can't be reached by reading. An end that is still in the peer's send buffer, behind
+    /// bytes that it can't deliver yet, is not visible here.
     pub fn has_left(&self) -> bool {
         self.ended || is_hung_up(&self.socket.0)
     }
 
-    /// For others who act for the client at the other end.
+    /// Returns a handle for code outside this coroutine that acts on behalf of the peer.
     pub fn peer_watch(&self) -> PeerWatch {
         PeerWatch(Arc::downgrade(&self.socket.0))
     }
 
-    /// The machine was short of memory or buffers when bytes were last moved: whoever tries again does so after a pause.
+    /// Whether the last transfer met a shortage of memory or buffers. The caller is to pause before it tries again.
     pub fn is_short(&self) -> bool {
         self.short
     }
 
-    /// From now on nothing is read while so many bytes are kept.
+    /// Stops reading while `inbound` holds this many bytes or more.
     pub fn set_read_limit(&mut self, bytes: usize) {
         self.limits.inbound = bytes;
     }
 
+    /// Appends bytes to the outbound buffer.
+    ///
+    /// # Errors
+    /// If they do not fit into its limit.
     pub fn queue(&mut self, bytes: &[u8]) -> Result<(), Failure> {
         if bytes.len() > self.limits.outbound.saturating_sub(self.outbound.len()) {
             return Err(self.failure("the other side does not read".to_owned()));
@@ -192,13 +203,13 @@
         Failure { reached, why }
     }
 
-    /// Moves what can be moved both ways without waiting; true if anything moved.
+    /// Writes and reads as much as possible without waiting; true if any bytes moved.
     pub fn pump(&mut self) -> Result<bool, Failure> {
         let moved = self.flush()?;
         Ok(self.read()? || moved)
     }
 
-    /// Hands over what can be without waiting, and reads nothing unless that fails; true if anything moved.
+    /// Writes as much as possible without waiting; reads only if that fails. True if any bytes moved.
     pub fn flush(&mut self) -> Result<bool, Failure> {
         let mut moved = false;
         self.short = false;
@@ -216,7 +227,7 @@
                     self.short = true;
                     return Ok(true);
                 }
-                // What the other side sent before it ended may still be there to be read.
+                // Bytes that the peer sent before the connection ended may still be readable.
                 Err(e) => {
                     let failure = self.failure(e.to_string());
                     self.read()?;
@@ -240,7 +251,7 @@
                 Ok(n) => {
                     self.inbound.extend(&piece[..n]);
                     moved = true;
-                    // All there was; what comes after ends the next wait at once.
+                    // The receive buffer is drained; bytes that arrive later end the next wait at once.
                     if n < space {
                         break;
                     }
@@ -257,8 +268,8 @@
         Ok(moved)
     }
 
-    /// Waits until the socket has something to tell or the bell rings. One large message does not make a
-    /// connection large for the rest of its life.
+    /// Waits for an event on the socket or a wake-up. Empty buffers that have grown are freed first, so that one large
+    /// message does not increase the connection's memory for good.
     pub fn wait(&mut self) {
         for buffer in [&mut self.inbound, &mut self.outbound] {
             if buffer.is_empty() && buffer.capacity() > READ_CHUNK {
@@ -268,27 +279,27 @@
         self.io.wait_io();
     }
 
-    /// Ends the sending; what was handed to the machine still goes out.
+    /// Shuts down the sending side; bytes already handed to the kernel are still sent.
     pub fn close(&self) {
-        // It may have ended already; either way nothing more is sent.
+        // An error means that the connection has already ended; either way nothing more is sent.
         let _ = self.socket.0.shutdown(Shutdown::Write);
     }
 }
 
-/// A listener whose connections are taken in by one coroutine.
+/// A TCP listener whose connections are accepted by one coroutine.
 pub struct Door {
     listener: CoIo<std::net::TcpListener>,
-    /// Another process has it too.
+    /// The descriptor was duplicated for another process.
     shared: AtomicBool,
 }
 
 impl Door {
-    /// Connections beyond this many wait for their turn at the machine's own door.
+    /// Limit of the kernel's queue of connections that are not accepted yet.
     const BACKLOG: i32 = 1024;
-    /// Between two tries to open one.
+    /// Pause between two attempts to listen.
     const RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-    /// Where the machine is short of descriptors or buffers just now it is tried again, for so long. Blocks its thread.
+    /// Listens at an address. If descriptors or buffers are short, retries for up to `retry_for`, blocking the thread.
     pub fn open(at: SocketAddr, retry_for: Duration) -> Result<Door, String> {
         let started = Instant::now();
         loop {
@@ -311,32 +322,33 @@
         Ok(socket.into())
     }
 
-    /// One that was opened by another process.
+    /// Wraps a listener that another process opened.
     pub fn of(listener: std::net::TcpListener) -> Result<Door, String> {
         let new = |listener| Door { listener, shared: AtomicBool::new(false) };
         CoIo::new(listener).map(new).map_err(|e| format!("listening: {e}"))
     }
 
-    /// A descriptor of the same listener.
+    /// Duplicates the descriptor for another process; from then on [`Self::shut`] has no effect.
     pub fn descriptor(&self) -> Result<OwnedFd, String> {
         self.shared.store(true, Ordering::Release);
         self.listener.inner().try_clone().map(OwnedFd::from).map_err(|e| format!("listening: {e}"))
     }
 
+    /// Returns a waker for the coroutine that accepts.
     pub fn bell(&self) -> Bell {
         Bell(Arc::new(self.listener.waker()))
     }
 
-    /// From now on the machine refuses who comes. Who has come and was not taken in is reset: they are to be taken
-    /// in before. One that another process has too stays open for that.
+    /// Makes the kernel refuse new connections. Connections that are still queued are reset, so they are to be accepted
+    /// before. A listener that another process holds too is left open for it.
     pub fn shut(&self) {
         if !self.shared.load(Ordering::Acquire) {
-            // One that is shut already stays so.
+            // An error means that it is shut down already.
             let _ = SockRef::from(self.listener.inner()).shutdown(Shutdown::Both);
         }
     }
 
-    /// The next connection; `None` once the bell has rung and none is there.
+    /// Accepts the next connection, waiting once if there is none; `None` if it was woken without a connection.
     pub fn next(&self) -> std::io::Result<Option<std::net::TcpStream>> {
         for waited in [false, true] {
             match accept(self.listener.inner()) {
@@ -352,7 +364,7 @@
     }
 }
 
-/// Accepts; a call that a signal interrupts is made again, as it says nothing of who waits.
+/// Accepts a connection, and repeats a call that a signal interrupted.
 fn accept(listener: &std::net::TcpListener) -> std::io::Result<(std::net::TcpStream, SocketAddr)> {
     loop {
         match listener.accept() {
@@ -362,53 +374,55 @@
     }
 }
 
-/// A socket for datagrams, owned by one coroutine.
+/// A UDP socket owned by one coroutine.
 pub struct Post(CoIo<UdpSocket>);
 
 impl Post {
+    /// Binds a socket to an address.
     pub fn open(at: SocketAddr) -> Result<Post, String> {
         let failed = |e: &dyn fmt::Display| format!("datagrams at {at}: {e}");
         CoIo::new(UdpSocket::bind(at).map_err(|e| failed(&e))?).map(Post).map_err(|e| failed(&e))
     }
 
+    /// Returns a waker for the coroutine that waits on this socket.
     pub fn bell(&self) -> Bell {
         Bell(Arc::new(self.0.waker()))
     }
 
-    /// The next datagram that is there, and whose it is; cut where the buffer ends.
+    /// Receives a datagram without waiting and returns its length and sender. It is truncated to the buffer.
     pub fn receive(&self, buffer: &mut [u8]) -> Option<(usize, SocketAddr)> {
         loop {
             match self.0.inner().recv_from(buffer) {
                 Ok(received) => return Some(received),
-                // What the machine tells of one that was sent to nobody is no datagram.
+                // A refusal reports an earlier datagram that had no receiver; it is no datagram itself.
                 Err(e) if e.kind() == ErrorKind::Interrupted || e.kind() == ErrorKind::ConnectionRefused => {}
                 Err(_) => return None,
             }
         }
     }
 
-    /// Hands a datagram to the machine; one that it does not take is lost, as on the way.
+    /// Sends a datagram without waiting; one that the kernel does not accept is lost, like one lost on the network.
     pub fn send(&self, to: SocketAddr, datagram: &[u8]) -> bool {
         self.0.inner().send_to(datagram, to).is_ok()
     }
 
-    /// Waits until there is something to read or the bell rings.
+    /// Waits until a datagram arrives or another coroutine wakes this one.
     pub fn wait(&self) {
         self.0.wait_io();
     }
 }
 
-/// Lets the other coroutines run before this one goes on.
+/// Yields to the other coroutines.
 pub fn give_way() {
     may::coroutine::yield_now();
 }
 
-/// Starts a coroutine with a stack of so many bytes.
+/// Starts a coroutine with a stack of `stack` bytes.
 pub fn spawn(name: &str, stack: usize, body: impl FnOnce() + Send + 'static) -> Result<(), String> {
     let builder = Builder::new().name(name.to_owned()).stack_size(stack / size_of::<usize>());
-    // SAFETY: `may` asks that a coroutine uses no thread-local across a wait and stays inside its stack. All
-    // coroutines run on one worker thread, so a thread-local met after a wait is the same one; no actor keeps
-    // a borrow of one over a wait. Stacks end in a guard page, and their sizes leave a measured margin.
+    // SAFETY: `may` requires that a coroutine uses no thread-local across a wait and stays inside its stack. All
+    // coroutines run on one worker thread, so a thread-local is the same before and after a wait, and no coroutine
+    // holds a borrow of one across a wait. Stacks end in a guard page, and their sizes leave a margin.
     #[allow(unsafe_code)]
     unsafe { builder.spawn(body) }.map(drop).map_err(|e| format!("starting {name}: {e}"))
 }
@@ -418,10 +432,10 @@
     use super::*;
     use std::sync::mpsc::channel;
 
-    /// A link over a connection that is opened here.
+    /// Opens a connection and returns a link over it.
     fn open(at: SocketAddr, outbound: usize) -> Link {
         let connecting = Connecting::begin(at).expect("a handshake");
-        while !connecting.is_up().expect("it comes up") {
+        while !connecting.is_up().expect("the handshake succeeds") {
             std::thread::sleep(Duration::from_millis(1));
         }
         connecting.into_link(BufferLimits { inbound: 4096, outbound })
@@ -431,12 +445,12 @@
     fn failure_with_unsent_bytes_reports_connection_and_with_none_reports_written() {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free address");
         let at = listener.local_addr().expect("an address");
-        // More than the machine takes from one that is not read by the other side.
+        // More than the kernel buffers for a peer that does not read.
         let long = vec![b'x'; 64 << 20];
         let mut link = open(at, long.len());
         let (peer, _) = listener.accept().expect("a connection");
-        link.queue(&long).expect("room");
-        assert!(link.pump().expect("some of it goes") && !link.flushed());
+        link.queue(&long).expect("space in the buffer");
+        assert!(link.pump().expect("some bytes are written") && !link.flushed());
         drop(peer);
         let failure = loop {
             match link.pump() {
@@ -445,11 +459,11 @@
             }
         };
         assert_eq!(failure.reached, Reached::Connection, "{failure}");
-        // All of a short one was handed over: it may have run.
+        // All bytes of a short message were handed over, so the peer may have processed it.
         let mut link = open(at, 4096);
         let (peer, _) = listener.accept().expect("a connection");
-        link.queue(b"short").expect("room");
-        assert!(link.pump().expect("it goes") && link.flushed());
+        link.queue(b"short").expect("space in the buffer");
+        assert!(link.pump().expect("all bytes are written") && link.flushed());
         drop(peer);
         let failure = loop {
             match link.pump() {
@@ -470,7 +484,7 @@
         let (sender, results) = channel();
         let waker = listener.bell();
         spawn("door", 64 << 10, move || {
-            // One connection, then the bell with nobody there, then one through the same listener taken over.
+            // One connection, then a wake-up without one, then a connection through the duplicated listener.
             let accepted = listener.next().map(|stream| stream.is_some());
             let _ = sender.send(accepted.ok());
             let woken = listener.next().map(|stream| stream.is_some());
@@ -485,11 +499,11 @@
             );
         })
         .expect("a coroutine");
-        let wait = || results.recv_timeout(Duration::from_secs(20)).expect("word");
+        let wait = || results.recv_timeout(Duration::from_secs(20)).expect("a result");
         let _first = std::net::TcpStream::connect(at).expect("a connection");
         assert_eq!(wait(), Some(true));
         waker.ring();
-        assert_eq!(wait(), Some(false), "nobody came");
+        assert_eq!(wait(), Some(false), "no connection");
         let _second = std::net::TcpStream::connect(at).expect("the listener is still open");
         assert_eq!(wait(), Some(true));
     }
--- a/crates/connection/src/timer.rs
+++ b/crates/connection/src/timer.rs
@@ -1,6 +1,7 @@
-//! A timer that the worker's own epoll watches (timerfd_create(2), monotonic clock): it wakes its coroutine without another
-//! thread. Other threads do not wake coroutines by the wakers of `may`: those push to a lock-free queue, and while a thread
-//! that has taken a place there does not run, the worker spins on that place.
+//! A timer based on `timerfd_create(2)` and the monotonic clock. The worker's own epoll watches it, so it wakes its
+//! coroutine without another thread. Other threads must not wake coroutines by the wakers of `may`: those push to a
+//! lock-free queue, and while a thread that has reserved an entry there is not scheduled, the worker spins on that
+//! entry.
 
 use crate::is_shortage;
 use may::io::{CoIo, WaitIo};
@@ -14,23 +15,23 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The machine's monotonic clock (clock_gettime(2), CLOCK_MONOTONIC), the same in all its processes.
+/// Reads CLOCK_MONOTONIC, which is the same in all processes of this machine.
 pub fn monotonic() -> Duration {
     let now = clock_gettime(ClockId::Monotonic);
     Duration::new(now.tv_sec as u64, now.tv_nsec as u32)
 }
 
-/// How long the machine has been up, time suspended with it (CLOCK_BOOTTIME).
+/// The time since boot, including time in suspend (CLOCK_BOOTTIME).
 pub fn since_boot() -> Duration {
     let now = clock_gettime(ClockId::Boottime);
     Duration::new(now.tv_sec as u64, now.tv_nsec as u32)
 }
 
-/// Between two tries to open one.
+/// Pause between two attempts to create a timer.
 const RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// A timer that is set to nothing would never fire.
+/// Smallest delay: a value of zero would disarm the timer.
 const MIN_DELAY: Duration = Duration::from_nanos(1);
-/// The farthest that a timer is set.
+/// Largest delay; a longer one is cut to this.
 const MAX_DELAY: Duration = Duration::from_secs(3600);
 
 #[derive(Clone)]
@@ -48,22 +49,22 @@
     }
 }
 
-/// Sets the timer; from any thread.
+/// Arms a [`Timer`]. May be used from any thread.
 #[derive(Clone)]
 pub struct TimerSetter(Descriptor);
 
-/// Waits for the timer; for one coroutine.
+/// A timer that one coroutine waits on.
 pub struct Timer {
-    // Dropped in this order: the descriptor is closed last.
+    // Field order is drop order: the descriptor is closed last.
     io: CoIo<Descriptor>,
     descriptor: Descriptor,
 }
 
 impl Timer {
-    /// Where the machine is short of descriptors or memory just now it is tried again, for so long. Blocks its thread.
+    /// Creates a timer. If descriptors or memory are short, retries for up to `retry_for`; this blocks the thread.
     ///
     /// # Errors
-    /// What the machine says last.
+    /// The error of the last attempt.
     pub fn open(retry_for: Duration) -> io::Result<Timer> {
         let started = Instant::now();
         loop {
@@ -83,27 +84,28 @@
         Ok(Timer { io, descriptor })
     }
 
+    /// Returns a handle that arms this timer.
     pub fn setter(&self) -> TimerSetter {
         TimerSetter(self.descriptor.clone())
     }
 
-    /// Waits until it fires, or returns at once if it has since this was called last. May return too early.
+    /// Waits until the timer fires; returns at once if it has fired since the last call. May wake spuriously.
     pub fn wait(&self) {
         self.io.wait_io();
-        // How often it has fired is of no use; read, so that it can be told anew.
+        // The expiration count is not used; reading it re-arms the notification.
         let mut fired = [0; size_of::<u64>()];
         while let Err(Errno::INTR) = read(&self.descriptor, &mut fired) {}
     }
 }
 
 impl TimerSetter {
-    /// It fires after so long, once, in place of whenever it was set to fire; after an hour at the latest.
+    /// Makes the timer fire once after the given delay, at most one hour, and replaces any earlier setting.
     pub fn set(&self, after: Duration) {
         let after = after.clamp(MIN_DELAY, MAX_DELAY);
         let it_value = Timespec { tv_sec: after.as_secs() as i64, tv_nsec: i64::from(after.subsec_nanos()) };
         let it_interval = Timespec { tv_sec: 0, tv_nsec: 0 };
         let spec = Itimerspec { it_interval, it_value };
-        // It fails for descriptors and times that are none only (timerfd_settime(2)).
+        // `timerfd_settime(2)` fails only for an invalid descriptor or time, neither of which can occur here.
         let _ = timerfd_settime(&self.0, TimerfdTimerFlags::empty(), &spec);
     }
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the control socket speaks: a length of four bytes in network order, then an object in JSON that names
-//! its version. No sockets.
+//! Framing of the control socket's protocol: a length of four bytes in network byte order, then a JSON object with the
+//! protocol version in `v`. Does no I/O.
 //!
 //! ```
 //! use juniperdock_control::{Frames, frame};
@@ -15,12 +15,12 @@
 
 use serde_json::Value;
 
-/// The version that is spoken here, told in every frame.
+/// The protocol version, sent in every frame.
 pub const VERSION: u64 = 1;
-/// The most bytes of one frame.
+/// The largest body of a frame, in bytes.
 pub const LONGEST: usize = 1 << 20;
 
-/// An object as a frame; its version is put in.
+/// Encodes an object as a frame and adds the protocol version.
 pub fn frame(object: &Value) -> Vec<u8> {
     let mut object = object.clone();
     object["v"] = VERSION.into();
@@ -28,28 +28,32 @@
     [&(body.len() as u32).to_be_bytes()[..], &body].concat()
 }
 
-/// An answer: what was asked for.
+/// Builds a successful reply with its result.
 pub fn good(what: Value) -> Value {
     serde_json::json!({ "ok": true, "is": what })
 }
 
-/// An answer: why it can't be had.
+/// Builds an error reply with its reason.
 pub fn fault(why: &str) -> Value {
     serde_json::json!({ "ok": false, "why": why })
 }
 
-/// What came in, put together again.
+/// Reassembles frames from received bytes.
 #[derive(Debug, Default)]
 pub struct Frames {
     bytes: Vec<u8>,
 }
 
 impl Frames {
+    /// Appends received bytes.
     pub fn take(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The next whole object; the error says why what follows can't be followed.
+    /// Returns the next object, or `None` while its frame is incomplete.
+    ///
+    /// # Errors
+    /// If the frame is too long, is no JSON or has another version. The connection can't be used any further.
     pub fn whole(&mut self) -> Result<Option<Value>, String> {
         let Some(head) = self.bytes.first_chunk::<4>() else { return Ok(None) };
         let length = u32::from_be_bytes(*head) as usize;
@@ -81,7 +85,7 @@
             let (mut frames, mut statuses) = (Frames::default(), Vec::new());
             for part in two.chunks(piece) {
                 frames.take(part);
-                while let Some(object) = frames.whole().expect("good frames") {
+                while let Some(object) = frames.whole().expect("valid frames") {
                     statuses.push(object["ok"].as_bool());
                 }
             }
--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -1,5 +1,5 @@
-//! What every host of the router shares: the terms handed at start become the router's types, and ids that
-//! come in become small indices. Only translated here; nothing is chosen.
+//! Code shared by all hosts of the router: converts the settings given at start into the router's types, and ids into
+//! small indices. It only translates; it decides nothing.
 
 use juniperdock_router::host::{ColdStart, Consistency, Effect, FrontInfo, Report, Role, Scope, TxnType};
 use juniperdock_router::routing::Router;
@@ -9,7 +9,8 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Ids in the order in which they were first met; the index of a forgotten one goes to the next new one.
+/// Assigns small indices to ids in the order in which they first occur. The index of a forgotten id is reused for the
+/// next new one.
 ///
 /// ```
 /// use juniperdock_deployment::Indices;
@@ -38,6 +39,7 @@
 }
 
 impl<K: Clone + Eq + Hash> Indices<K> {
+    /// Returns the index of an id, assigning one if it is new.
     pub fn index(&mut self, id: K) -> usize {
         if let Some(&at) = self.of.get(&id) {
             return at;
@@ -51,12 +53,14 @@
         at
     }
 
+    /// Removes an id and frees its index for reuse.
     pub fn forget(&mut self, index: usize) {
         if self.of.remove(&self.ids[index]).is_some() {
             self.free.push(index);
         }
     }
 
+    /// Returns the index of an id if it has one.
     pub fn known<Q: Eq + Hash + ?Sized>(&self, id: &Q) -> Option<usize>
     where
         K: Borrow<Q>,
@@ -64,20 +68,23 @@
         self.of.get(id).copied()
     }
 
+    /// Returns the id at an index; after [`Self::forget`], the removed id until the index is reused.
     pub fn id(&self, index: usize) -> &K {
         &self.ids[index]
     }
 
+    /// The number of indices ever assigned, including free ones.
     pub fn len(&self) -> usize {
         self.ids.len()
     }
 
+    /// Whether no index was ever assigned.
     pub fn is_empty(&self) -> bool {
         self.ids.is_empty()
     }
 }
 
-/// Where an instance's time starts and where positions count from, in microseconds of the host's clock.
+/// The start time of an instance and the zero point of replay positions, in microseconds of the host's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Origin {
     pub start: i64,
@@ -85,28 +92,34 @@
 }
 
 impl Origin {
+    /// The time from the start to a reading of the host's clock; zero for a reading before it.
     pub fn since_start(&self, clock: i64) -> Duration {
         span(clock - self.start)
     }
 
-    /// A position from before the start proves nothing that this instance can use.
+    /// Converts a replay position to time since the start. `None` for one before the start, which proves nothing that
+    /// this instance can use.
     pub fn position(&self, micros: i64) -> Option<Duration> {
         let since = self.zero.checked_add(micros)?.checked_sub(self.start)?;
         u64::try_from(since).ok().map(Duration::from_micros)
     }
 }
 
+/// Converts microseconds to a duration; negative values become zero.
 pub fn span(micros: i64) -> Duration {
     Duration::from_micros(micros.max(0) as u64)
 }
 
-/// Milliseconds to microseconds, where they can be told.
+/// Converts milliseconds to microseconds; `None` if they are not finite or out of range.
 pub fn micros(ms: f64) -> Option<i64> {
     let us = (ms * 1000.0).round();
     (us.is_finite() && us.abs() < 9e15).then_some(us as i64)
 }
 
-/// Reads a member's report of itself; fields that are not known are passed by.
+/// Parses the report of a member about itself; unknown fields are ignored.
+///
+/// # Errors
+/// If a value is not a finite number.
 pub fn report<'a>(
     fields: impl Iterator<Item = (&'a str, &'a str)>,
     origin: &Origin,
@@ -116,7 +129,7 @@
         let number = || value.parse::<f64>().ok().filter(|v| v.is_finite());
         let value = number().ok_or_else(|| format!("expected a number in {name}, found {value:?}"))?;
         match name {
-            // Rounded down: a position must never be claimed that was not reached.
+            // Rounded down: a position that was not reached must never be claimed.
             "x0" => report.position = origin.position((value * 1e6 + 1e-3).floor() as i64),
             "x1" => report.role = Some(if value > 0.5 { Role::Primary } else { Role::Replica }),
             "q" => report.queue = Some(value),
@@ -127,8 +140,8 @@
     Ok(report)
 }
 
-/// Looks terms up by path, such as `Services.0.Value`; a list of plain values is joined by commas, and the
-/// length of a list of records stands under `.count`.
+/// Looks settings up by path, such as `Services.0.Value`. A list of plain values is joined by commas, and the length of
+/// a list of records is found under `.count`.
 struct Settings<'a>(&'a dyn Fn(&str) -> Option<String>);
 
 impl Settings<'_> {
@@ -155,7 +168,7 @@
         }
     }
 
-    /// A number inside its limits, where it is told.
+    /// Returns the number at `path`, if it is set; it must lie between 0 and `max`.
     fn within(&self, path: &str, max: f64) -> Result<Option<f64>, String> {
         let number = self.opt::<f64>(path)?;
         match number.filter(|n| !(0.0..=max).contains(n)) {
@@ -202,7 +215,10 @@
     }
 }
 
-/// Builds the router of one instance from the terms it is handed, and tells the level of each txn type.
+/// Builds the router of one instance from its settings; returns it with the consistency level of each txn type.
+///
+/// # Errors
+/// If a setting has an invalid value.
 pub fn open(
     seed: u64,
     lookup: &dyn Fn(&str) -> Option<String>,
@@ -227,7 +243,7 @@
     if settings.flag("Bounds.Cancel")? {
         router.allow_cancelling();
     }
-    // Where there are no reports, the answer to a probe tells neither role nor position.
+    // Without reports, the answer to a probe contains neither role nor position.
     let reports = settings.text("LoadInfo.Via").is_none_or(|via| via != "off");
     router.allow_probes(settings.flag("Bounds.MayProbe")? && reports);
     if settings.flag("Bounds.RetryAfter")? {
@@ -236,8 +252,8 @@
     if matches!(settings.text("Specifics.ServerChecks").as_deref(), Some("reject" | "hold")) {
         router.assume_members_check_reads();
     }
-    // By whom a session's writes are remembered says the term alone: where it is the router, a host may still tell an
-    // age, and that of none would let a read pass by what its session wrote (rule 5).
+    // Only this setting decides who tracks the writes of a session. Where the router does, a host may still pass an
+    // age, and trusting a missing one would let a read miss what its own session wrote (rule 5).
     if settings.text("Specifics.SessionMarks").as_deref() == Some("client") {
         router.trust_client_session_marks();
     }
@@ -248,7 +264,7 @@
     let quota = |i: usize| settings.within(&format!("Tenants.{i}.QuotaRps"), f64::MAX);
     let quotas: Option<Vec<f64>> = (0..tenants).map(quota).collect::<Result<_, _>>()?;
     let over_quota_value = settings.within("OverShareWorth", 1.0)?.unwrap_or(1.0);
-    // A tenant without a quota leaves nothing to share out by.
+    // Quotas apply only if every tenant has one.
     if let Some(quotas) = quotas.filter(|quotas| !quotas.is_empty()) {
         router.set_tenant_quotas(&quotas, over_quota_value);
     }
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,30 +1,30 @@
-//! The server list over HTTP/1.1: the request for a watch, and its answer put together again from whatever
-//! pieces it comes in. No sockets: bytes in, lists out.
+//! The server list over HTTP/1.1: builds the watch request and parses its response incrementally, however the bytes are
+//! split. Does no I/O.
 
 use juniperdock_server_list::ServerList;
 use std::collections::VecDeque;
 use std::fmt;
 
-/// The longest line that is taken, in bytes: 20,000 servers of 400 bytes each.
+/// The longest line accepted, in bytes: 20,000 servers of 400 bytes each.
 pub const MAX_LINE: usize = 8 << 20;
-/// The longest head of an answer, in bytes.
+/// The longest response head accepted, in bytes.
 const MAX_HEAD: usize = 16 << 10;
-/// A line's memory is kept for the next one up to this many bytes.
+/// The capacity of the line buffer that is kept for the next line, in bytes.
 const RETAINED_LINE: usize = 16 << 10;
-/// What is kept of an answer before it is read, in bytes.
+/// The limit of response bytes buffered before they are parsed.
 pub const MAX_UNREAD: usize = 256 << 10;
 
-/// Why an answer can't be used.
+/// Why a response can't be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Discovery has answered with another status than 200.
+    /// The status is not 200.
     Status(u16),
-    /// What came is no answer, or no list; says what was expected.
+    /// The bytes are no HTTP response or no server list; the text says what was expected.
     Malformed(String),
 }
 
 impl Failure {
-    /// Discovery says itself that it has more to do than it can (503 and 429 of RFC 9110 and RFC 6585).
+    /// Whether discovery reports that it is overloaded (503 of RFC 9110, 429 of RFC 6585).
     pub fn is_overload(&self) -> bool {
         matches!(self, Failure::Status(429 | 503))
     }
@@ -45,7 +45,7 @@
     Failure::Malformed(why.into())
 }
 
-/// The request for all that changes after a version; without one, for the whole list first.
+/// Builds the request that watches for changes after a version; without a version, the full list comes first.
 pub fn watch_request(host: &str, after: Option<u64>) -> String {
     let after = after.map(|version| format!("&after={version}")).unwrap_or_default();
     format!(
@@ -53,26 +53,27 @@
     )
 }
 
-/// The answer to one request, as far as it has come.
+/// Incremental parser of the response to one request.
 #[derive(Debug, Default)]
 pub struct Answer {
     head_read: bool,
     chunked: bool,
-    /// Bytes that are left of the chunk or the body being read, then of its line end.
+    /// Bytes left of the current chunk or body.
     remaining: usize,
+    /// Bytes left of the line end after a chunk.
     line_end: usize,
     complete: bool,
     line: Vec<u8>,
-    /// Brackets that are open in it, and whether its end is inside a text, perhaps behind a backslash.
+    /// Nesting depth at the end of `line`, and whether that end is inside a string or behind a backslash.
     depth: usize,
     quoted: bool,
     escaped: bool,
-    /// Lines come in, empty ones too.
+    /// Number of line ends received, including those of empty lines. It grows while discovery sends anything.
     pub signs: u64,
 }
 
 impl Answer {
-    /// Takes all that can be read from `bytes`; gives the lists that are whole now.
+    /// Consumes what can be parsed from `bytes` and returns the lists that are complete by now.
     pub fn take(&mut self, bytes: &mut VecDeque<u8>) -> Result<Vec<ServerList>, Failure> {
         let mut lists = Vec::new();
         while !self.complete {
@@ -99,8 +100,8 @@
                 self.complete = self.remaining == 0 && !self.chunked;
                 for byte in bytes.drain(..n) {
                     self.signs += u64::from(byte == b'\n');
-                    // Where a list is indented it goes on over line ends up to its last bracket; an empty line is
-                    // never inside one.
+                    // An indented list continues over line ends up to its last bracket; an empty line is never
+                    // inside a list.
                     if byte == b'\n' && self.depth == 0 {
                         lists.extend(self.end_line()?);
                     } else if byte == b'\n' && self.at_line_start() {
@@ -121,7 +122,7 @@
         Ok(lists)
     }
 
-    /// The list that the line holds, unless it is empty.
+    /// Parses and clears the current line; `None` if it is empty.
     fn end_line(&mut self) -> Result<Option<ServerList>, Failure> {
         let list = parse_list(&self.line)?;
         self.line.clear();
@@ -129,16 +130,17 @@
         Ok(list)
     }
 
-    /// The answer has come to its end.
+    /// Whether the response has been received completely.
     pub fn over(&self) -> bool {
         self.complete
     }
 
-    /// Nothing has come since the last line end but blanks.
+    /// Whether only white space followed the last line end.
     fn at_line_start(&self) -> bool {
         self.line.iter().rev().take_while(|byte| byte.is_ascii_whitespace()).any(|&byte| byte == b'\n')
     }
 
+    /// Updates the nesting state by one byte.
     fn track_nesting(&mut self, byte: u8) {
         match byte {
             _ if std::mem::take(&mut self.escaped) => {}
@@ -150,6 +152,7 @@
         }
     }
 
+    /// Parses the response head; false while it is incomplete.
     fn read_head(&mut self, bytes: &mut VecDeque<u8>) -> Result<bool, Failure> {
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut head = httparse::Response::new(&mut headers);
@@ -170,7 +173,7 @@
         };
         self.chunked = header("Transfer-Encoding").is_some_and(|v| v.eq_ignore_ascii_case("chunked"));
         if !self.chunked {
-            // Without a length the body lasts as long as the connection.
+            // Without Content-Length the body lasts until the connection closes.
             let length = header("Content-Length").map_or(Ok(usize::MAX), str::parse);
             self.remaining = length.map_err(|_| malformed("expected a number in Content-Length"))?;
             self.complete = self.remaining == 0;
@@ -180,6 +183,7 @@
         Ok(true)
     }
 
+    /// Parses the size line of a chunk; false while it is incomplete.
     fn read_chunk_size(&mut self, bytes: &mut VecDeque<u8>) -> Result<bool, Failure> {
         match httparse::parse_chunk_size(bytes.make_contiguous()) {
             Ok(httparse::Status::Complete((length, size))) => {
--- a/crates/discovery/tests/answer.rs
+++ b/crates/discovery/tests/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of discovery, whole and spoilt, put together from any pieces.
+//! Parsing of discovery responses, valid and malformed, from bytes split at any place.
 
 use juniperdock_discovery::{Answer, Failure};
 use juniperdock_server_list::ServerList;
@@ -40,7 +40,7 @@
         }
         assert_eq!(lists, [list.clone(), list.clone(), list.clone()]);
     }
-    // One that stops in the middle of a line, or after one, is no list yet.
+    // A list that is cut off within a line or after one is incomplete.
     for part in ["{\"version\":1", "{\n \"version\":4,\n"] {
         let mut bytes = VecDeque::from(format!("HTTP/1.1 200 OK\r\n\r\n{part}").into_bytes());
         assert_eq!(Answer::default().take(&mut bytes), Ok(Vec::new()));
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,8 +1,8 @@
-//! What operators lay down in a file of their own, in JSON5: everything that the platform's configuration
-//! does not tell. Without a file, or without a field, what it would turn on is off.
+//! The operators' configuration file in JSON5, for everything that the platform's configuration does not cover.
+//! Features are off unless the file turns them on.
 //!
-//! Every fault is told at once, with its line and its field; a name that is not known comes with the nearest
-//! one that is.
+//! Validation reports all faults of one kind together, each with its line and field. For an unknown name it suggests
+//! the most similar known one.
 //!
 //! ```
 //! let read = juniperdock_operator_config::read("{ log: { form: 'json' }, // as our collector wants it\n}").unwrap();
@@ -19,32 +19,34 @@
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// All that can be laid down.
+/// The operators' configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
+#[schemars(rename = "Charter")]
 #[serde(default, deny_unknown_fields)]
 pub struct Charter {
-    /// The lines that the front writes to standard error.
+    /// Log lines, written to standard error.
     #[garde(dive)]
     pub log: Log,
-    /// A socket for the other commands of this program. Off unless it is there.
+    /// The control socket, used by the other commands of this program. Off unless present.
     #[garde(dive)]
     pub control: Option<Control>,
-    /// How an upgrade goes. It is asked for through the control socket.
+    /// Settings of an upgrade, which is requested through the control socket.
     #[garde(dive)]
     pub upgrade: Upgrade,
-    /// How much may wait for a member.
+    /// Limits for txns that wait for a member.
     #[garde(dive)]
     pub held: Held,
-    /// A file for what the front knows, read at the next start. Off unless it is there.
+    /// A file that keeps the state of the front and is read at the next start. Off unless present.
     #[garde(dive)]
     pub snapshot: Option<Snapshot>,
-    /// The fronts know each other. Off unless it is there; `peer_listen` and `peers` of GW_CONFIG say where.
+    /// Communication between fronts. Off unless present; `peer_listen` and `peers` of GW_CONFIG give the addresses.
     #[garde(dive)]
     pub fellows: Option<Fellows>,
 }
 
-/// The form of a line.
+/// The format of a log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
+#[schemars(rename = "Form")]
 #[serde(rename_all = "lowercase")]
 pub enum Form {
     #[default]
@@ -52,6 +54,7 @@
     Json,
 }
 
+/// The severity of a log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Level {
@@ -64,6 +67,7 @@
 }
 
 impl Level {
+    /// The name as written in the file.
     pub fn name(self) -> &'static str {
         match self {
             Level::Error => "error",
@@ -75,32 +79,35 @@
     }
 }
 
+/// Settings of the log.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct Log {
-    /// `text` for people, `json` for programs: one object a line.
+    /// `text` for people, `json` for programs: one object per line.
     #[garde(skip)]
     pub form: Form,
-    /// The least important lines that are written. JUNIPERDOCK_LOG counts before it.
+    /// The lowest severity that is written. JUNIPERDOCK_LOG takes precedence.
     #[garde(skip)]
     pub level: Level,
 }
 
+/// Settings of the control socket.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Control {
-    /// Where the socket lies; its folder has to exist. Only its owner may use it.
+    /// Path of the socket; its directory must exist. Only its owner may use it.
     #[garde(custom(validate_path))]
     pub path: PathBuf,
 }
 
+/// Settings of the snapshot file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Snapshot {
-    /// Where the file lies; its folder has to exist.
+    /// Path of the file; its directory must exist.
     #[garde(custom(validate_path))]
     pub path: PathBuf,
-    /// How often it is written, in seconds.
+    /// Interval between writes, in seconds.
     #[garde(range(min = 1, max = 600))]
     #[serde(default = "default_snapshot_interval_s")]
     pub every_s: u64,
@@ -110,22 +117,24 @@
     5
 }
 
+/// Settings of the communication between fronts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
+#[schemars(rename = "Fellows")]
 #[serde(deny_unknown_fields)]
 pub struct Fellows {
-    /// Files with one key each, 64 hex digits: the first seals what goes out, both open what comes in.
+    /// Files with one key of 64 hex digits each. The first key signs outgoing datagrams; both verify incoming ones.
     #[garde(length(min = 1, max = 2), inner(custom(validate_path)))]
     pub keys: Vec<PathBuf>,
-    /// Each front asks one other so often, in milliseconds. The same at all fronts.
+    /// Interval at which each front probes one other front, in milliseconds. Must be the same at all fronts.
     #[garde(range(min = 50, max = 10_000))]
     #[serde(default = "default_probe_interval_ms")]
     pub every_ms: u64,
-    /// Which version is spoken: the older one while fronts are there that know no other.
+    /// Protocol version to send: the older one while some fronts support no other.
     #[garde(range(min = 1, max = 2))]
     #[serde(default = "latest_version")]
     pub speaks: u8,
-    /// Work on behalf of all has one owner at a time: members are asked by a few, `primary move` holds writes at
-    /// every front. The same at all fronts.
+    /// Work on behalf of the whole fleet has one owner at a time: only a few fronts probe the members, and
+    /// `primary move` holds writes at every front. Must be the same at all fronts.
     #[garde(skip)]
     #[serde(default)]
     pub duties: bool,
@@ -139,19 +148,20 @@
     2
 }
 
+/// Settings of an upgrade.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct Upgrade {
-    /// The program to be started; the one that runs, as it lies on the disk by then, unless it is named.
+    /// The program to start. By default the path of the running one, with the file found there at that time.
     #[garde(skip)]
     pub program: Option<PathBuf>,
-    /// How long it may take to be ready, in milliseconds.
+    /// Time limit for the new process to become ready, in milliseconds.
     #[garde(range(min = 100, max = 600_000))]
     pub ready_ms: u64,
-    /// How long clients between txns are gathered before the new process serves, in milliseconds.
+    /// How long clients that are between txns are collected before the new process serves, in milliseconds.
     #[garde(range(min = 1, max = 10_000))]
     pub gather_ms: u64,
-    /// How long the new process may take over one client, in milliseconds.
+    /// Time limit for the new process to accept one client, in milliseconds.
     #[garde(range(min = 10, max = 60_000))]
     pub taken_ms: u64,
 }
@@ -162,21 +172,25 @@
     }
 }
 
+/// Limits of the wait queue.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
+#[schemars(rename = "Held")]
 #[serde(default, deny_unknown_fields)]
 pub struct Held {
-    /// Txns of one group, and of all.
+    /// Waiting txns of one group.
     #[garde(range(min = 1))]
     pub of_group: usize,
+    /// Waiting txns of all groups.
     #[garde(range(min = 1))]
     pub of_all: usize,
-    /// Their statements and what belongs to them, in KiB.
+    /// Memory of the waiting txns of one group, in KiB.
     #[garde(range(min = 1))]
     pub kib_of_group: usize,
+    /// Memory of the waiting txns of all groups, in KiB.
     #[garde(range(min = 1))]
     pub kib_of_all: usize,
-    /// The share of its time after which a txn is declined that no member has had: its client can still try
-    /// elsewhere. 1 holds it to the end.
+    /// The share of a txn's time after which it is declined if it was not submitted to any member, so that its client
+    /// can still try elsewhere. With 1 it waits until its deadline.
     #[garde(range(min = 0.05, max = 1.0))]
     pub untaken_share: f64,
 }
@@ -201,13 +215,14 @@
     Ok(())
 }
 
-/// One fault of a file.
+/// One fault in a file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Fault {
-    /// Counted from 1, where it can be told.
+    /// The line, counted from 1, if it can be determined.
     pub line: Option<usize>,
-    /// The field, with those around it.
+    /// The full path of the field; empty for the whole file.
     pub field: String,
+    /// What is wrong.
     pub why: String,
 }
 
@@ -221,22 +236,28 @@
     }
 }
 
-/// What may be laid down, as a JSON schema.
+/// The JSON schema of the operators' configuration.
 pub fn schema() -> Value {
     schema_of::<Charter>()
 }
 
-/// Reads the text of a file.
+/// Parses and validates the operators' configuration.
+///
+/// # Errors
+/// The faults found: all of the first of three steps (syntax and types, unknown names, values) that finds any.
 pub fn read(text: &str) -> Result<Charter, Vec<Fault>> {
     read_as(text)
 }
 
-/// What a file of another kind may hold, as a JSON schema.
+/// The JSON schema of another kind of file.
 pub fn schema_of<T: JsonSchema>() -> Value {
     schemars::schema_for!(T).to_value()
 }
 
-/// Reads a file of another kind, as carefully.
+/// Parses and validates another kind of file, with the same checks as [`read`].
+///
+/// # Errors
+/// The faults found, as for [`read`].
 pub fn read_as<T>(text: &str) -> Result<T, Vec<Fault>>
 where
     T: DeserializeOwned + JsonSchema + Validate<Context = ()>,
@@ -266,13 +287,14 @@
     Ok(read)
 }
 
-/// A fault of a field, such as `troubles[2].at_s`, with its line.
+/// Builds the fault of a field, such as `troubles[2].at_s`, and determines its line.
 pub fn fault(text: &str, field: &str, why: String) -> Fault {
     let line = line_of(text, &field.split('.').collect::<Vec<_>>());
     Fault { line, field: field.to_owned(), why }
 }
 
-/// Where an entry of a list begins, its brackets and braces counted; comments and texts may mislead it.
+/// Finds the start of a list entry by counting brackets and braces. Those in comments and strings are counted too and
+/// may give a wrong result.
 fn offset_of_entry(text: &str, from: usize, number: usize) -> Option<usize> {
     let (mut depth, mut left) = (0, number);
     for (at, c) in text[from..].char_indices() {
@@ -293,7 +315,7 @@
     None
 }
 
-/// Where a field stands: the first line that names it after the lines that name those around it.
+/// Finds the line of a field: the first that names it after those that name the enclosing fields.
 fn line_of(text: &str, path: &[&str]) -> Option<usize> {
     let mut from = 0;
     for name in path {
@@ -314,7 +336,8 @@
     Some(text[..from].matches('\n').count() + 1)
 }
 
-/// Follows references of a schema to what it says of a value that is there.
+/// Follows `$ref` and, in `anyOf`, selects the option that describes an object: the non-null case of an optional
+/// field.
 fn resolve<'a>(root: &'a Value, mut schema: &'a Value) -> &'a Value {
     while let Some(name) = schema["$ref"].as_str().and_then(|name| name.strip_prefix("#/")) {
         schema = name.split('/').fold(root, |at, part| &at[part]);
@@ -326,7 +349,7 @@
         .unwrap_or(schema)
 }
 
-/// Notes every name that the schema does not know.
+/// Adds a fault for every field name that the schema does not contain.
 fn collect_unknown_fields<'a>(
     text: &str,
     root: &Value,
@@ -367,7 +390,7 @@
     #[test]
     fn every_fault_is_reported_with_its_line_and_field() {
         let text = "{\n  // how we log\n  log: { form: 'json', levle: 'info' },\n  upgrade: {\n    \"redy_ms\": 5,\n  },\n}";
-        let faults = read(text).expect_err("two names that are not known");
+        let faults = read(text).expect_err("two unknown names");
         let messages: Vec<String> = faults.iter().map(ToString::to_string).collect();
         assert_eq!(
             messages,
@@ -396,7 +419,7 @@
     fn example_file_is_valid_with_and_without_its_optional_sections() {
         let example = include_str!("../../../deploy/juniperdock.json5");
         assert_eq!(read(example).expect("no fault").upgrade.ready_ms, 10_000);
-        // With what stands there as a comment, too.
+        // Also with the sections that are commented out in the example.
         let full = ["control", "snapshot", "fellows"].iter().fold(example.to_owned(), |text, name| {
             text.replace(&format!("  // {name}"), &format!("  {name}"))
         });
@@ -406,7 +429,7 @@
 
     #[test]
     fn empty_file_gives_the_defaults_and_a_written_file_reads_back_equal() {
-        assert_eq!(read("{}").expect("all off"), Charter::default());
+        assert_eq!(read("{}").expect("valid"), Charter::default());
         let full = Charter { control: Some(Control { path: "/run/x".into() }), ..Charter::default() };
         let text = serde_json::to_string(&full).expect("JSON");
         assert_eq!(read(&text).expect("JSON is JSON5"), full);
--- a/crates/pg/src/lib.rs
+++ b/crates/pg/src/lib.rs
@@ -1,29 +1,39 @@
-//! PostgreSQL's wire protocol, version 3: framing both ways, and the comment that leads a statement.
-//! No sockets: bytes in, bytes out.
+//! PostgreSQL's wire protocol, version 3: parsing and building of messages, and the leading comment of a statement.
+//! Does no I/O.
 
 use std::ops::Range;
 
-/// The longest message taken from a client: a value of 64 KiB in hex digits, its statement and its comment.
+/// The longest message accepted from a client: a value of 64 KiB in hex digits, its statement and its comment.
 pub const LONGEST: usize = 2 * 65_536 + 8_192;
 
+/// SQLSTATE protocol_violation.
 pub const PROTOCOL_VIOLATION: &str = "08P01";
+/// SQLSTATE feature_not_supported.
 pub const NOT_SUPPORTED: &str = "0A000";
+/// SQLSTATE too_many_connections.
 pub const TOO_MANY: &str = "53300";
+/// SQLSTATE cannot_connect_now.
 pub const CANNOT_CONNECT_NOW: &str = "57P03";
+/// SQLSTATE internal_error.
 pub const INTERNAL: &str = "XX000";
+/// SQLSTATE transaction_rollback.
 pub const ROLLED_BACK: &str = "40000";
-/// Statement completion unknown.
+/// SQLSTATE statement_completion_unknown.
 pub const UNKNOWN: &str = "40003";
+/// SQLSTATE read_only_sql_transaction, used where no primary takes writes.
 pub const NO_PRIMARY: &str = "25006";
+/// SQLSTATE snapshot_too_old, used where replicas lag too far behind for a read.
 pub const TOO_FAR_BEHIND: &str = "72000";
+/// SQLSTATE program_limit_exceeded.
 pub const LIMIT_EXCEEDED: &str = "54000";
 
-/// A message's type, its body, and how long it is in all.
+/// A message's type byte, its body, and its total length in bytes.
 pub type Message<'a> = (u8, &'a [u8], usize);
 
-/// One typed message at the head of `bytes`: its type, its body and how long it is in all. `None` until all
-/// of it is there; the error says why what follows can't be followed. No longer one than `max_length` is waited
-/// for.
+/// Parses the typed message at the start of `bytes`. Returns `None` while it is incomplete.
+///
+/// # Errors
+/// If the type byte or the length is invalid; a length over `max_length` is. The stream can't be parsed any further.
 ///
 /// ```
 /// let query = b"Q\0\0\0\x05\0rest";
@@ -40,13 +50,13 @@
     Ok(rest.get(4..length).map(|body| (kind, body, length + 1)))
 }
 
-/// How many bytes the typed message at the head of `bytes` takes, as far as they tell: of one whose length has not come
-/// in yet, those up to it.
+/// The total length of the typed message at the start of `bytes`; if its length field is incomplete, the length of the
+/// header.
 pub fn message_length(bytes: &[u8]) -> usize {
     bytes.get(1..).map_or(5, |rest| 1 + opening_length(rest))
 }
 
-/// The same of an opening message, which has no type.
+/// Like [`message_length`], for an opening message, which has no type byte.
 pub fn opening_length(bytes: &[u8]) -> usize {
     bytes.first_chunk::<4>().map_or(4, |head| u32::from_be_bytes(*head) as usize)
 }
@@ -59,16 +69,21 @@
     }
 }
 
-/// What a client opens with.
+/// The first message of a client on a connection.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Opening {
-    /// Asks for encryption, by TLS or GSS.
+    /// SSLRequest or GSSENCRequest.
     Encryption,
+    /// CancelRequest.
     Cancel,
+    /// StartupMessage of protocol 3.
     Startup,
 }
 
-/// The opening message at the head of `bytes`, and how long it is.
+/// Parses the opening message at the start of `bytes` and returns it with its length, or `None` while it is incomplete.
+///
+/// # Errors
+/// If its length or its protocol version is invalid.
 pub fn opening(bytes: &[u8]) -> Result<Option<(Opening, usize)>, String> {
     let Some(length) = length(bytes, LONGEST)? else { return Ok(None) };
     if !(8..=10_000).contains(&length) {
@@ -84,6 +99,7 @@
     }
 }
 
+/// Appends a typed message whose body is the concatenation of `body`.
 fn put(out: &mut Vec<u8>, kind: u8, body: &[&[u8]]) {
     let length: usize = 4 + body.iter().map(|part| part.len()).sum::<usize>();
     out.push(kind);
@@ -91,7 +107,7 @@
     body.iter().for_each(|part| out.extend_from_slice(part));
 }
 
-/// What a front opens a connection to a member with.
+/// Builds the StartupMessage that a front sends to a member.
 pub fn startup(user: &str, database: &str) -> Vec<u8> {
     let names = format!("user\0{user}\0database\0{database}\0\0");
     let mut out = ((names.len() + 8) as u32).to_be_bytes().to_vec();
@@ -100,19 +116,21 @@
     out
 }
 
+/// Builds a Query message.
 pub fn query(statement: &str) -> Vec<u8> {
     let mut out = Vec::with_capacity(statement.len() + 6);
     put(&mut out, b'Q', &[statement.as_bytes(), &[0]]);
     out
 }
 
+/// Builds a Terminate message.
 pub fn terminate() -> Vec<u8> {
     let mut out = Vec::new();
     put(&mut out, b'X', &[]);
     out
 }
 
-/// The welcome after a startup message, up to the first ReadyForQuery.
+/// Appends the reply to a startup message: AuthenticationOk, the parameters, and the first ReadyForQuery.
 pub fn welcome(out: &mut Vec<u8>) {
     put(out, b'R', &[&[0; 4]]);
     for (name, value) in
@@ -123,19 +141,22 @@
     ready(out);
 }
 
+/// Appends ReadyForQuery with the status idle.
 pub fn ready(out: &mut Vec<u8>) {
     put(out, b'Z', &[b"I"]);
 }
 
+/// Appends EmptyQueryResponse.
 pub fn empty_query(out: &mut Vec<u8>) {
     put(out, b'I', &[]);
 }
 
+/// Appends CommandComplete.
 pub fn command_complete(out: &mut Vec<u8>, tag: &str) {
     put(out, b'C', &[tag.as_bytes(), &[0]]);
 }
 
-/// An ErrorResponse; `detail` is field D.
+/// Appends an ErrorResponse; `detail` is field D.
 pub fn error(out: &mut Vec<u8>, fatal: bool, code: &str, text: &str, detail: Option<&str>) {
     let severity = if fatal { "FATAL" } else { "ERROR" };
     let mut fields = format!("S{severity}\0V{severity}\0C{code}\0M{}\0", text.replace('\0', " "));
@@ -145,39 +166,42 @@
     put(out, b'E', &[fields.as_bytes(), &[0]]);
 }
 
-/// One field of an ErrorResponse's body.
+/// Returns one field of an ErrorResponse's body.
 pub fn error_field(body: &[u8], field: u8) -> Option<&str> {
     body.split(|&b| b == 0)
         .find(|part| part.first() == Some(&field))
         .and_then(|part| std::str::from_utf8(&part[1..]).ok())
 }
 
-/// Whether an error's code finds fault with the statement itself: no member could use it.
+/// Whether a SQLSTATE blames the statement itself, so that it would fail on every member.
 pub fn of_statement(code: &str) -> bool {
     code == PROTOCOL_VIOLATION
         || ["0A", "22", "23", "26", "34", "3D", "3F", "42"].contains(&&code[..code.len().min(2)])
 }
 
-/// Whether a RowDescription tells of one column.
+/// Whether a RowDescription describes exactly one column.
 pub fn one_column(body: &[u8]) -> bool {
     let name = body.strip_prefix(&[0, 1]).map(|rest| rest.split(|&b| b == 0).next().unwrap_or(rest));
     name.is_some_and(|name| body.len() == 2 + name.len() + 1 + 18)
 }
 
-/// Name and value of a ParameterStatus.
+/// Returns the name and the value of a ParameterStatus.
 pub fn parameter(body: &[u8]) -> Option<(&str, &str)> {
     let mut parts = body.split(|&b| b == 0).map(|part| std::str::from_utf8(part).ok());
     Some((parts.next()??, parts.next()??))
 }
 
-/// The one column of a DataRow.
+/// Returns the value of a DataRow with exactly one column.
 pub fn column(body: &[u8]) -> Option<&[u8]> {
     let (&[0, 1], rest) = body.split_first_chunk::<2>()? else { return None };
     let (length, value) = rest.split_first_chunk::<4>()?;
     (u32::from_be_bytes(*length) as usize == value.len()).then_some(value)
 }
 
-/// The text of a Query.
+/// Returns the text of a Query.
+///
+/// # Errors
+/// If it is not UTF-8 or does not end in a zero byte.
 pub fn statement(body: &[u8]) -> Result<&str, String> {
     let (&0, text) = body.split_last().ok_or("expected a statement that ends in a zero byte")? else {
         return Err("expected a statement that ends in a zero byte".to_owned());
@@ -185,15 +209,18 @@
     std::str::from_utf8(text).map_err(|_| "expected a statement in UTF-8".to_owned())
 }
 
-/// What a statement is, before its comment is looked at.
+/// The kind of a statement, by its first word.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Verb {
+    /// No statement.
     Empty,
-    /// Changes the session only; the tag to complete it with.
+    /// Changes only the session; holds the tag for CommandComplete.
     Session(&'static str),
+    /// Any other statement: a txn.
     Txn,
 }
 
+/// Classifies a statement by its first word.
 pub fn verb(statement: &str) -> Verb {
     let text = statement.trim().trim_end_matches(';');
     let word = text.split_whitespace().next().unwrap_or("");
@@ -206,10 +233,10 @@
     }
 }
 
-/// A name and its value.
+/// Name and value of one field of a comment.
 pub type Field<'a> = (&'a str, &'a str);
 
-/// The names and values of the comment that leads a statement, and what follows it.
+/// Parses the leading comment of a statement; returns its fields and the text after it.
 ///
 /// ```
 /// let (fields, rest) = juniperdock_pg::comment("/* id=9b,c=basket,d=480 */ SELECT 1").unwrap();
@@ -235,7 +262,7 @@
     Ok((fields, rest))
 }
 
-/// Where in a statement a value of its comment stands.
+/// Returns the byte range of `value` in `statement`, of which it must be a slice.
 ///
 /// ```
 /// let statement = "/* id=9b,d=480 */ SELECT 1";
@@ -248,12 +275,13 @@
     start..start + value.len()
 }
 
-/// The statement as it goes on to a member: unchanged but for what stands where `d` tells the time left.
+/// Returns the statement for a member: a copy in which the range `left`, the value of `d`, is replaced by the remaining
+/// time.
 pub fn with_time_left(statement: &str, left: &Range<usize>, ms: u128) -> String {
     format!("{}{ms}{}", &statement[..left.start], &statement[left.end..])
 }
 
-/// The text between the first two quotes: the key a statement names.
+/// Returns the text between the first two single quotes, which is the key that a statement names.
 pub fn quoted(rest: &str) -> Option<&str> {
     rest.split('\'').nth(1).filter(|key| !key.is_empty())
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,23 +1,23 @@
-//! The front's configuration as JSON: terms are looked up by path, and a file of the old shape is brought into
-//! the new one. No files are touched here.
+//! The front's configuration as JSON: looks settings up by path, and migrates a file from the old shape to the new one.
+//! Does no file I/O.
 //!
-//! In the new shape every term that the front reads stands in the file, whether it has its usual value or not,
-//! and nothing else does; `shape` says so. A file without `shape` is of the old shape and is served as ever.
+//! A file of the new shape contains `shape` and exactly the settings that the front reads, including those with their
+//! default value. A file without `shape` is of the old shape and is still supported.
 
 use serde_json::{Map, Value, json};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 
-/// The number under `shape` of a file in the new shape.
+/// The value of `shape` in a file of the new shape.
 pub const SHAPE: u64 = 2;
-/// Terms that came with the move, and what an old file without them means.
+/// Settings added with the new shape, and the value that a file of the old shape implies.
 const ADDED_SETTINGS: [(&str, &str); 4] = [
     ("Guarantees.GoneIsAdvice", "false"),
     ("OverShareWorth", "1.0"),
     ("Specifics.ServerChecks", "\"off\""),
     ("Tenants", "[]"),
 ];
-/// Terms that the front itself reads, beside those of the router.
+/// Settings that the front itself reads, in addition to those of the router.
 const FRONT_SETTINGS: [&str; 5] = [
     "Bounds.ConnIdle",
     "Bounds.ConnectTimeout",
@@ -25,29 +25,31 @@
     "Specifics.SessionMarks",
     "Zones",
 ];
-/// What else a file may hold, outside the terms.
+/// Top-level fields of the file that the migration carries over.
 const OTHER_FIELDS: [&str; 7] = ["discovery", "known", "limits", "listen", "name", "seed", "settings"];
 
-/// A file in the new shape, and what became of each field of the old one.
+/// A file of the new shape, and what happened to each field of the old one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Migration {
+    /// The migrated file.
     pub file: Value,
+    /// Fields carried over unchanged.
     pub carried: Vec<String>,
-    /// Written with its usual value, as the old file did not tell it.
+    /// Fields absent from the old file, written with their default value.
     pub defaulted: Vec<(String, Value)>,
-    /// Left out, and why.
+    /// Fields left out, each with the reason.
     pub left_out: Vec<(String, &'static str)>,
-    /// It was of the new shape already: nothing is to be written.
+    /// The file was of the new shape already; nothing needs to be written.
     pub already: bool,
 }
 
-/// Looks a term up by path; a list of plain values is joined by commas.
+/// Looks a setting up by path. A list of plain values is joined by commas; `count` gives the length of a list.
 ///
 /// ```
-/// let terms = serde_json::json!({ "Zones": ["a", "b"], "Tenants": [{ "QuotaRps": 3.5 }] });
-/// assert_eq!(juniperdock_settings::term(&terms, "Zones").as_deref(), Some("a,b"));
-/// assert_eq!(juniperdock_settings::term(&terms, "Tenants.0.QuotaRps").as_deref(), Some("3.5"));
-/// assert_eq!(juniperdock_settings::term(&terms, "Tenants.count").as_deref(), Some("1"));
+/// let settings = serde_json::json!({ "Zones": ["a", "b"], "Tenants": [{ "QuotaRps": 3.5 }] });
+/// assert_eq!(juniperdock_settings::term(&settings, "Zones").as_deref(), Some("a,b"));
+/// assert_eq!(juniperdock_settings::term(&settings, "Tenants.0.QuotaRps").as_deref(), Some("3.5"));
+/// assert_eq!(juniperdock_settings::term(&settings, "Tenants.count").as_deref(), Some("1"));
 /// ```
 pub fn term(settings: &Value, path: &str) -> Option<String> {
     let mut at = settings;
@@ -66,7 +68,10 @@
     })
 }
 
-/// Of which shape a file is; the error says what stands under `shape` instead.
+/// Whether a file is of the new shape.
+///
+/// # Errors
+/// If `shape` has another value.
 pub fn is_new(file: &Value) -> Result<bool, String> {
     match &file["shape"] {
         Value::Null => Ok(false),
@@ -75,7 +80,10 @@
     }
 }
 
-/// Brings a file into the new shape. The error names the line, or the field, and what was expected there.
+/// Migrates a file to the new shape.
+///
+/// # Errors
+/// If the file is malformed; the text gives the line or the field, and what was expected there.
 pub fn bring(text: &str) -> Result<Migration, String> {
     let old: Value = serde_json::from_str(text).map_err(|e| format!("expected JSON: {e}"))?;
     let fields = old.as_object().ok_or("expected an object, the configuration of a front")?;
@@ -92,7 +100,7 @@
             defaulted.push((format!("settings.{path}"), default));
         }
     }
-    // What the router reads it says itself, by looking it up.
+    // The settings that the router reads are recorded as it looks them up.
     let read = RefCell::new(BTreeSet::from(FRONT_SETTINGS.map(str::to_owned)));
     let lookup = |path: &str| {
         read.borrow_mut().insert(path.to_owned());
@@ -130,7 +138,7 @@
     Ok(Migration { file: Value::Object(file), carried, defaulted, left_out, already: false })
 }
 
-/// Sets a term; the error names the part of its path that is no object.
+/// Sets a setting by path; the error gives the path that should be an object.
 fn set(settings: &mut Value, path: &str, value: Value) -> Result<(), String> {
     let (parent, last) = path.rsplit_once('.').unwrap_or(("", path));
     let mut at = settings;
@@ -143,7 +151,8 @@
     Ok(())
 }
 
-/// What of a value is read, by the paths that are; says of each plain one whether it is kept.
+/// Returns the parts of a value whose paths are in `read`, and calls `visit` for each plain value with whether it is
+/// kept.
 fn retain_read(
     value: &Value,
     path: &str,
