--- a/crates/connection/src/connect.rs
+++ b/crates/connection/src/connect.rs
@@ -38,7 +38,7 @@
 impl fmt::Display for ConnectError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            ConnectError::LocalShortage(error) => write!(f, "this machine is short: {error}"),
+            ConnectError::LocalShortage(error) => write!(f, "local resource shortage: {error}"),
             ConnectError::Failed(error) => write!(f, "{error}"),
         }
     }
--- a/crates/connection/src/lib.rs
+++ b/crates/connection/src/lib.rs
@@ -192,7 +192,7 @@
     /// If they do not fit into its limit.
     pub fn queue(&mut self, bytes: &[u8]) -> Result<(), Failure> {
         if bytes.len() > self.limits.outbound.saturating_sub(self.outbound.len()) {
-            return Err(self.failure("the other side does not read".to_owned()));
+            return Err(self.failure("outbound buffer is full: the peer does not read".to_owned()));
         }
         self.outbound.extend(bytes);
         Ok(())
@@ -216,7 +216,7 @@
         while !self.outbound.is_empty() {
             let (head, _) = self.outbound.as_slices();
             match (&*self.socket.0).write(head) {
-                Ok(0) => return Err(self.failure("nothing can be written".to_owned())),
+                Ok(0) => return Err(self.failure("write returned zero bytes".to_owned())),
                 Ok(n) => {
                     self.outbound.drain(..n);
                     moved = true;
--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -151,7 +151,7 @@
 
     fn opt<T: FromStr>(&self, path: &str) -> Result<Option<T>, String> {
         let parse =
-            |v: String| v.parse().map_err(|_| format!("expected another form in {path}, found {v:?}"));
+            |v: String| v.parse().map_err(|_| format!("expected a valid value in {path}, found {v:?}"));
         self.text(path).map(parse).transpose()
     }
 
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -231,7 +231,7 @@
         if let Some(line) = self.line {
             write!(f, "line {line}, ")?;
         }
-        let field = if self.field.is_empty() { "the whole" } else { &self.field };
+        let field = if self.field.is_empty() { "the whole file" } else { &self.field };
         write!(f, "{field}: {}", self.why)
     }
 }
