--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -18,7 +18,7 @@
 /// The protocol version, sent in every frame.
 pub const VERSION: u64 = 1;
 /// The largest body of a frame, in bytes.
-pub const LONGEST: usize = 1 << 20;
+pub const MAX_FRAME_LEN: usize = 1 << 20;
 
 /// Encodes an object as a frame and adds the protocol version.
 pub fn frame(object: &Value) -> Vec<u8> {
@@ -57,8 +57,8 @@
     pub fn whole(&mut self) -> Result<Option<Value>, String> {
         let Some(head) = self.bytes.first_chunk::<4>() else { return Ok(None) };
         let length = u32::from_be_bytes(*head) as usize;
-        if length > LONGEST {
-            return Err(format!("expected at most {LONGEST} bytes in a frame, found {length}"));
+        if length > MAX_FRAME_LEN {
+            return Err(format!("expected at most {MAX_FRAME_LEN} bytes in a frame, found {length}"));
         }
         if self.bytes.len() < 4 + length {
             return Ok(None);
