--- a/crates/connection/src/lib.rs
+++ b/crates/connection/src/lib.rs
@@ -483,7 +483,7 @@
         let at = other.local_addr().expect("an address");
         let (sender, results) = channel();
         let waker = listener.bell();
-        spawn("door", 64 << 10, move || {
+        spawn("listener", 64 << 10, move || {
             // One connection, then a wake-up without one, then a connection through the duplicated listener.
             let accepted = listener.next().map(|stream| stream.is_some());
             let _ = sender.send(accepted.ok());
