--- a/crates/fd-passing/src/lib.rs
+++ b/crates/fd-passing/src/lib.rs
@@ -41,15 +41,15 @@
 
     /// Sends one packet, with a descriptor or without. Waits while the other end does not read; the error
     /// says that it has ended.
-    pub fn send(&self, word: &[u8], with: Option<&OwnedFd>) -> Result<(), String> {
+    pub fn send(&self, packet: &[u8], fd: Option<&OwnedFd>) -> Result<(), String> {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-        let mut extra = SendAncillaryBuffer::new(&mut space);
-        let fds: Vec<_> = with.iter().map(|fd| fd.as_fd()).collect();
-        if !fds.is_empty() && !extra.push(SendAncillaryMessage::ScmRights(&fds)) {
+        let mut ancillary = SendAncillaryBuffer::new(&mut space);
+        let fds: Vec<_> = fd.iter().map(|fd| fd.as_fd()).collect();
+        if !fds.is_empty() && !ancillary.push(SendAncillaryMessage::ScmRights(&fds)) {
             return Err("no room for a descriptor".to_owned());
         }
         loop {
-            match sendmsg(&self.0, &[IoSlice::new(word)], &mut extra, SendFlags::NOSIGNAL) {
+            match sendmsg(&self.0, &[IoSlice::new(packet)], &mut ancillary, SendFlags::NOSIGNAL) {
                 Ok(_) => return Ok(()),
                 Err(Errno::INTR) => {}
                 Err(e) => return Err(format!("the other end: {e}")),
@@ -57,37 +57,37 @@
         }
     }
 
-    /// Waits for one packet, so long at the longest. A packet longer than `most` is an error.
-    pub fn receive(&self, most: usize, wait: Duration) -> Result<Received, String> {
-        let limit = Timespec::try_from(wait).map_err(|e| format!("a time: {e}"))?;
+    /// Waits for one packet, so long at the longest. A packet longer than `max_len` is an error.
+    pub fn receive(&self, max_len: usize, timeout: Duration) -> Result<Received, String> {
+        let timespec = Timespec::try_from(timeout).map_err(|e| format!("a time: {e}"))?;
         let mut fds = [PollFd::new(&self.0, PollFlags::IN)];
-        match poll(&mut fds, Some(&limit)) {
+        match poll(&mut fds, Some(&timespec)) {
             Ok(0) | Err(Errno::INTR) => return Ok(Received::TimedOut),
             Ok(_) => {}
             Err(e) => return Err(format!("waiting: {e}")),
         }
-        let mut word = vec![0; most + 1];
+        let mut packet = vec![0; max_len + 1];
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-        let mut extra = RecvAncillaryBuffer::new(&mut space);
+        let mut ancillary = RecvAncillaryBuffer::new(&mut space);
         let flags = RecvFlags::CMSG_CLOEXEC;
-        let got = match recvmsg(&self.0, &mut [IoSliceMut::new(&mut word)], &mut extra, flags) {
-            Ok(got) => got.bytes,
+        let received = match recvmsg(&self.0, &mut [IoSliceMut::new(&mut packet)], &mut ancillary, flags) {
+            Ok(received) => received.bytes,
             Err(Errno::INTR) => return Ok(Received::TimedOut),
             Err(Errno::CONNRESET) => return Ok(Received::Closed),
             Err(e) => return Err(format!("reading: {e}")),
         };
-        let mut with = None;
-        for message in extra.drain() {
+        let mut received_fd = None;
+        for message in ancillary.drain() {
             if let RecvAncillaryMessage::ScmRights(mut fds) = message {
-                with = fds.next();
+                received_fd = fds.next();
             }
         }
-        match got {
+        match received {
             0 => Ok(Received::Closed),
-            n if n > most => Err(format!("expected at most {most} bytes in a packet")),
+            n if n > max_len => Err(format!("expected at most {max_len} bytes in a packet")),
             n => {
-                word.truncate(n);
-                Ok(Received::Packet(word, with))
+                packet.truncate(n);
+                Ok(Received::Packet(packet, received_fd))
             }
         }
     }
@@ -100,29 +100,31 @@
     use std::net::{TcpListener, TcpStream};
 
     #[test]
-    fn a_descriptor_comes_with_its_packet_and_an_end_is_seen() {
+    fn descriptor_arrives_with_its_packet_and_closing_is_detected() {
         let (here, there) = PacketSocket::pair().expect("a line");
         let there = PacketSocket::from_fd(there);
-        let door = TcpListener::bind("127.0.0.1:0").expect("a free address");
-        let mut near = TcpStream::connect(door.local_addr().expect("an address")).expect("a connection");
-        let (far, _) = door.accept().expect("a connection");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free address");
+        let mut near = TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
+        let (far, _) = listener.accept().expect("a connection");
         let far: OwnedFd = far.into();
         here.send(b"one", Some(&far)).expect("sent");
         here.send(b"two", None).expect("sent");
         drop(far);
-        let second = Duration::from_secs(9);
-        let Ok(Received::Packet(word, Some(fd))) = there.receive(10, second) else { panic!("a descriptor") };
-        assert_eq!(word, b"one");
+        let timeout = Duration::from_secs(9);
+        let Ok(Received::Packet(packet, Some(fd))) = there.receive(10, timeout) else {
+            panic!("a descriptor")
+        };
+        assert_eq!(packet, b"one");
         let mut far = TcpStream::from(fd);
         far.write_all(b"x").expect("it is open");
         let mut byte = [0];
         near.read_exact(&mut byte).expect("and goes to the same place");
-        assert!(matches!(there.receive(10, second), Ok(Received::Packet(word, None)) if word == b"two"));
+        assert!(matches!(there.receive(10, timeout), Ok(Received::Packet(packet, None)) if packet == b"two"));
         assert!(matches!(there.receive(10, Duration::ZERO), Ok(Received::TimedOut)));
         here.send(&[0; 11], None).expect("sent");
-        assert!(there.receive(10, second).is_err());
+        assert!(there.receive(10, timeout).is_err());
         drop(here);
-        assert!(matches!(there.receive(10, second), Ok(Received::Closed)));
+        assert!(matches!(there.receive(10, timeout), Ok(Received::Closed)));
         assert!(there.send(b"x", None).is_err());
     }
 }
--- a/crates/front/src/atomic_file.rs
+++ b/crates/front/src/atomic_file.rs
@@ -8,10 +8,10 @@
 /// What lies in that place already is replaced only if it may be, else this fails with `AlreadyExists`.
 pub fn write(path: &Path, draft: &Path, bytes: &[u8], replace: bool) -> io::Result<()> {
     let mut file = OpenOptions::new().write(true).create_new(true).open(draft)?;
-    let filled = file.write_all(bytes).and_then(|()| file.sync_all());
+    let written = file.write_all(bytes).and_then(|()| file.sync_all());
     // A link never replaces what is there, a rename does.
-    let put = || if replace { fs::rename(draft, path) } else { fs::hard_link(draft, path) };
-    let placed = filled.and_then(|()| put());
+    let replace_or_link = || if replace { fs::rename(draft, path) } else { fs::hard_link(draft, path) };
+    let placed = written.and_then(|()| replace_or_link());
     let _ = fs::remove_file(draft);
     placed
 }
--- a/crates/front/src/configuration.rs
+++ b/crates/front/src/configuration.rs
@@ -7,7 +7,7 @@
 use std::fmt;
 
 /// The field of the server list as it was last seen.
-const KNOWN: &str = "known";
+const KNOWN_FIELD: &str = "known";
 
 /// All of the file but its server list.
 struct Rest(Value);
@@ -30,7 +30,7 @@
     fn visit_map<A: MapAccess<'de>>(self, mut fields: A) -> Result<Rest, A::Error> {
         let mut rest = Map::new();
         while let Some(name) = fields.next_key::<String>()? {
-            if name == KNOWN {
+            if name == KNOWN_FIELD {
                 fields.next_value::<IgnoredAny>()?;
             } else if rest.insert(name, fields.next_value()?).is_some() {
                 return Err(A::Error::custom("expected each field once"));
@@ -41,15 +41,15 @@
 }
 
 /// The list of servers alone.
-struct Known(Result<ServerList, String>);
+struct KnownList(Result<ServerList, String>);
 
-impl<'de> Deserialize<'de> for Known {
-    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Known, D::Error> {
+impl<'de> Deserialize<'de> for KnownList {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<KnownList, D::Error> {
         #[derive(serde::Deserialize)]
         struct Field {
             known: ServerList,
         }
-        Ok(Known(Field::deserialize(deserializer).map(|field| field.known).map_err(|e| e.to_string())))
+        Ok(KnownList(Field::deserialize(deserializer).map(|field| field.known).map_err(|e| e.to_string())))
     }
 }
 
@@ -63,14 +63,14 @@
 }
 
 /// Reads the file, without its server list.
-pub fn configuration(path: &str) -> Result<Value, String> {
+pub fn read_without_list(path: &str) -> Result<Value, String> {
     parse(path, &read(path)?)
 }
 
 /// Reads the file, and apart from it the server list or why there is none.
-pub fn with_known(path: &str) -> Result<(Value, Result<ServerList, String>), String> {
+pub fn read_with_list(path: &str) -> Result<(Value, Result<ServerList, String>), String> {
     let text = read(path)?;
     let rest = parse(path, &text)?;
-    let known: Result<Known, _> = serde_json::from_str(&text);
+    let known: Result<KnownList, _> = serde_json::from_str(&text);
     Ok((rest, known.map_err(|e| e.to_string()).and_then(|known| known.0)))
 }
--- a/crates/front/src/control.rs
+++ b/crates/front/src/control.rs
@@ -17,52 +17,52 @@
 use std::time::Duration;
 
 /// Who asks at a time, how long it may take over a frame, and how long the desk may take over an answer.
-const MOST: usize = 4;
-const PATIENCE: Duration = Duration::from_secs(2);
+const MAX_CONNECTIONS: usize = 4;
+const TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a change may take until all fronts hold.
-const HELD: Duration = Duration::from_millis(4500);
+const HOLD_TIMEOUT: Duration = Duration::from_millis(4500);
 /// Groups in one answer.
-const GROUPS: usize = 1000;
+const MAX_GROUPS: usize = 1000;
 
 /// Answers what comes in.
 pub struct Control {
     pub clock: Clock,
-    pub desk: Sender<DispatcherMessage>,
+    pub dispatcher: Sender<DispatcherMessage>,
     pub counters: Arc<crate::counters::Counters>,
     pub upgrade: UpgradeFn,
-    pub fellows: Option<membership::Handle>,
+    pub membership: Option<membership::Handle>,
     /// Work is shared with the other fronts: changes of primaries go to all.
-    pub duties: bool,
+    pub fleet_tasks: bool,
 }
 
 /// Opens the socket, for its owner alone. One that lies there is replaced at once and whole.
 pub fn open(path: &Path) -> Result<UnixListener, String> {
     let failed = |e: std::io::Error| format!("control socket {}: {e}", path.display());
-    let mut new = path.as_os_str().to_owned();
-    new.push(format!(".{}", std::process::id()));
-    let _ = std::fs::remove_file(&new);
-    let listener = UnixListener::bind(&new).map_err(failed)?;
-    std::fs::set_permissions(&new, std::fs::Permissions::from_mode(0o600)).map_err(failed)?;
-    std::fs::rename(&new, path).map_err(failed)?;
+    let mut temporary = path.as_os_str().to_owned();
+    temporary.push(format!(".{}", std::process::id()));
+    let _ = std::fs::remove_file(&temporary);
+    let listener = UnixListener::bind(&temporary).map_err(failed)?;
+    std::fs::set_permissions(&temporary, std::fs::Permissions::from_mode(0o600)).map_err(failed)?;
+    std::fs::rename(&temporary, path).map_err(failed)?;
     Ok(listener)
 }
 
 /// Serves it on a thread of its own.
 pub fn serve(listener: UnixListener, control: Control, log: slog::Logger) {
-    let (control, open) = (Arc::new(control), Arc::new(AtomicUsize::new(0)));
+    let (control, open_connections) = (Arc::new(control), Arc::new(AtomicUsize::new(0)));
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            if open.fetch_add(1, Ordering::AcqRel) >= MOST {
-                open.fetch_sub(1, Ordering::AcqRel);
+            if open_connections.fetch_add(1, Ordering::AcqRel) >= MAX_CONNECTIONS {
+                open_connections.fetch_sub(1, Ordering::AcqRel);
                 let _ = (&stream).write_all(&frame(&fault("too many ask at a time")));
                 continue;
             }
-            let (control, open, log) = (control.clone(), open.clone(), log.clone());
+            let (control, open_connections, log) = (control.clone(), open_connections.clone(), log.clone());
             std::thread::spawn(move || {
-                if let Err(why) = control.talk(stream) {
+                if let Err(why) = control.handle(stream) {
                     slog::debug!(log, "the control socket was misused"; "why" => why);
                 }
-                open.fetch_sub(1, Ordering::AcqRel);
+                open_connections.fetch_sub(1, Ordering::AcqRel);
             });
         }
     });
@@ -70,23 +70,23 @@
 
 impl Control {
     /// This thread is not the worker's.
-    fn tell_fellows(&self, fellows: &membership::Handle, mail: MembershipMessage) {
-        let fellows = fellows.clone();
-        self.clock.run_at(Duration::ZERO, move || fellows.send(mail));
+    fn send_to_membership(&self, membership: &membership::Handle, message: MembershipMessage) {
+        let membership = membership.clone();
+        self.clock.run_at(Duration::ZERO, move || membership.send(message));
     }
 
-    fn talk(&self, mut stream: UnixStream) -> Result<(), String> {
+    fn handle(&self, mut stream: UnixStream) -> Result<(), String> {
         let failed = |e: std::io::Error| e.to_string();
-        stream.set_read_timeout(Some(PATIENCE)).map_err(failed)?;
-        stream.set_write_timeout(Some(PATIENCE)).map_err(failed)?;
-        let (mut frames, mut piece) = (Frames::default(), [0; 4096]);
+        stream.set_read_timeout(Some(TIMEOUT)).map_err(failed)?;
+        stream.set_write_timeout(Some(TIMEOUT)).map_err(failed)?;
+        let (mut frames, mut buffer) = (Frames::default(), [0; 4096]);
         loop {
-            let asked = match frames.whole() {
-                Ok(Some(asked)) => asked,
-                Ok(None) => match stream.read(&mut piece).map_err(failed)? {
+            let request = match frames.whole() {
+                Ok(Some(request)) => request,
+                Ok(None) => match stream.read(&mut buffer).map_err(failed)? {
                     0 => return Ok(()),
                     n => {
-                        frames.take(&piece[..n]);
+                        frames.take(&buffer[..n]);
                         continue;
                     }
                 },
@@ -95,31 +95,35 @@
                     return Err(why);
                 }
             };
-            let answer = self.answer(&asked).map_or_else(|why| fault(&why), good);
+            let answer = self.answer(&request).map_or_else(|why| fault(&why), good);
             stream.write_all(&frame(&answer)).map_err(failed)?;
         }
     }
 
-    fn answer(&self, asked: &Value) -> Result<Value, String> {
-        let group = || asked["group"].as_u64().ok_or_else(|| "expected a number in group".to_owned());
-        match asked["do"].as_str() {
+    fn answer(&self, request: &Value) -> Result<Value, String> {
+        let group = || request["group"].as_u64().ok_or_else(|| "expected a number in group".to_owned());
+        match request["do"].as_str() {
             Some("status") => {
-                let (reply, told) = sync_channel(1);
+                let (reply, response) = sync_channel(1);
                 self.clock.post(
-                    &self.desk,
-                    DispatcherMessage::Status { group: asked["group"].as_u64(), max_groups: GROUPS, reply },
+                    &self.dispatcher,
+                    DispatcherMessage::Status {
+                        group: request["group"].as_u64(),
+                        max_groups: MAX_GROUPS,
+                        reply,
+                    },
                 );
-                let mut status = told.recv_timeout(PATIENCE).map_err(|_| "the desk is late".to_owned())?;
+                let mut status = response.recv_timeout(TIMEOUT).map_err(|_| "the desk is late".to_owned())?;
                 status["counters"] = counters(&self.counters.to_string());
                 status["pid"] = std::process::id().into();
                 Ok(status)
             }
-            Some(what @ ("move" | "cancel")) if self.duties => {
-                let fellows = self.fellows.as_ref().ok_or("fellows are off: the log says why")?;
-                let (reply, told) = sync_channel(1);
-                let successor = asked["to"].as_str().map(str::to_owned);
-                self.tell_fellows(
-                    fellows,
+            Some(what @ ("move" | "cancel")) if self.fleet_tasks => {
+                let membership = self.membership.as_ref().ok_or("fellows are off: the log says why")?;
+                let (reply, response) = sync_channel(1);
+                let successor = request["to"].as_str().map(str::to_owned);
+                self.send_to_membership(
+                    membership,
                     MembershipMessage::ChangePrimary {
                         group: group()?,
                         successor,
@@ -127,56 +131,60 @@
                         reply,
                     },
                 );
-                let answer =
-                    told.recv_timeout(HELD).map_err(|_| "not all fronts hold yet: see fleet duties")?;
+                let answer = response
+                    .recv_timeout(HOLD_TIMEOUT)
+                    .map_err(|_| "not all fronts hold yet: see fleet duties")?;
                 answer.map(Value::from)
             }
             Some("roll") => {
-                let fellows = self.fellows.as_ref().filter(|_| self.duties).ok_or(membership::TASKS_OFF)?;
-                let (reply, told) = sync_channel(1);
-                let (program, cancel) = (asked["program"].as_str().map(str::to_owned), asked["off"] == true);
-                let at_once = asked["at_once"].as_u64().unwrap_or(1) as usize;
-                self.tell_fellows(
-                    fellows,
+                let membership =
+                    self.membership.as_ref().filter(|_| self.fleet_tasks).ok_or(membership::TASKS_OFF)?;
+                let (reply, response) = sync_channel(1);
+                let (program, cancel) =
+                    (request["program"].as_str().map(str::to_owned), request["off"] == true);
+                let at_once = request["at_once"].as_u64().unwrap_or(1) as usize;
+                self.send_to_membership(
+                    membership,
                     MembershipMessage::RollingUpgrade { program, at_once, cancel, reply },
                 );
-                let answer = told.recv_timeout(PATIENCE).map_err(|_| "it has no socket yet".to_owned())?;
+                let answer = response.recv_timeout(TIMEOUT).map_err(|_| "it has no socket yet".to_owned())?;
                 answer.map(Value::from)
             }
             Some("duties") => {
-                let fellows =
-                    self.fellows.as_ref().ok_or("fellows are off: see fellows in the operators' file")?;
-                let (reply, told) = sync_channel(1);
-                self.tell_fellows(fellows, MembershipMessage::FleetTasks(reply));
-                let duties = told
-                    .recv_timeout(PATIENCE)
+                let membership =
+                    self.membership.as_ref().ok_or("fellows are off: see fellows in the operators' file")?;
+                let (reply, response) = sync_channel(1);
+                self.send_to_membership(membership, MembershipMessage::FleetTasks(reply));
+                let tasks = response
+                    .recv_timeout(TIMEOUT)
                     .map_err(|_| "it has no socket yet: its address may be taken".to_owned())?;
-                if duties["off"] == true { Err(membership::TASKS_OFF.to_owned()) } else { Ok(duties) }
+                if tasks["off"] == true { Err(membership::TASKS_OFF.to_owned()) } else { Ok(tasks) }
             }
             Some(what @ ("move" | "cancel")) => {
-                let (reply, told) = sync_channel(1);
-                let successor = asked["to"].as_str().map(str::to_owned);
+                let (reply, response) = sync_channel(1);
+                let successor = request["to"].as_str().map(str::to_owned);
                 let change = DispatcherMessage::ChangePrimary {
                     group: group()?,
                     successor,
                     cancel: what == "cancel",
                     reply,
                 };
-                self.clock.post(&self.desk, change);
-                let answer = told.recv_timeout(PATIENCE).map_err(|_| "the desk is late".to_owned())?;
+                self.clock.post(&self.dispatcher, change);
+                let answer = response.recv_timeout(TIMEOUT).map_err(|_| "the desk is late".to_owned())?;
                 answer.map(Value::from)
             }
             Some("fleet") => {
-                let fellows =
-                    self.fellows.as_ref().ok_or("fellows are off: see fellows in the operators' file")?;
-                let (reply, told) = sync_channel(1);
-                self.tell_fellows(fellows, MembershipMessage::Status(reply));
-                told.recv_timeout(PATIENCE)
+                let membership =
+                    self.membership.as_ref().ok_or("fellows are off: see fellows in the operators' file")?;
+                let (reply, response) = sync_channel(1);
+                self.send_to_membership(membership, MembershipMessage::Status(reply));
+                response
+                    .recv_timeout(TIMEOUT)
                     .map_err(|_| "it has no socket yet: its address may be taken".to_owned())
             }
-            Some("upgrade") => (self.upgrade)(asked["program"].as_str()).map(|pid| json!({ "pid": pid })),
-            Some(other) => Err(format!(
-                "expected status, move, cancel, fleet, duties, roll or upgrade in do, found {other:?}"
+            Some("upgrade") => (self.upgrade)(request["program"].as_str()).map(|pid| json!({ "pid": pid })),
+            Some(unknown) => Err(format!(
+                "expected status, move, cancel, fleet, duties, roll or upgrade in do, found {unknown:?}"
             )),
             None => Err("expected a text in do".to_owned()),
         }
@@ -185,28 +193,29 @@
 
 /// The printed counters as an object.
 fn counters(printed: &str) -> Value {
-    let each = printed.split_whitespace().filter_map(|one| one.split_once('='));
-    each.map(|(name, count)| (name.to_owned(), count.parse::<u64>().unwrap_or(0).into()))
+    let pairs = printed.split_whitespace().filter_map(|pair| pair.split_once('='));
+    pairs
+        .map(|(name, count)| (name.to_owned(), count.parse::<u64>().unwrap_or(0).into()))
         .collect::<serde_json::Map<_, _>>()
         .into()
 }
 
 /// Asks a front through its socket; the error says why it has no answer, or the one that it gave.
-pub fn ask(path: &Path, asked: &Value, wait: Duration) -> Result<Value, String> {
+pub fn send_request(path: &Path, request: &Value, wait: Duration) -> Result<Value, String> {
     let failed = |e: std::io::Error| format!("control socket {}: {e}", path.display());
     let mut stream = UnixStream::connect(path).map_err(failed)?;
     stream.set_read_timeout(Some(wait)).map_err(failed)?;
-    stream.write_all(&frame(asked)).map_err(failed)?;
-    let (mut frames, mut piece) = (Frames::default(), [0; 4096]);
+    stream.write_all(&frame(request)).map_err(failed)?;
+    let (mut frames, mut buffer) = (Frames::default(), [0; 4096]);
     loop {
         if let Some(answer) = frames.whole()? {
             let good = answer["ok"].as_bool() == Some(true);
             let why = answer["why"].as_str().unwrap_or("the front said no");
             return if good { Ok(answer["is"].clone()) } else { Err(why.to_owned()) };
         }
-        match stream.read(&mut piece).map_err(failed)? {
+        match stream.read(&mut buffer).map_err(failed)? {
             0 => return Err("the front ended without an answer".to_owned()),
-            n => frames.take(&piece[..n]),
+            n => frames.take(&buffer[..n]),
         }
     }
 }
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -9,12 +9,12 @@
 use std::time::Duration;
 
 /// How long a command waits for the front's answer; an upgrade takes longer.
-const PATIENCE: Duration = Duration::from_secs(5);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A query router for sharded, replicated databases.
 #[derive(Parser)]
 #[command(name = "juniperdock", version, about)]
-struct Words {
+struct Cli {
     /// The operators' own file, in JSON5; without one, what it would turn on is off.
     #[arg(long, global = true, env = "JUNIPERDOCK_CHARTER", value_name = "FILE")]
     charter: Option<PathBuf>,
@@ -22,11 +22,11 @@
     #[arg(long, global = true)]
     json: bool,
     #[command(subcommand)]
-    what: Option<What>,
+    what: Option<CliCommand>,
 }
 
 #[derive(Subcommand)]
-enum What {
+enum CliCommand {
     /// Serves; what the program does without any command. GW_CONFIG names the platform's configuration.
     Run,
     /// Reads the operators' file and the configuration, and names every fault.
@@ -43,12 +43,12 @@
     /// Planned changes of a group's primary.
     Primary {
         #[command(subcommand)]
-        what: Change,
+        what: PrimaryCommand,
     },
     /// The fronts together.
     Fleet {
         #[command(subcommand)]
-        what: Fleet,
+        what: FleetCommand,
     },
     /// Hands the running front's clients over to a new process.
     Upgrade {
@@ -59,7 +59,7 @@
     /// What a front keeps for the process after it.
     Snapshot {
         #[command(subcommand)]
-        what: Show,
+        what: SnapshotCommand,
     },
     /// Brings a front's configuration from the old shape into the new, and tells what became of each field.
     Migrate {
@@ -80,7 +80,7 @@
 }
 
 #[derive(Subcommand)]
-enum Fleet {
+enum FleetCommand {
     /// Who of the fronts is there, as the running front sees it, and how it stands itself.
     Status,
     /// Which work on behalf of all there is, and which front owns it.
@@ -99,7 +99,7 @@
 }
 
 #[derive(Subcommand)]
-enum Show {
+enum SnapshotCommand {
     /// Prints a snapshot as JSON, and why a start would refuse it.
     Show {
         /// The file; the one of the operators' file unless it is named.
@@ -108,7 +108,7 @@
 }
 
 #[derive(Subcommand)]
-enum Change {
+enum PrimaryCommand {
     /// Holds the group's writes until another member claims; undone if none does in time.
     Move {
         group: u64,
@@ -121,11 +121,11 @@
 }
 
 fn main() -> ExitCode {
-    let words = Words::parse();
-    match act(&words) {
+    let cli = Cli::parse();
+    match run(&cli) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            if words.json {
+            if cli.json {
                 println!("{}", json!({ "ok": false, "why": why }));
             } else {
                 eprintln!("juniperdock: {why}");
@@ -136,101 +136,105 @@
 }
 
 /// Reads the operators' file, if one is named.
-fn charter(path: Option<&Path>) -> Result<Charter, Vec<Fault>> {
+fn read_operator_config(path: Option<&Path>) -> Result<Charter, Vec<Fault>> {
     let Some(path) = path else { return Ok(Charter::default()) };
-    let whole = |why: String| vec![Fault { line: None, field: String::new(), why }];
-    let text = std::fs::read_to_string(path).map_err(|e| whole(e.to_string()))?;
+    let file_error = |why: String| vec![Fault { line: None, field: String::new(), why }];
+    let text = std::fs::read_to_string(path).map_err(|e| file_error(e.to_string()))?;
     juniperdock_operator_config::read(&text)
 }
 
-fn act(words: &Words) -> Result<(), String> {
-    let path = words.charter.as_deref();
-    let named = |faults: &[Fault]| {
+fn run(cli: &Cli) -> Result<(), String> {
+    let path = cli.charter.as_deref();
+    let with_path = |faults: &[Fault]| {
         let name = path.map_or_else(String::new, |path| format!("{}: ", path.display()));
         faults.iter().map(|fault| format!("{name}{fault}")).collect::<Vec<_>>()
     };
-    let read = charter(path);
-    let say = |answer: &Value, plain: &dyn Fn(&Value) -> String| {
-        println!("{}", if words.json { answer.to_string() } else { plain(answer) });
+    let config = read_operator_config(path);
+    let print = |answer: &Value, format: &dyn Fn(&Value) -> String| {
+        println!("{}", if cli.json { answer.to_string() } else { format(answer) });
     };
-    if let Some(What::Check { schema }) = &words.what {
+    if let Some(CliCommand::Check { schema }) = &cli.what {
         if *schema {
             println!("{:#}", juniperdock_operator_config::schema());
             return Ok(());
         }
-        let mut faults = read.as_ref().map_or_else(|faults| named(faults), |_| Vec::new());
+        let mut faults = config.as_ref().map_or_else(|faults| with_path(faults), |_| Vec::new());
         if std::env::var_os("GW_CONFIG").is_some() {
-            faults.extend(serve::check(read.as_ref().ok()).err());
+            faults.extend(serve::check(config.as_ref().ok()).err());
         }
         if !faults.is_empty() {
-            return Err(faults.join(if words.json { "; " } else { "\njuniperdock: " }));
+            return Err(faults.join(if cli.json { "; " } else { "\njuniperdock: " }));
         }
-        say(&json!({ "ok": true }), &|_| "no fault found".to_owned());
+        print(&json!({ "ok": true }), &|_| "no fault found".to_owned());
         return Ok(());
     }
-    if let Some(What::Completions { shell }) = &words.what {
-        clap_complete::generate(*shell, &mut Words::command(), "juniperdock", &mut std::io::stdout());
+    if let Some(CliCommand::Completions { shell }) = &cli.what {
+        clap_complete::generate(*shell, &mut Cli::command(), "juniperdock", &mut std::io::stdout());
         return Ok(());
     }
-    if let Some(What::Migrate { old, output, force, dry_run }) = &words.what {
+    if let Some(CliCommand::Migrate { old, output, force, dry_run }) = &cli.what {
         let output = output.as_deref().filter(|_| !dry_run);
         let report = migrate::migrate(old, output, *force)?;
-        if words.json {
+        if cli.json {
             println!("{report}");
         } else {
-            eprint!("{}", migrate::plain(&report));
+            eprint!("{}", migrate::format_report(&report));
         }
         return Ok(());
     }
-    let charter = read.map_err(|faults| named(&faults).join("; "))?;
-    let ask = |asked: Value, wait| {
+    let config = config.map_err(|faults| with_path(&faults).join("; "))?;
+    let send = |request: Value, wait| {
         let socket =
-            charter.control.as_ref().ok_or("expected --charter with a file that names control.path")?;
-        control::ask(&socket.path, &asked, wait)
+            config.control.as_ref().ok_or("expected --charter with a file that names control.path")?;
+        control::send_request(&socket.path, &request, wait)
     };
-    match &words.what {
-        None | Some(What::Run) => return serve::serve(&charter, path),
-        Some(What::Status { group }) => {
-            say(&ask(json!({ "do": "status", "group": group }), PATIENCE)?, &plain_status);
+    match &cli.what {
+        None | Some(CliCommand::Run) => return serve::serve(&config, path),
+        Some(CliCommand::Status { group }) => {
+            print(&send(json!({ "do": "status", "group": group }), ANSWER_TIMEOUT)?, &format_status);
         }
-        Some(What::Primary { what }) => {
-            let asked = match what {
-                Change::Move { group, to } => json!({ "do": "move", "group": group, "to": to }),
-                Change::Cancel { group } => json!({ "do": "cancel", "group": group }),
+        Some(CliCommand::Primary { what }) => {
+            let request = match what {
+                PrimaryCommand::Move { group, to } => json!({ "do": "move", "group": group, "to": to }),
+                PrimaryCommand::Cancel { group } => json!({ "do": "cancel", "group": group }),
             };
-            say(&ask(asked, PATIENCE)?, &|answer| answer.as_str().unwrap_or_default().to_owned());
+            print(&send(request, ANSWER_TIMEOUT)?, &|answer| answer.as_str().unwrap_or_default().to_owned());
         }
-        Some(What::Fleet { what: Fleet::Status }) => {
-            say(&ask(json!({ "do": "fleet" }), PATIENCE)?, &plain_fleet);
+        Some(CliCommand::Fleet { what: FleetCommand::Status }) => {
+            print(&send(json!({ "do": "fleet" }), ANSWER_TIMEOUT)?, &format_fleet);
         }
-        Some(What::Fleet { what: Fleet::Roll { program, at_once, off } }) => {
-            let asked = json!({ "do": "roll", "program": program, "at_once": at_once, "off": off });
-            say(&ask(asked, PATIENCE)?, &|answer| answer.as_str().unwrap_or_default().to_owned());
+        Some(CliCommand::Fleet { what: FleetCommand::Roll { program, at_once, off } }) => {
+            let request = json!({ "do": "roll", "program": program, "at_once": at_once, "off": off });
+            print(&send(request, ANSWER_TIMEOUT)?, &|answer| answer.as_str().unwrap_or_default().to_owned());
         }
-        Some(What::Fleet { what: Fleet::Duties }) => {
-            say(&ask(json!({ "do": "duties" }), PATIENCE)?, &plain_duties);
+        Some(CliCommand::Fleet { what: FleetCommand::Duties }) => {
+            print(&send(json!({ "do": "duties" }), ANSWER_TIMEOUT)?, &format_duties);
         }
-        Some(What::Upgrade { program }) => {
-            let wait = Duration::from_millis(charter.upgrade.ready_ms + charter.upgrade.taken_ms) + PATIENCE;
-            let asked = json!({ "do": "upgrade", "program": program });
-            say(&ask(asked, wait)?, &|answer| format!("process {} serves now", answer["pid"]));
+        Some(CliCommand::Upgrade { program }) => {
+            let wait =
+                Duration::from_millis(config.upgrade.ready_ms + config.upgrade.taken_ms) + ANSWER_TIMEOUT;
+            let request = json!({ "do": "upgrade", "program": program });
+            print(&send(request, wait)?, &|answer| format!("process {} serves now", answer["pid"]));
         }
-        Some(What::Snapshot { what: Show::Show { file } }) => {
-            let kept = charter.snapshot.as_ref().map(|kept| &kept.path);
-            let file =
-                file.as_ref().or(kept).ok_or("expected a file, or snapshot.path in the operators' file")?;
+        Some(CliCommand::Snapshot { what: SnapshotCommand::Show { file } }) => {
+            let configured = config.snapshot.as_ref().map(|configured| &configured.path);
+            let file = file
+                .as_ref()
+                .or(configured)
+                .ok_or("expected a file, or snapshot.path in the operators' file")?;
             let bytes = std::fs::read(file).map_err(|e| format!("{}: {e}", file.display()))?;
-            let memory = juniperdock_snapshot::decode(&bytes)?;
-            println!("{:#}", serde_json::to_value(&memory).map_err(|e| e.to_string())?);
+            let snapshot = juniperdock_snapshot::decode(&bytes)?;
+            println!("{:#}", serde_json::to_value(&snapshot).map_err(|e| e.to_string())?);
             let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-            memory.age(now.as_micros() as i64, juniperdock_front::snapshot_file::machine_time().as_ref())?;
+            snapshot
+                .age(now.as_micros() as i64, juniperdock_front::snapshot_file::machine_time().as_ref())?;
         }
-        Some(What::Check { .. } | What::Completions { .. } | What::Migrate { .. }) => {}
+        Some(CliCommand::Check { .. } | CliCommand::Completions { .. } | CliCommand::Migrate { .. }) => {}
     }
     Ok(())
 }
 
-fn plain_fleet(fleet: &Value) -> String {
+fn format_fleet(fleet: &Value) -> String {
     if fleet["left"].as_bool() == Some(true) {
         return "this front has left its fellows".to_owned();
     }
@@ -249,15 +253,15 @@
     for front in fleet["fronts"].as_array().into_iter().flatten() {
         let heard = front["heard_ms_ago"].as_u64().map_or_else(|| "-".to_owned(), |ms| ms.to_string());
         let (index, state) = (&front["index"], text(&front["state"]));
-        let (life, says) = (&front["incarnation"], text(&front["says"]));
-        lines.push(format!("{index:>6}  {state:<8} {life:>11}  {heard:>12}  {says}"));
+        let (incarnation, reported) = (&front["incarnation"], text(&front["says"]));
+        lines.push(format!("{index:>6}  {state:<8} {incarnation:>11}  {heard:>12}  {reported}"));
     }
-    let (came, went, refused) = (&fleet["datagrams_in"], &fleet["datagrams_out"], &fleet["refused"]);
-    lines.push(format!("{came} datagrams came, {went} went, refused: {refused}"));
+    let (received, sent, refused) = (&fleet["datagrams_in"], &fleet["datagrams_out"], &fleet["refused"]);
+    lines.push(format!("{received} datagrams came, {sent} went, refused: {refused}"));
     lines.join("\n")
 }
 
-fn plain_duties(duties: &Value) -> String {
+fn format_duties(duties: &Value) -> String {
     let mut lines = vec![format!(
         "{:<12} {:>16} {:>6} {:>9} {:>8} {:>8}",
         "duty", "term", "owner", "until ms", "effects", "refused"
@@ -282,7 +286,7 @@
     lines.join("\n")
 }
 
-fn plain_status(status: &Value) -> String {
+fn format_status(status: &Value) -> String {
     let mut lines = vec![format!("{:>8}  {:<13} {:>5}  {:>7}  primary", "group", "phase", "term", "waiting")];
     for group in status["groups"].as_array().into_iter().flatten() {
         let text = |name: &str| group[name].as_str().unwrap_or("-").to_owned();
--- a/crates/front/src/migrate.rs
+++ b/crates/front/src/migrate.rs
@@ -12,11 +12,11 @@
 /// Brings the file `old` into the new shape, and writes it to `output` if one is named. Tells what became of
 /// each field; the error names the file and the line or field that is wrong, and nothing was written then.
 pub fn migrate(old: &Path, output: Option<&Path>, force: bool) -> Result<Value, String> {
-    let at = |why: String| format!("{}: {why}", old.display());
-    let text = fs::read_to_string(old).map_err(|e| at(e.to_string()))?;
-    let brought = juniperdock_settings::bring(&text).map_err(at)?;
-    Settings::of(brought.file.clone()).check().map_err(at)?;
-    let output = output.filter(|_| !brought.already);
+    let with_path = |why: String| format!("{}: {why}", old.display());
+    let text = fs::read_to_string(old).map_err(|e| with_path(e.to_string()))?;
+    let migrated = juniperdock_settings::bring(&text).map_err(with_path)?;
+    Settings::from_json(migrated.file.clone()).check().map_err(with_path)?;
+    let output = output.filter(|_| !migrated.already);
     if let Some(output) = output {
         let same = |a: fs::Metadata, b: fs::Metadata| (a.dev(), a.ino()) == (b.dev(), b.ino());
         if let (Ok(a), Ok(b)) = (fs::metadata(old), fs::metadata(output))
@@ -24,31 +24,31 @@
         {
             return Err(format!("{}: expected another file than the old one", output.display()));
         }
-        let text = format!("{:#}\n", brought.file);
+        let text = format!("{:#}\n", migrated.file);
         write(output, text.as_bytes(), force).map_err(|why| format!("{}: {why}", output.display()))?;
     }
     let defaulted: Vec<_> =
-        brought.defaulted.iter().map(|(f, v)| json!({ "field": f, "value": v })).collect();
+        migrated.defaulted.iter().map(|(f, v)| json!({ "field": f, "value": v })).collect();
     let left_out: Vec<_> =
-        brought.left_out.iter().map(|(f, why)| json!({ "field": f, "why": why })).collect();
+        migrated.left_out.iter().map(|(f, why)| json!({ "field": f, "why": why })).collect();
     Ok(
-        json!({ "ok": true, "already": brought.already, "written": output.map(|path| path.display().to_string()),
-        "carried": brought.carried, "defaulted": defaulted, "left_out": left_out }),
+        json!({ "ok": true, "already": migrated.already, "written": output.map(|path| path.display().to_string()),
+        "carried": migrated.carried, "defaulted": defaulted, "left_out": left_out }),
     )
 }
 
 /// Writes a file whole or not at all; one that is there already is replaced only by force.
 fn write(output: &Path, bytes: &[u8], force: bool) -> Result<(), String> {
     let name = output.file_name().ok_or("expected the path of a file")?.to_string_lossy();
-    let draft = output.with_file_name(format!(".{name}.{}", std::process::id()));
-    atomic_file::write(output, &draft, bytes, force).map_err(|e| match e.kind() {
+    let temporary = output.with_file_name(format!(".{name}.{}", std::process::id()));
+    atomic_file::write(output, &temporary, bytes, force).map_err(|e| match e.kind() {
         ErrorKind::AlreadyExists => "is there already; --force replaces it".to_owned(),
         _ => e.to_string(),
     })
 }
 
 /// The report as lines.
-pub fn plain(report: &Value) -> String {
+pub fn format_report(report: &Value) -> String {
     let mut lines = Vec::new();
     let text = |value: &Value| value.as_str().unwrap_or_default().to_owned();
     let each = |name: &str| report[name].as_array().cloned().unwrap_or_default();
--- a/crates/front/src/signals.rs
+++ b/crates/front/src/signals.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// After SIGTERM clients still come for 0.4 s; then those between txns are told to go elsewhere.
-const LINGER: Duration = Duration::from_millis(450);
+const CLOSE_DELAY: Duration = Duration::from_millis(450);
 
 pub fn listen() -> Result<Signals, String> {
     Signals::new([SIGHUP, SIGTERM, SIGUSR1]).map_err(|e| format!("signals: {e}"))
@@ -25,22 +25,22 @@
 /// A supervisor may kill the process this long and 0.7 s after SIGTERM, however long a request may take.
 const MAX_SHUTDOWN: Duration = Duration::from_secs(3);
 /// Between a failed wait for a signal and the next.
-const AFTER_FAILURE: Duration = Duration::from_millis(10);
+const RETRY_DELAY: Duration = Duration::from_millis(10);
 /// What is answered last gets this long to be handed over.
-const LAST_CALL: Duration = Duration::from_millis(100);
+const FINAL_ANSWER_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Waits until nobody is taken in any more and all clients have gone, until that time at the longest.
-fn await_clients(clients: &SharedClients, last: Duration) {
+fn await_clients(clients: &SharedClients, deadline: Duration) {
     while (clients.acceptor_running.load(Ordering::Acquire) || clients.present() > 0)
-        && clients.clock.now() < last
+        && clients.clock.now() < deadline
     {
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 /// Wakes an actor from this thread.
-fn wake(clients: &SharedClients, bell: Bell) {
-    clients.clock.run_at(Duration::ZERO, move || bell.ring());
+fn wake(clients: &SharedClients, waker: Bell) {
+    clients.clock.run_at(Duration::ZERO, move || waker.ring());
 }
 
 /// The next signal. The library takes any failed read of its own socket for the end of the world; one that the machine is
@@ -49,36 +49,36 @@
     loop {
         match catch_unwind(AssertUnwindSafe(|| signals.forever().next())) {
             Ok(signal) => return signal,
-            Err(_) => std::thread::sleep(AFTER_FAILURE),
+            Err(_) => std::thread::sleep(RETRY_DELAY),
         }
     }
 }
 
 /// Reads the configuration again. Where the list is to be had counts at once; all else at the next start.
 fn reload(
-    told: &Settings,
+    settings: &Settings,
     clock: &Clock,
-    list: &Sender<DiscoveryMessage>,
-    laid_down: &dyn Fn() -> Result<Vec<&'static str>, String>,
+    discovery: &Sender<DiscoveryMessage>,
+    reload_operator_config: &dyn Fn() -> Result<Vec<&'static str>, String>,
     counters: &Counters,
     log: &slog::Logger,
 ) {
     counters.reloads.add();
-    match laid_down() {
-        Ok(other) if other.is_empty() => {}
-        Ok(other) => {
-            slog::warn!(log, "a change that counts from the next start only"; "in" => other.join(", "));
+    match reload_operator_config() {
+        Ok(changed) if changed.is_empty() => {}
+        Ok(changed) => {
+            slog::warn!(log, "a change that counts from the next start only"; "in" => changed.join(", "));
         }
         Err(why) => {
             counters.reloads_failed.add();
             slog::error!(log, "the operators' file stays as it is"; "why" => why);
         }
     }
-    match told.again() {
-        Ok((discovery, other)) => {
-            clock.post(list, DiscoveryMessage::SetAddress(discovery));
-            if !other.is_empty() {
-                slog::warn!(log, "a change that counts from the next start only"; "in" => other.join(", "));
+    match settings.reread() {
+        Ok((address, changed)) => {
+            clock.post(discovery, DiscoveryMessage::SetAddress(address));
+            if !changed.is_empty() {
+                slog::warn!(log, "a change that counts from the next start only"; "in" => changed.join(", "));
             }
         }
         Err(why) => {
@@ -91,33 +91,33 @@
 /// Follows signals until SIGTERM; then answers all that was taken, for so long at the longest.
 pub fn follow(
     mut signals: Signals,
-    told: &Settings,
-    list: &Sender<DiscoveryMessage>,
-    laid_down: &dyn Fn() -> Result<Vec<&'static str>, String>,
+    settings: &Settings,
+    discovery: &Sender<DiscoveryMessage>,
+    reload_operator_config: &dyn Fn() -> Result<Vec<&'static str>, String>,
     clients: &Arc<SharedClients>,
-    door: &Door,
+    listener: &Door,
     counters: &Counters,
-    longest: Duration,
+    max_request_time: Duration,
     log: &slog::Logger,
 ) {
     while let Some(signal) = next_signal(&mut signals) {
         match signal {
             SIGUSR1 => eprintln!("counters: {counters}"),
-            SIGHUP => reload(told, &clients.clock, list, laid_down, counters, log),
+            SIGHUP => reload(settings, &clients.clock, discovery, reload_operator_config, counters, log),
             _ => break,
         }
     }
     // All times count from here: where this thread is held up on the way, what comes after is not later by as much.
-    let told_to_end = clients.clock.now();
-    let close_at = told_to_end + LINGER;
-    let last_call_at = close_at + longest.min(MAX_SHUTDOWN);
+    let terminated_at = clients.clock.now();
+    let close_at = terminated_at + CLOSE_DELAY;
+    let answer_deadline = close_at + max_request_time.min(MAX_SHUTDOWN);
     clients.send_to_membership(MembershipMessage::Leave);
     std::thread::sleep(close_at.saturating_sub(clients.clock.now()));
     clients.close();
     // The acceptor takes in who has come by now, and shuts the door.
-    wake(clients, door.bell());
-    await_clients(clients, last_call_at);
+    wake(clients, listener.bell());
+    await_clients(clients, answer_deadline);
     clients.answer_all_now();
-    await_clients(clients, clients.clock.now() + LAST_CALL);
+    await_clients(clients, clients.clock.now() + FINAL_ANSWER_TIMEOUT);
     eprintln!("counters: {counters}");
 }
--- a/crates/front/src/snapshot_file.rs
+++ b/crates/front/src/snapshot_file.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// How long the desk may take over what it knows.
-const PATIENCE: Duration = Duration::from_secs(2);
+const SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Which run of the machine this is (random(4)).
 const BOOT_ID: &str = "/proc/sys/kernel/random/boot_id";
@@ -44,21 +44,27 @@
 }
 
 /// Writes now and then for as long as the program runs.
-pub fn now_and_then(how: Snapshot, clock: Clock, desk: Sender<DispatcherMessage>, log: slog::Logger) {
+pub fn write_periodically(
+    config: Snapshot,
+    clock: Clock,
+    dispatcher: Sender<DispatcherMessage>,
+    log: slog::Logger,
+) {
     std::thread::spawn(move || {
-        let mut told = false;
+        let mut failure_logged = false;
         loop {
-            std::thread::sleep(Duration::from_secs(how.every_s));
-            let (tell, knows) = sync_channel(1);
-            clock.post(&desk, DispatcherMessage::TakeSnapshot(tell));
-            let bytes = knows.recv_timeout(PATIENCE).map_err(|e| e.to_string()).and_then(|bytes| bytes);
-            let written = bytes.and_then(|bytes| write(&how.path, &bytes).map_err(|e| e.to_string()));
+            std::thread::sleep(Duration::from_secs(config.every_s));
+            let (reply, response) = sync_channel(1);
+            clock.post(&dispatcher, DispatcherMessage::TakeSnapshot(reply));
+            let bytes =
+                response.recv_timeout(SNAPSHOT_TIMEOUT).map_err(|e| e.to_string()).and_then(|bytes| bytes);
+            let written = bytes.and_then(|bytes| write(&config.path, &bytes).map_err(|e| e.to_string()));
             if let Err(why) = &written
-                && !told
+                && !failure_logged
             {
-                slog::warn!(log, "no snapshot is written"; "path" => %how.path.display(), "why" => why);
+                slog::warn!(log, "no snapshot is written"; "path" => %config.path.display(), "why" => why);
             }
-            told = written.is_err();
+            failure_logged = written.is_err();
         }
     });
 }
--- a/crates/front/tests/cluster/mod.rs
+++ b/crates/front/tests/cluster/mod.rs
@@ -49,10 +49,10 @@
 }
 
 /// Asks until an answer is as it should be.
-pub fn wait_until(mut good: impl FnMut() -> bool) {
-    let begun = Instant::now();
-    while !good() {
-        assert!(begun.elapsed() < PATIENCE, "it does not come about");
+pub fn wait_until(mut condition: impl FnMut() -> bool) {
+    let started_at = Instant::now();
+    while !condition() {
+        assert!(started_at.elapsed() < PATIENCE, "it does not come about");
         std::thread::sleep(std::time::Duration::from_millis(1));
     }
 }
--- a/crates/front/tests/migrate.rs
+++ b/crates/front/tests/migrate.rs
@@ -9,24 +9,24 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_juniperdock");
 
 /// A folder with a configuration of the old shape, gone with the story.
-struct Desk {
+struct Workspace {
     dir: PathBuf,
 }
 
-impl Desk {
-    fn with(name: &str, text: &str) -> Desk {
+impl Workspace {
+    fn with(name: &str, text: &str) -> Workspace {
         let dir = std::env::temp_dir().join(format!("juniperdock-migrate-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&dir).expect("a folder");
         std::fs::write(dir.join("old.json"), text).expect("a file");
-        Desk { dir }
+        Workspace { dir }
     }
 
     fn at(&self, name: &str) -> PathBuf {
         self.dir.join(name)
     }
 
-    fn run(&self, words: &[&str]) -> Output {
-        Command::new(PROGRAM).current_dir(&self.dir).args(words).output().expect("the program runs")
+    fn run(&self, args: &[&str]) -> Output {
+        Command::new(PROGRAM).current_dir(&self.dir).args(args).output().expect("the program runs")
     }
 
     fn files(&self) -> Vec<String> {
@@ -41,15 +41,15 @@
     }
 }
 
-impl Drop for Desk {
+impl Drop for Workspace {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.dir);
     }
 }
 
-fn old(known: &str) -> String {
+fn old(server_list: &str) -> String {
     format!(
-        r#"{{"seed":"8c1f30d27a5be964","limits":{{"memory_mb":192,"sockets":1024}},"known":{known},"peers_all":"127.0.0.1:9",
+        r#"{{"seed":"8c1f30d27a5be964","limits":{{"memory_mb":192,"sockets":1024}},"known":{server_list},"peers_all":"127.0.0.1:9",
         "settings":{{"Balancers":1,"Me":0,"Zone":0,"Zones":["a"],"Deductions":{{"Probe":0.02}},
         "Services":[{{"DedupScope":"cell","Effect":"pure","HardLimit":5000.0,"LateWorth":0.5,"Name":"lookup",
         "Objective":1500.0,"Value":1.0,"Window":2000.0}}],
@@ -60,19 +60,19 @@
     )
 }
 
-fn said(output: &Output) -> String {
+fn stderr(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
 #[test]
-fn an_old_file_goes_through_migrate_and_check_to_a_front_that_serves() {
+fn migrated_configuration_passes_check_and_starts_a_front() {
     let members: Vec<Member> = (0..2).map(|i| Member::start(i == 0)).collect();
-    let known = list(1, true, &[("m-0", members[0].at, "up"), ("m-1", members[1].at, "up")]);
+    let server_list = list(1, true, &[("m-0", members[0].at, "up"), ("m-1", members[1].at, "up")]);
     let agent = Agent::start(WATCH);
-    let desk = Desk::with("serves", &old(&known));
-    let done = desk.run(&["migrate", "old.json", "--output", "new.json"]);
-    assert!(done.status.success(), "{}", said(&done));
-    let told = said(&done);
+    let workspace = Workspace::with("serves", &old(&server_list));
+    let done = workspace.run(&["migrate", "old.json", "--output", "new.json"]);
+    assert!(done.status.success(), "{}", stderr(&done));
+    let stderr_text = stderr(&done);
     for line in [
         "carried    settings.Bounds.TryLimit",
         "defaulted  settings.Tenants = []",
@@ -80,51 +80,54 @@
         "left out   peers_all: fronts tell each other nothing",
         "written to new.json",
     ] {
-        assert!(told.lines().any(|l| l == line), "{line} in {told}");
+        assert!(stderr_text.lines().any(|l| l == line), "{line} in {stderr_text}");
     }
-    assert_eq!(desk.text("old.json"), old(&known), "the old file stays as it is");
+    assert_eq!(workspace.text("old.json"), old(&server_list), "the old file stays as it is");
     let at = address();
     let check = Command::new(PROGRAM)
         .arg("check")
         .env("GW_LISTEN", at.to_string())
         .env("GW_DISCOVERY", agent.at.to_string())
-        .env("GW_CONFIG", desk.at("new.json"))
+        .env("GW_CONFIG", workspace.at("new.json"))
         .output()
         .expect("the program runs");
-    assert!(check.status.success(), "{}", said(&check));
-    let front = Front::with(PROGRAM, at, agent.at, &desk.text("new.json"), None);
+    assert!(check.status.success(), "{}", stderr(&check));
+    let front = Front::with(PROGRAM, at, agent.at, &workspace.text("new.json"), None);
     assert!(front.client().ask(&txn("lookup", 2000, "r")).value.is_some());
     // And the old one serves as ever.
-    let before = Front::with(PROGRAM, address(), agent.at, &desk.text("old.json"), None);
+    let before = Front::with(PROGRAM, address(), agent.at, &workspace.text("old.json"), None);
     assert!(before.client().ask(&txn("lookup", 2000, "r")).value.is_some());
 }
 
 #[test]
-fn nothing_is_replaced_unasked_and_a_dry_run_writes_nothing() {
-    let desk = Desk::with("files", &old("{}"));
-    let dry = desk.run(&["--json", "migrate", "old.json", "--dry-run"]);
+fn existing_files_are_replaced_only_with_force_and_dry_run_writes_nothing() {
+    let workspace = Workspace::with("files", &old("{}"));
+    let dry = workspace.run(&["--json", "migrate", "old.json", "--dry-run"]);
     let report: Value = serde_json::from_slice(&dry.stdout).expect("one line of JSON");
-    assert!(dry.status.success() && report["written"].is_null() && desk.files() == ["old.json"], "{report}");
+    assert!(
+        dry.status.success() && report["written"].is_null() && workspace.files() == ["old.json"],
+        "{report}"
+    );
     assert_eq!(report["defaulted"].as_array().map(Vec::len), Some(4));
-    std::fs::write(desk.at("new.json"), "mine").expect("a file");
-    let refused = desk.run(&["migrate", "old.json", "--output", "new.json"]);
-    assert_eq!((refused.status.code(), desk.text("new.json").as_str()), (Some(1), "mine"));
-    assert!(said(&refused).contains("--force"), "{}", said(&refused));
-    std::fs::hard_link(desk.at("old.json"), desk.at("same.json")).expect("a link");
+    std::fs::write(workspace.at("new.json"), "mine").expect("a file");
+    let refused = workspace.run(&["migrate", "old.json", "--output", "new.json"]);
+    assert_eq!((refused.status.code(), workspace.text("new.json").as_str()), (Some(1), "mine"));
+    assert!(stderr(&refused).contains("--force"), "{}", stderr(&refused));
+    std::fs::hard_link(workspace.at("old.json"), workspace.at("same.json")).expect("a link");
     for own in ["old.json", "same.json"] {
-        let refused = desk.run(&["migrate", "old.json", "--output", own, "--force"]);
-        assert_eq!((refused.status.code(), desk.text("old.json")), (Some(1), old("{}")));
+        let refused = workspace.run(&["migrate", "old.json", "--output", own, "--force"]);
+        assert_eq!((refused.status.code(), workspace.text("old.json")), (Some(1), old("{}")));
     }
-    assert!(desk.run(&["migrate", "old.json", "--output", "new.json", "--force"]).status.success());
-    let written = desk.text("new.json");
-    let again = desk.run(&["migrate", "new.json", "--output", "newer.json"]);
-    assert!(again.status.success() && said(&again).contains("already"), "{}", said(&again));
-    assert_eq!((desk.text("new.json"), desk.at("newer.json").exists()), (written, false));
-    assert_eq!(desk.files(), ["new.json", "old.json", "same.json"], "no draft is left behind");
+    assert!(workspace.run(&["migrate", "old.json", "--output", "new.json", "--force"]).status.success());
+    let written = workspace.text("new.json");
+    let again = workspace.run(&["migrate", "new.json", "--output", "newer.json"]);
+    assert!(again.status.success() && stderr(&again).contains("already"), "{}", stderr(&again));
+    assert_eq!((workspace.text("new.json"), workspace.at("newer.json").exists()), (written, false));
+    assert_eq!(workspace.files(), ["new.json", "old.json", "same.json"], "no draft is left behind");
 }
 
 #[test]
-fn wrong_files_are_told_plainly_and_leave_nothing_behind() {
+fn invalid_files_are_rejected_with_a_clear_error_and_no_output() {
     let good = old("{}");
     let cut = &good[..good.len() / 2];
     let foreign = "{ log: { form: \"text\" } }";
@@ -138,28 +141,39 @@
         (good.replace("\"seed\"", "\"listen\":7,\"seed\""), "listen: expected an address"),
         (good.replace("\"Balancers\":1", "\"OverShareWorth\":-1"), "from 0 to 1 in OverShareWorth"),
     ];
-    for (text, word) in cases {
-        let desk = Desk::with("wrong", &text);
-        let refused = desk.run(&["migrate", "old.json", "--output", "new.json"]);
-        let told = said(&refused);
-        assert_eq!(refused.status.code(), Some(1), "{word}: {told}");
-        assert!(told.contains("old.json") && told.contains(word), "{word} in {told}");
-        assert_eq!(desk.files(), ["old.json"]);
+    for (text, expected) in cases {
+        let workspace = Workspace::with("wrong", &text);
+        let refused = workspace.run(&["migrate", "old.json", "--output", "new.json"]);
+        let stderr_text = stderr(&refused);
+        assert_eq!(refused.status.code(), Some(1), "{expected}: {stderr_text}");
+        assert!(
+            stderr_text.contains("old.json") && stderr_text.contains(expected),
+            "{expected} in {stderr_text}"
+        );
+        assert_eq!(workspace.files(), ["old.json"]);
     }
-    let desk = Desk::with("missing", "{}");
-    let refused = desk.run(&["migrate", "none.json", "--output", "new.json"]);
-    assert!(refused.status.code() == Some(1) && said(&refused).contains("none.json"), "{}", said(&refused));
+    let workspace = Workspace::with("missing", "{}");
+    let refused = workspace.run(&["migrate", "none.json", "--output", "new.json"]);
+    assert!(
+        refused.status.code() == Some(1) && stderr(&refused).contains("none.json"),
+        "{}",
+        stderr(&refused)
+    );
 }
 
 #[test]
-fn a_shape_that_is_not_known_does_not_start() {
-    let desk = Desk::with("shape", &old("{}").replace("\"seed\"", "\"shape\":9,\"seed\""));
+fn check_rejects_an_unknown_configuration_shape() {
+    let workspace = Workspace::with("shape", &old("{}").replace("\"seed\"", "\"shape\":9,\"seed\""));
     let check = Command::new(PROGRAM)
         .arg("check")
         .env("GW_LISTEN", "127.0.0.1:1")
         .env("GW_DISCOVERY", "127.0.0.1:2")
-        .env("GW_CONFIG", Path::new(&desk.at("old.json")))
+        .env("GW_CONFIG", Path::new(&workspace.at("old.json")))
         .output()
         .expect("the program runs");
-    assert!(check.status.code() == Some(1) && said(&check).contains("shape: expected 2"), "{}", said(&check));
+    assert!(
+        check.status.code() == Some(1) && stderr(&check).contains("shape: expected 2"),
+        "{}",
+        stderr(&check)
+    );
 }
--- a/crates/front/tests/primary.rs
+++ b/crates/front/tests/primary.rs
@@ -6,13 +6,13 @@
 use serde_json::{Value, json};
 
 #[test]
-fn primaries_change_and_every_write_is_accounted_for() {
+fn every_write_is_accounted_for_across_primary_changes() {
     let path = std::env::temp_dir().join(format!("jd-primaries-{}.jsonl", std::process::id()));
-    let held = |_: usize, _: &mut Value, charter: &mut Value| {
+    let configure = |_: usize, _: &mut Value, charter: &mut Value| {
         charter["held"] = json!({ "untaken_share": 1.0 });
     };
     let schedule = Schedule::primaries(4, 9.0);
-    play(&schedule, 4, env!("CARGO_BIN_EXE_juniperdock"), &path, Some(&held)).expect("played");
+    play(&schedule, 4, env!("CARGO_BIN_EXE_juniperdock"), &path, Some(&configure)).expect("played");
     let figures = changes(&read(&path).expect("a history"));
     if std::env::var_os("JUNIPERDOCK_KEEP").is_none() {
         let _ = std::fs::remove_file(&path);
--- a/crates/front/tests/scale.rs
+++ b/crates/front/tests/scale.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_change_of_a_long_list_costs_what_has_changed() {
+fn list_change_costs_depend_on_the_change_not_on_the_list_size() {
     for behaviour in [Behaviour::Answer, Behaviour::Refuse, Behaviour::Silent] {
         let (small, large) = sizes(behaviour);
         let more = large.one_change_mib.max(large.changes_mib) - small.one_change_mib.min(small.rest_mib);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_line_is_fitted_by_least_squares() {
+fn line_is_fitted_by_least_squares() {
     assert_eq!(line(&[1.0, 2.0, 3.0], &[5.0, 7.0, 9.0]), (2.0, 3.0));
     assert_eq!(line(&[4.0, 4.0], &[1.0, 3.0]), (0.0, 2.0));
 }
--- a/crates/front/tests/soak.rs
+++ b/crates/front/tests/soak.rs
@@ -10,26 +10,26 @@
 /// Of each seed so many seconds of faults, and what it takes to heal.
 const SECONDS: f64 = 8.0;
 
-fn holds(seed: u64) {
+fn assert_invariants_hold(seed: u64) {
     let schedule = Schedule::soak(seed, 10, SECONDS);
     let path = std::env::temp_dir().join(format!("jd-soak-{seed}-{}.jsonl", std::process::id()));
     play(&schedule, seed, PROGRAM, &path, None).unwrap_or_else(|why| panic!("{why}"));
-    let seen = soak::findings(&read(&path).unwrap_or_else(|why| panic!("{why}")));
+    let findings = soak::findings(&read(&path).unwrap_or_else(|why| panic!("{why}")));
     let _ = std::fs::remove_file(&path);
-    assert!(seen.hold(), "seed {seed}: {seen}");
-    assert!(seen.figures.committed > 100 && seen.left > 0, "seed {seed}: {seen}");
+    assert!(findings.hold(), "seed {seed}: {findings}");
+    assert!(findings.figures.committed > 100 && findings.left > 0, "seed {seed}: {findings}");
 }
 
 #[test]
-fn ten_processes_keep_the_invariants_whatever_befalls_them() {
+fn invariants_hold_for_ten_processes_under_overlapping_faults() {
     for seed in [3, 8, 14] {
-        holds(seed);
+        assert_invariants_hold(seed);
     }
 }
 
 /// The oracle sees what it is there for: a statement that a server had, and whose connection then ended without a word.
 #[test]
-fn the_oracle_finds_what_is_planted() {
+fn oracle_detects_planted_violations() {
     let schedule = Schedule { mishaps: Vec::new(), lasts_s: 2.0, ..Schedule::soak(4, 2, 1.0) };
     let path = std::env::temp_dir().join(format!("jd-oracle-{}.jsonl", std::process::id()));
     play(&schedule, 4, PROGRAM, &path, None).unwrap_or_else(|why| panic!("{why}"));
@@ -38,13 +38,13 @@
     assert!(soak::findings(&lines).hold());
     let sent = lines.iter().rposition(|line| line.what == "submitted").expect("a statement was sent on");
     for (what, auditor) in [("cut off", "sent on and cut off"), ("left", "sent after its client left")] {
-        let mut spoilt = lines.clone();
+        let mut modified = lines.clone();
         let mut line = lines[sent].clone();
         line.what = what.to_owned();
         let at = if what == "left" { 0 } else { sent + 1 };
         line.at = if what == "left" { lines[0].at } else { line.at };
-        spoilt.insert(at, line);
-        let found = soak::findings(&spoilt).broken;
+        modified.insert(at, line);
+        let found = soak::findings(&modified).broken;
         assert!(found.iter().any(|found| found.auditor == auditor), "{what}: {found:?}");
     }
 }
--- a/crates/front/tests/upgrade.rs
+++ b/crates/front/tests/upgrade.rs
@@ -11,13 +11,13 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_juniperdock");
 
 fn main() {
-    let words: Vec<String> = std::env::args().collect();
-    if let [_, what, how] = &words[..]
-        && what == "successor"
+    let args: Vec<String> = std::env::args().collect();
+    if let [_, command, how] = &args[..]
+        && command == "successor"
     {
         std::process::exit(i32::from(!upgrade::successor(how)));
     }
-    let stories: [(&str, fn()); 10] = [
+    let scenarios: [(&str, fn()); 10] = [
         ("the operators' commands say what stands and what is wrong", commands),
         ("whatever comes in at the control socket disturbs nothing", control),
         ("a snapshot is taken up at the next start and a bad one refused", snapshot),
@@ -29,12 +29,12 @@
         ("a change of primaries is ordered and called off", change),
         ("upgrades under load lose nothing, whichever starts fail", load),
     ];
-    for (name, story) in stories {
-        let begun = Instant::now();
-        story();
-        println!("test {name} ... ok ({} ms)", begun.elapsed().as_millis());
+    for (name, scenario) in scenarios {
+        let started_at = Instant::now();
+        scenario();
+        println!("test {name} ... ok ({} ms)", started_at.elapsed().as_millis());
     }
-    println!("{} passed, 0 failed", stories.len());
+    println!("{} passed, 0 failed", scenarios.len());
 }
 
 struct TestCluster {
@@ -50,24 +50,24 @@
         let names = ["m-0", "m-1", "m-2"];
         let entries: Vec<_> =
             members.iter().zip(names).map(|(member, name)| (name, member.at, "up")).collect();
-        let (known, agent, at) = (list(1, true, &entries), Agent::start(WATCH), address());
+        let (server_list, agent, at) = (list(1, true, &entries), Agent::start(WATCH), address());
         let path = Front::folder(at).join("control");
         let charter =
             format!("{{ control: {{ path: {:?} }}, log: {{ form: 'json' }} }}", path.display().to_string());
-        let front = Front::again(PROGRAM, at, agent.at, &known, 1024, Some(&charter));
+        let front = Front::again(PROGRAM, at, agent.at, &server_list, 1024, Some(&charter));
         drop(front.client());
         TestCluster { members, _agent: agent, front }
     }
 
     /// Whether the command succeeded, and what it printed.
-    fn command(&self, words: &[&str]) -> (bool, String) {
+    fn command(&self, args: &[&str]) -> (bool, String) {
         let charter = self.front.path("charter.json5");
-        let out = Command::new(PROGRAM).arg("--charter").arg(charter).args(words).output().expect("it runs");
-        let said = [out.stdout, out.stderr].concat();
-        (out.status.success(), String::from_utf8_lossy(&said).trim().to_owned())
+        let out = Command::new(PROGRAM).arg("--charter").arg(charter).args(args).output().expect("it runs");
+        let output = [out.stdout, out.stderr].concat();
+        (out.status.success(), String::from_utf8_lossy(&output).trim().to_owned())
     }
 
-    fn serving(&self) -> String {
+    fn serving_pid(&self) -> String {
         let (_, status) = self.command(&["--json", "status"]);
         status
             .split("\"pid\":")
@@ -80,47 +80,50 @@
 
 impl Drop for TestCluster {
     fn drop(&mut self) {
-        let (good, status) = self.command(&["--json", "status"]);
+        let (succeeded, status) = self.command(&["--json", "status"]);
         let pid = status.split("\"pid\":").nth(1).and_then(|rest| rest.split([',', '}']).next());
-        if let Some(pid) = pid.filter(|_| good) {
+        if let Some(pid) = pid.filter(|_| succeeded) {
             let _ = Command::new("kill").args(["-KILL", pid]).status();
         }
     }
 }
 
-fn wait_until(mut good: impl FnMut() -> bool) {
-    let begun = Instant::now();
-    while !good() {
-        assert!(begun.elapsed() < PATIENCE, "it does not come about");
+fn wait_until(mut condition: impl FnMut() -> bool) {
+    let started_at = Instant::now();
+    while !condition() {
+        assert!(started_at.elapsed() < PATIENCE, "it does not come about");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
 fn commands() {
-    let bare = |words: &[&str]| {
-        let out = Command::new(PROGRAM).args(words).env_remove("GW_CONFIG").output().expect("it runs");
+    let run_without_config = |args: &[&str]| {
+        let out = Command::new(PROGRAM).args(args).env_remove("GW_CONFIG").output().expect("it runs");
         (out.status.code(), String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned())
     };
-    assert!(bare(&["--help"]).1.contains("upgrade") && bare(&["--version"]).0 == Some(0));
-    assert_eq!(bare(&["no-such-command"]).0, Some(2));
-    assert!(bare(&["check", "--schema"]).1.contains("\"control\""));
-    assert!(bare(&["completions", "bash"]).1.contains("juniperdock"));
-    assert!(bare(&["status"]).1.contains("control.path"));
+    assert!(
+        run_without_config(&["--help"]).1.contains("upgrade")
+            && run_without_config(&["--version"]).0 == Some(0)
+    );
+    assert_eq!(run_without_config(&["no-such-command"]).0, Some(2));
+    assert!(run_without_config(&["check", "--schema"]).1.contains("\"control\""));
+    assert!(run_without_config(&["completions", "bash"]).1.contains("juniperdock"));
+    assert!(run_without_config(&["status"]).1.contains("control.path"));
     let file = std::env::temp_dir().join(format!("juniperdock-charter-{}.json5", std::process::id()));
     std::fs::write(&file, "{ log: { frm: 'json' },\n held: { of_all: 0 } }").expect("a file");
     let name = file.display().to_string();
-    let (code, said) = bare(&["--charter", &name, "check"]);
+    let (code, output) = run_without_config(&["--charter", &name, "check"]);
     assert!(
-        code == Some(1) && said.contains("line 1, log.frm: not known here; did you mean form?"),
-        "{said}"
+        code == Some(1) && output.contains("line 1, log.frm: not known here; did you mean form?"),
+        "{output}"
     );
     std::fs::write(&file, "{ log: { form: 'json' } }").expect("a file");
-    assert_eq!(bare(&["--charter", &name, "check"]), (Some(0), "no fault found\n".to_owned()));
+    assert_eq!(run_without_config(&["--charter", &name, "check"]), (Some(0), "no fault found\n".to_owned()));
     let _ = std::fs::remove_file(&file);
     let cluster = TestCluster::new();
     assert!(cluster.front.client().ask(&txn("order", 2000, "first")).value.is_some());
-    let (good, said) = cluster.command(&["status", "2"]);
-    assert!(good && said.contains("m-0") && said.contains("1 groups"), "{said}");
+    let (succeeded, output) = cluster.command(&["status", "2"]);
+    assert!(succeeded && output.contains("m-0") && output.contains("1 groups"), "{output}");
     assert!(cluster.command(&["--json", "status"]).1.contains("\"counters\":{"));
 }
 
@@ -137,9 +140,9 @@
         let mut stream = UnixStream::connect(&path).expect("a connection");
         stream.write_all(bytes).expect("sent");
         let _ = stream.shutdown(std::net::Shutdown::Write);
-        let mut said = String::new();
-        let _ = stream.read_to_string(&mut said);
-        assert!(said.contains("expected"), "{bytes:?}: {said:?}");
+        let mut output = String::new();
+        let _ = stream.read_to_string(&mut output);
+        assert!(output.contains("expected"), "{bytes:?}: {output:?}");
     }
     assert!(client.ask(&txn("order", 2000, "w")).value.is_some());
     assert!(cluster.command(&["status"]).0);
@@ -149,10 +152,10 @@
     let members: Vec<Member> = (0..3).map(|i| Member::start(i == 0)).collect();
     let names = ["m-0", "m-1", "m-2"];
     let entries: Vec<_> = members.iter().zip(names).map(|(member, name)| (name, member.at, "up")).collect();
-    let (known, agent, at) = (list(1, true, &entries), Agent::start(WATCH), address());
+    let (server_list, agent, at) = (list(1, true, &entries), Agent::start(WATCH), address());
     let file = std::env::temp_dir().join(format!("juniperdock-snapshot-{}", std::process::id()));
     let charter = format!("{{ snapshot: {{ path: {:?}, every_s: 1 }} }}", file.display().to_string());
-    let start = || Front::again(PROGRAM, at, agent.at, &known, 1024, Some(&charter));
+    let start = || Front::again(PROGRAM, at, agent.at, &server_list, 1024, Some(&charter));
     let show = || {
         let out = Command::new(PROGRAM).args(["snapshot", "show"]).arg(&file).output().expect("it runs");
         (out.status.success(), String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned())
@@ -163,7 +166,7 @@
     front.signal("-TERM");
     assert!(front.end().0);
     let good = std::fs::read(&file).expect("a snapshot");
-    for (bytes, says) in [
+    for (bytes, expected_log) in [
         (good.clone(), "a snapshot is taken up"),
         (good[..good.len() - 3].to_vec(), "cut"),
         (good.iter().rev().copied().collect(), "foreign"),
@@ -172,17 +175,17 @@
         std::fs::write(&file, &bytes).expect("a file");
         let front = start();
         let reply = front.client().ask(&txn("order", 2000, "next"));
-        assert!(reply.value.is_some(), "{says}: it serves all the same: {reply:?}");
+        assert!(reply.value.is_some(), "{expected_log}: it serves all the same: {reply:?}");
         front.signal("-TERM");
-        let (well, text) = front.end();
-        assert!(well && text.contains(says), "{says}: {text}");
+        let (clean_exit, text) = front.end();
+        assert!(clean_exit && text.contains(expected_log), "{expected_log}: {text}");
     }
     let _ = std::fs::remove_file(&file);
 }
 
 fn busy() {
     let cluster = TestCluster::new();
-    let old = cluster.serving();
+    let old = cluster.serving_pid();
     let (mut busy, mut idle, mut half) =
         (cluster.front.client(), cluster.front.client(), cluster.front.client());
     assert!(busy.ask(&txn("order", 2000, "first")).value.is_some());
@@ -191,14 +194,14 @@
     wait_until(|| cluster.members[0].seen.try_iter().any(|seen| seen.contains("id=long")));
     cluster.members[0].set(Does::Serves);
     // Half a statement is sent before the hand-over, the rest after it.
-    let whole =
+    let statement =
         juniperdock_test_support::message(b'Q', format!("{}\0", txn("lookup", 2000, "half")).as_bytes());
-    std::io::Write::write_all(&mut half.stream, &whole[..20]).expect("sent");
-    let (good, said) = cluster.command(&["upgrade"]);
-    assert!(good, "{said}");
+    std::io::Write::write_all(&mut half.stream, &statement[..20]).expect("sent");
+    let (succeeded, output) = cluster.command(&["upgrade"]);
+    assert!(succeeded, "{output}");
     assert!(cluster.command(&["status"]).0);
-    wait_until(|| cluster.serving() != old);
-    std::io::Write::write_all(&mut half.stream, &whole[20..]).expect("sent");
+    wait_until(|| cluster.serving_pid() != old);
+    std::io::Write::write_all(&mut half.stream, &statement[20..]).expect("sent");
     assert!(half.reply().value.is_some(), "its half statement came along");
     assert!(idle.ask(&txn("order", 2000, "idle")).value.is_some());
     // The one that was busy gets its one answer from the old process, and goes on with the new one.
@@ -208,30 +211,30 @@
 }
 
 /// A program that fails as a successor in a way; a file beside it, `how.begun`, tells that it was started.
-fn failing(cluster: &TestCluster, how: &str) -> String {
+fn failing_successor(cluster: &TestCluster, how: &str) -> String {
     let path = cluster.front.path(how);
     let own = std::env::current_exe().expect("its own path").display().to_string();
-    let begun = begun(cluster, how).display().to_string();
-    std::fs::write(&path, format!("#!/bin/sh\n: > {begun:?}\nexec {own:?} successor {how}\n"))
+    let marker = started_marker(cluster, how).display().to_string();
+    std::fs::write(&path, format!("#!/bin/sh\n: > {marker:?}\nexec {own:?} successor {how}\n"))
         .expect("a file");
     std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o700)).expect("a program");
     path.display().to_string()
 }
 
-fn begun(cluster: &TestCluster, how: &str) -> std::path::PathBuf {
+fn started_marker(cluster: &TestCluster, how: &str) -> std::path::PathBuf {
     cluster.front.path(&format!("{how}.begun"))
 }
 
 fn after_commit() {
     let cluster = TestCluster::new();
-    let old = cluster.serving();
+    let old = cluster.serving_pid();
     let mut client = cluster.front.client();
     assert!(client.ask(&txn("order", 2000, "first")).value.is_some());
-    let program = failing(&cluster, "commit");
+    let program = failing_successor(&cluster, "commit");
     assert!(cluster.command(&["upgrade", "--program", &program]).0, "it had committed");
     assert_eq!(client.reply().last, 0, "who was handed over has to come again");
     assert!(cluster.front.client().ask(&txn("order", 2000, "again")).value.is_some());
-    assert_eq!(cluster.serving(), old);
+    assert_eq!(cluster.serving_pid(), old);
     // And the next one succeeds; hundreds of statements sent ahead come along.
     let mut ahead = cluster.front.client();
     (0..200).for_each(|i| ahead.say(&txn("lookup", 5000, &format!("a{i}"))));
@@ -240,14 +243,14 @@
         reply.value.is_some_and(|value| String::from_utf8_lossy(&value).contains(&format!("id={id},")))
     };
     assert!((0..200).all(|i| seen(ahead.reply(), format!("a{i}"))), "each answered once, in order");
-    wait_until(|| cluster.serving() != old);
+    wait_until(|| cluster.serving_pid() != old);
 }
 
 fn in_the_middle() {
     let cluster = TestCluster::new();
     let mut client = cluster.front.client();
     assert!(client.ask(&txn("order", 2000, "first")).value.is_some());
-    let program = failing(&cluster, "waits");
+    let program = failing_successor(&cluster, "waits");
     let charter = cluster.front.path("charter.json5");
     let mut first = Command::new(PROGRAM)
         .arg("--charter")
@@ -257,9 +260,9 @@
         .spawn()
         .expect("it runs");
     // Asked any earlier, the second one could be the first to arrive, and succeed.
-    wait_until(|| begun(&cluster, "waits").exists());
-    let (good, said) = cluster.command(&["upgrade"]);
-    assert!(!good && said.contains("under way"), "{said}");
+    wait_until(|| started_marker(&cluster, "waits").exists());
+    let (succeeded, output) = cluster.command(&["upgrade"]);
+    assert!(!succeeded && output.contains("under way"), "{output}");
     let text = std::fs::read_to_string(&charter).expect("a file");
     let text = text.replacen('{', "{ held: { of_all: 1 },", 1);
     std::fs::write(&charter, text).expect("a file");
@@ -273,10 +276,10 @@
 }
 
 /// The program itself, after a shell has done something; `name.begun` tells its process id.
-fn behind(cluster: &TestCluster, name: &str, first: &str) -> String {
-    let (path, begun) = (cluster.front.path(name), begun(cluster, name).display().to_string());
+fn wrapped_successor(cluster: &TestCluster, name: &str, shell_command: &str) -> String {
+    let (path, marker) = (cluster.front.path(name), started_marker(cluster, name).display().to_string());
     let text = format!(
-        "#!/bin/sh\n{first}\necho $$ > {begun:?}.new && mv {begun:?}.new {begun:?}\nexec {PROGRAM:?}\n"
+        "#!/bin/sh\n{shell_command}\necho $$ > {marker:?}.new && mv {marker:?}.new {marker:?}\nexec {PROGRAM:?}\n"
     );
     std::fs::write(&path, text).expect("a file");
     std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o700)).expect("a program");
@@ -285,13 +288,13 @@
 
 fn out_of_descriptors() {
     let cluster = TestCluster::new();
-    let old = cluster.serving();
+    let old = cluster.serving_pid();
     let mut clients: Vec<Client> = (0..60).map(|_| cluster.front.client()).collect();
-    let program = behind(&cluster, "poor", "ulimit -n 40");
-    let (good, said) = cluster.command(&["upgrade", "--program", &program]);
-    assert!(!good && said.contains("undone"), "{said}");
-    assert!(begun(&cluster, "poor").exists(), "it was started");
-    assert_eq!(cluster.serving(), old);
+    let program = wrapped_successor(&cluster, "poor", "ulimit -n 40");
+    let (succeeded, output) = cluster.command(&["upgrade", "--program", &program]);
+    assert!(!succeeded && output.contains("undone"), "{output}");
+    assert!(started_marker(&cluster, "poor").exists(), "it was started");
+    assert_eq!(cluster.serving_pid(), old);
     for (i, client) in clients.iter_mut().enumerate() {
         assert!(
             client.ask(&txn("lookup", 5000, &format!("c{i}"))).value.is_some(),
@@ -299,7 +302,7 @@
         );
     }
     assert!(cluster.command(&["upgrade"]).0, "the next one succeeds");
-    wait_until(|| cluster.serving() != old);
+    wait_until(|| cluster.serving_pid() != old);
     assert!(clients[59].ask(&txn("lookup", 5000, "after")).value.is_some());
 }
 
@@ -308,7 +311,7 @@
         let cluster = TestCluster::new();
         let mut idle: Vec<Client> = (0..20).map(|_| cluster.front.client()).collect();
         assert!(idle[0].ask(&txn("order", 2000, "first")).value.is_some());
-        let program = behind(&cluster, "next", "");
+        let program = wrapped_successor(&cluster, "next", "");
         let mut command = Command::new(PROGRAM)
             .arg("--charter")
             .arg(cluster.front.path("charter.json5"))
@@ -317,14 +320,15 @@
             .stderr(std::process::Stdio::null())
             .spawn()
             .expect("it runs");
-        wait_until(|| begun(&cluster, "next").exists());
-        let next = std::fs::read_to_string(begun(&cluster, "next")).expect("its id").trim().to_owned();
+        wait_until(|| started_marker(&cluster, "next").exists());
+        let next =
+            std::fs::read_to_string(started_marker(&cluster, "next")).expect("its id").trim().to_owned();
         std::thread::sleep(Duration::from_millis(wait));
         cluster.front.signal("-KILL");
         let _ = command.wait();
-        let gone = || !std::path::Path::new(&format!("/proc/{next}")).exists() || zombie(&next);
-        wait_until(|| gone() || Client::open(cluster.front.at).is_some());
-        if !gone() {
+        let exited = || !std::path::Path::new(&format!("/proc/{next}")).exists() || zombie(&next);
+        wait_until(|| exited() || Client::open(cluster.front.at).is_some());
+        if !exited() {
             let reply = cluster.front.client().ask(&txn("order", 5000, "after"));
             assert!(reply.value.is_some(), "killed after {wait} ms: who stays serves: {reply:?}");
             let _ = Command::new("kill").args(["-KILL", &next]).status();
@@ -345,10 +349,10 @@
         !cluster.command(&["primary", "move", "9"]).0
             && !cluster.command(&["primary", "move", "2", "--to", "x"]).0
     );
-    let (good, said) = cluster.command(&["primary", "move", "2", "--to", "m-1"]);
-    assert!(good && said.contains("Order"), "{said}");
-    let held = |client: &mut Client, id: &str| client.say(&txn("order", 4000, id));
-    held(&mut client, "held");
+    let (succeeded, output) = cluster.command(&["primary", "move", "2", "--to", "m-1"]);
+    assert!(succeeded && output.contains("Order"), "{output}");
+    let send_order = |client: &mut Client, id: &str| client.say(&txn("order", 4000, id));
+    send_order(&mut client, "held");
     assert!(cluster.command(&["status"]).1.contains("handing over"));
     let seen: Vec<String> = cluster.members[0].seen.try_iter().collect();
     assert!(!seen.iter().any(|seen| seen.contains("id=held")));
@@ -356,7 +360,7 @@
     cluster.members[1].be_primary(true);
     assert!(client.reply().value.is_some());
     assert!(cluster.command(&["primary", "move", "2"]).0);
-    held(&mut client, "called");
+    send_order(&mut client, "called");
     assert!(
         cluster.command(&["primary", "cancel", "2"]).0 && !cluster.command(&["primary", "cancel", "2"]).0
     );
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -6,12 +6,12 @@
 //! until the taker has it, and those under way are read by neither. From the commit on the taker serves; what
 //! was busy then stays with the giver until it is answered, and follows one by one.
 
-mod giver;
 pub mod message;
-mod taker;
+mod new_process;
+mod old_process;
 
-pub use giver::{Do, Giver, Phase, Times, Why};
-pub use taker::{Stage, Taker};
+pub use new_process::{NewProcess, Stage};
+pub use old_process::{AbortReason, Action, OldProcess, Phase, Timeouts};
 
 /// The versions of the hand-over that are spoken here, the lowest and the highest.
 pub const SUPPORTED_VERSIONS: (u16, u16) = (1, 1);
@@ -19,12 +19,12 @@
 /// The highest version that both sides speak.
 ///
 /// ```
-/// use juniperdock_hot_restart::agreed;
+/// use juniperdock_hot_restart::negotiate_version;
 ///
-/// assert_eq!(agreed((1, 3), (2, 5)), Some(3));
-/// assert_eq!(agreed((1, 1), (2, 5)), None);
+/// assert_eq!(negotiate_version((1, 3), (2, 5)), Some(3));
+/// assert_eq!(negotiate_version((1, 1), (2, 5)), None);
 /// ```
-pub fn agreed(here: (u16, u16), there: (u16, u16)) -> Option<u16> {
+pub fn negotiate_version(here: (u16, u16), there: (u16, u16)) -> Option<u16> {
     let highest = here.1.min(there.1);
     (highest >= here.0.max(there.0)).then_some(highest)
 }
--- a/crates/hot-restart/src/message.rs
+++ b/crates/hot-restart/src/message.rs
@@ -1,12 +1,12 @@
 //! What the two sides say, as bytes: a letter, then fixed fields in network order. One word is one packet; a
 //! descriptor may come with it.
 
-use crate::giver::Giver;
+use crate::old_process::OldProcess;
 
 /// The most bytes of one word.
 pub const MAX_MESSAGE_LEN: usize = 32 << 10;
 
-fn number<const N: usize>(bytes: &[u8]) -> Option<([u8; N], &[u8])> {
+fn split_field<const N: usize>(bytes: &[u8]) -> Option<([u8; N], &[u8])> {
     bytes.split_first_chunk::<N>().map(|(head, rest)| (*head, rest))
 }
 
@@ -62,20 +62,20 @@
 }
 
 /// Hands a word of the taker to the giver.
-pub fn deliver_to_old(word: &[u8], giver: &mut Giver) {
-    match word.split_first() {
-        Some((b'h', fields)) => match number(fields).zip(fields.get(2..).and_then(number)) {
+pub fn deliver_to_old(message: &[u8], old_process: &mut OldProcess) {
+    match message.split_first() {
+        Some((b'h', fields)) => match split_field(fields).zip(fields.get(2..).and_then(split_field)) {
             Some(((lowest, _), (highest, []))) => {
-                giver.hello(u16::from_be_bytes(lowest), u16::from_be_bytes(highest));
+                old_process.on_hello(u16::from_be_bytes(lowest), u16::from_be_bytes(highest));
             }
-            _ => giver.nonsense(),
+            _ => old_process.on_protocol_error(),
         },
-        Some((b'r', [])) => giver.ready(),
-        Some((b't', fields)) => match number(fields) {
-            Some((client, [])) => giver.took(u64::from_be_bytes(client)),
-            _ => giver.nonsense(),
+        Some((b'r', [])) => old_process.on_ready(),
+        Some((b't', fields)) => match split_field(fields) {
+            Some((client, [])) => old_process.on_received(u64::from_be_bytes(client)),
+            _ => old_process.on_protocol_error(),
         },
-        _ => giver.nonsense(),
+        _ => old_process.on_protocol_error(),
     }
 }
 
@@ -92,26 +92,26 @@
 }
 
 /// Hands a word of the giver to the taker.
-pub fn deliver_to_new(word: &[u8], taker: &mut impl MessageHandler) {
-    match word.split_first() {
-        Some((b'a', fields)) => match number(fields) {
-            Some((version, [])) => taker.agreed(u16::from_be_bytes(version)),
-            _ => taker.nonsense(),
+pub fn deliver_to_new(message: &[u8], handler: &mut impl MessageHandler) {
+    match message.split_first() {
+        Some((b'a', fields)) => match split_field(fields) {
+            Some((version, [])) => handler.agreed(u16::from_be_bytes(version)),
+            _ => handler.nonsense(),
         },
-        Some((b'm', piece)) => taker.memory(piece),
-        Some((b'l', [])) => taker.listener(),
-        Some((b'u', bytes)) => taker.unread(bytes),
-        Some((b'c', fields)) => match number(fields) {
+        Some((b'm', piece)) => handler.memory(piece),
+        Some((b'l', [])) => handler.listener(),
+        Some((b'u', bytes)) => handler.unread(bytes),
+        Some((b'c', fields)) => match split_field(fields) {
             Some((client, &[open @ (0 | 1), skipping @ (0 | 1)])) => {
-                taker.client(u64::from_be_bytes(client), open == 1, skipping == 1);
+                handler.client(u64::from_be_bytes(client), open == 1, skipping == 1);
             }
-            _ => taker.nonsense(),
+            _ => handler.nonsense(),
         },
         Some((b'i', member)) => match std::str::from_utf8(member) {
-            Ok(member) if !member.is_empty() => taker.idle(member),
-            _ => taker.nonsense(),
+            Ok(member) if !member.is_empty() => handler.idle(member),
+            _ => handler.nonsense(),
         },
-        Some((b's', [])) => taker.commit(),
-        _ => taker.nonsense(),
+        Some((b's', [])) => handler.commit(),
+        _ => handler.nonsense(),
     }
 }
--- a/crates/snapshot/src/decay.rs
+++ b/crates/snapshot/src/decay.rs
@@ -4,7 +4,7 @@
 
 /// Half of what was learnt of speed and room is forgotten in this time: as long as slowness is remembered of
 /// a member that nothing is sent to, some times over.
-const HALF: Duration = Duration::from_secs(10);
+const HALF_LIFE: Duration = Duration::from_secs(10);
 
 /// What a snapshot of a given age is worth.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -27,9 +27,9 @@
     /// let old = Decay::of(Duration::from_secs(10));
     /// assert_eq!((fresh.estimate(8.0, 4.0), old.estimate(8.0, 4.0)), (8.0, 6.0));
     /// ```
-    pub fn estimate(self, value: f64, unknown: f64) -> f64 {
-        let left = 0.5f64.powf(self.age.as_secs_f64() / HALF.as_secs_f64());
-        unknown + (value - unknown) * left
+    pub fn estimate(self, value: f64, default: f64) -> f64 {
+        let remaining = 0.5f64.powf(self.age.as_secs_f64() / HALF_LIFE.as_secs_f64());
+        default + (value - default) * remaining
     }
 
     /// Work sent to a cold member counts in full while any of it may lie inside the rule's window.
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -19,18 +19,18 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-const MARK: [u8; 4] = *b"JDSN";
+const MAGIC: [u8; 4] = *b"JDSN";
 /// The version written here.
 pub const VERSION: u16 = 2;
 /// Read as well: the same without the machine's time.
-const WITHOUT_MACHINE_TIME: u16 = 1;
-const HEAD: usize = 14;
+const VERSION_WITHOUT_MACHINE_TIME: u16 = 1;
+const HEADER_LEN: usize = 14;
 /// The most bytes of a snapshot: some hundred for each of 100,000 members.
-pub const LONGEST: usize = 64 << 20;
+pub const MAX_SNAPSHOT_BYTES: usize = 64 << 20;
 /// A snapshot older than this tells of another fleet.
-pub const OLDEST: Duration = Duration::from_secs(600);
+pub const MAX_AGE: Duration = Duration::from_secs(600);
 /// What may lie in the future: clocks are set a little now and then.
-const AHEAD: Duration = Duration::from_secs(1);
+const MAX_CLOCK_SKEW: Duration = Duration::from_secs(1);
 
 /// All that is kept.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
@@ -96,14 +96,17 @@
 }
 
 /// Writes a snapshot.
-pub fn encode(memory: &Snapshot) -> Result<Vec<u8>, String> {
-    let body = postcard::to_stdvec(memory).map_err(|e| format!("snapshot: {e}"))?;
-    if HEAD + body.len() > LONGEST {
-        return Err(format!("snapshot: expected at most {LONGEST} bytes, found {}", HEAD + body.len()));
+pub fn encode(snapshot: &Snapshot) -> Result<Vec<u8>, String> {
+    let body = postcard::to_stdvec(snapshot).map_err(|e| format!("snapshot: {e}"))?;
+    if HEADER_LEN + body.len() > MAX_SNAPSHOT_BYTES {
+        return Err(format!(
+            "snapshot: expected at most {MAX_SNAPSHOT_BYTES} bytes, found {}",
+            HEADER_LEN + body.len()
+        ));
     }
-    let sum = crc32fast::hash(&body).to_be_bytes();
+    let checksum = crc32fast::hash(&body).to_be_bytes();
     let length = (body.len() as u32).to_be_bytes();
-    Ok([&MARK[..], &VERSION.to_be_bytes(), &length, &sum, &body].concat())
+    Ok([&MAGIC[..], &VERSION.to_be_bytes(), &length, &checksum, &body].concat())
 }
 
 /// Reads a snapshot, whatever its age.
@@ -116,40 +119,40 @@
 /// assert!(decode(&bytes[..bytes.len() - 1]).unwrap_err().contains("cut"));
 /// ```
 pub fn decode(bytes: &[u8]) -> Result<Snapshot, String> {
-    let Some((head, body)) = bytes.split_at_checked(HEAD) else {
+    let Some((header, body)) = bytes.split_at_checked(HEADER_LEN) else {
         return Err("snapshot: cut inside its head".to_owned());
     };
-    if head[..4] != MARK {
+    if header[..4] != MAGIC {
         return Err("snapshot: foreign, its mark is missing".to_owned());
     }
-    let version = u16::from_be_bytes([head[4], head[5]]);
-    if ![VERSION, WITHOUT_MACHINE_TIME].contains(&version) {
+    let version = u16::from_be_bytes([header[4], header[5]]);
+    if ![VERSION, VERSION_WITHOUT_MACHINE_TIME].contains(&version) {
         return Err(format!("snapshot: expected version {VERSION}, found {version}"));
     }
-    let number = |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
-    if body.len() != number(6) as usize {
-        return Err(format!("snapshot: cut, expected {} bytes, found {}", number(6), body.len()));
+    let field = |at: usize| u32::from_be_bytes([header[at], header[at + 1], header[at + 2], header[at + 3]]);
+    if body.len() != field(6) as usize {
+        return Err(format!("snapshot: cut, expected {} bytes, found {}", field(6), body.len()));
     }
-    if crc32fast::hash(body) != number(10) {
+    if crc32fast::hash(body) != field(10) {
         return Err("snapshot: spoilt, its checksum is another".to_owned());
     }
-    let no_machine_time: &[u8] = if version == WITHOUT_MACHINE_TIME { &[0] } else { &[] };
-    let body = [body, no_machine_time].concat();
-    let (memory, rest) =
+    let absent_machine_time: &[u8] = if version == VERSION_WITHOUT_MACHINE_TIME { &[0] } else { &[] };
+    let body = [body, absent_machine_time].concat();
+    let (snapshot, rest) =
         postcard::take_from_bytes::<Snapshot>(&body).map_err(|e| format!("snapshot: {e}"))?;
     if !rest.is_empty() {
         return Err("snapshot: more behind its end".to_owned());
     }
-    memory.check().map(|()| memory)
+    snapshot.check().map(|()| snapshot)
 }
 
 impl Snapshot {
     /// Numbers are numbers, and names are there.
     fn check(&self) -> Result<(), String> {
-        let good = |n: f64| n.is_finite() && n >= 0.0;
-        let member = |m: &MemberRecord| !m.id.is_empty() && good(m.sent) && good(m.room) && good(m.slow);
-        let kind = |t: &TxnTypeRecord| !t.name.is_empty() && good(t.typical) && good(t.usual);
-        if self.members.iter().all(member) && self.types.iter().all(kind) {
+        let valid = |n: f64| n.is_finite() && n >= 0.0;
+        let member = |m: &MemberRecord| !m.id.is_empty() && valid(m.sent) && valid(m.room) && valid(m.slow);
+        let txn_type = |t: &TxnTypeRecord| !t.name.is_empty() && valid(t.typical) && valid(t.usual);
+        if self.members.iter().all(member) && self.types.iter().all(txn_type) {
             return Ok(());
         }
         Err("snapshot: a number or a name in it is none".to_owned())
@@ -160,12 +163,12 @@
     pub fn age(&self, now: i64, here: Option<&MachineTime>) -> Result<Duration, String> {
         let by_machine = here.zip(self.machine_time.as_ref()).and_then(|(here, taken)| here.since(taken));
         let age = by_machine.unwrap_or_else(|| now.saturating_sub(self.taken));
-        if age < -(AHEAD.as_micros() as i64) {
+        if age < -(MAX_CLOCK_SKEW.as_micros() as i64) {
             return Err(format!("snapshot: from the future by {} ms, was the clock set back?", -age / 1000));
         }
         let age = Duration::from_micros(age.max(0) as u64);
-        if age > OLDEST {
-            return Err(format!("snapshot: {} s old, at most {} s count", age.as_secs(), OLDEST.as_secs()));
+        if age > MAX_AGE {
+            return Err(format!("snapshot: {} s old, at most {} s count", age.as_secs(), MAX_AGE.as_secs()));
         }
         Ok(age)
     }
@@ -173,7 +176,7 @@
     /// Dates all by a clock that says `now` while the snapshot is of that age.
     pub fn rebase(&mut self, now: i64, age: Duration) {
         let taken = now.saturating_sub(age.as_micros() as i64);
-        let ahead = taken.saturating_sub(self.taken);
+        let offset = taken.saturating_sub(self.taken);
         self.taken = taken;
         let of_members = self.members.iter_mut().flat_map(|of| {
             [
@@ -187,7 +190,7 @@
         });
         let of_groups = self.groups.iter_mut().flat_map(|of| [&mut of.began, &mut of.newest]);
         for time in of_members.chain(of_groups).flatten() {
-            *time = time.saturating_add(ahead);
+            *time = time.saturating_add(offset);
         }
     }
 }
