--- a/crates/fd-passing/src/lib.rs
+++ b/crates/fd-passing/src/lib.rs
@@ -1,6 +1,6 @@
-//! Packets with descriptors between two processes of one machine, over a pair of Unix sockets that keep the
-//! bounds of packets. Every descriptor that comes in closes itself on exec. For threads, not for coroutines:
-//! calls wait.
+//! Packets with file descriptors between two processes on one machine, over a pair of Unix sockets that preserve packet
+//! boundaries (SOCK_SEQPACKET). Received descriptors are close-on-exec. Calls block the thread, so they must not be
+//! used in coroutines.
 
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::io::Errno;
@@ -13,34 +13,34 @@
 use std::os::fd::{AsFd, OwnedFd};
 use std::time::Duration;
 
-/// One end of a line.
+/// One end of a socket pair.
 pub struct PacketSocket(OwnedFd);
 
-/// What came in.
+/// The result of waiting for a packet.
 pub enum Received {
-    /// A packet, and the descriptor that came with it.
+    /// A packet, and the descriptor that accompanied it.
     Packet(Vec<u8>, Option<OwnedFd>),
-    /// Nothing in that time.
+    /// No packet arrived in time.
     TimedOut,
-    /// The other end has ended.
+    /// The other end is closed.
     Closed,
 }
 
 impl PacketSocket {
-    /// Two ends of a new line. Neither outlives an exec unless it is handed to the new program.
+    /// Creates a socket pair. Neither end survives an exec unless it is explicitly passed to the new program.
     pub fn pair() -> Result<(PacketSocket, OwnedFd), String> {
         let pair = socketpair(AddressFamily::UNIX, SocketType::SEQPACKET, SocketFlags::CLOEXEC, None);
         let (here, there) = pair.map_err(|e| format!("a line: {e}"))?;
         Ok((PacketSocket(here), there))
     }
 
-    /// An end that this process was started with.
+    /// Wraps an end that this process inherited at its start.
     pub fn from_fd(end: OwnedFd) -> PacketSocket {
         PacketSocket(end)
     }
 
-    /// Sends one packet, with a descriptor or without. Waits while the other end does not read; the error
-    /// says that it has ended.
+    /// Sends one packet, optionally with a descriptor. Blocks while the other end does not read; an error means that it
+    /// is closed.
     pub fn send(&self, packet: &[u8], fd: Option<&OwnedFd>) -> Result<(), String> {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
         let mut ancillary = SendAncillaryBuffer::new(&mut space);
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Waits for one packet, so long at the longest. A packet longer than `max_len` is an error.
+    /// Waits for one packet, at most for `timeout`. A packet longer than `max_len` is an error.
     pub fn receive(&self, max_len: usize, timeout: Duration) -> Result<Received, String> {
         let timespec = Timespec::try_from(timeout).map_err(|e| format!("a time: {e}"))?;
         let mut fds = [PollFd::new(&self.0, PollFlags::IN)];
--- a/crates/front/src/configuration.rs
+++ b/crates/front/src/configuration.rs
@@ -1,15 +1,15 @@
-//! The file that `GW_CONFIG` names. Its list of servers may be much larger than all the rest: it is read into typed
-//! entries, and never kept as JSON.
+//! Reads the file that `GW_CONFIG` names. Its server list may be much larger than everything else, so it is parsed into
+//! typed entries and never kept as JSON.
 
 use juniperdock_server_list::ServerList;
 use serde::de::{Deserialize, Deserializer, Error, IgnoredAny, MapAccess, Visitor};
 use serde_json::{Map, Value};
 use std::fmt;
 
-/// The field of the server list as it was last seen.
+/// The field that contains the last known server list.
 const KNOWN_FIELD: &str = "known";
 
-/// All of the file but its server list.
+/// The file without its server list.
 struct Rest(Value);
 
 impl<'de> Deserialize<'de> for Rest {
@@ -40,7 +40,7 @@
     }
 }
 
-/// The list of servers alone.
+/// The server list alone.
 struct KnownList(Result<ServerList, String>);
 
 impl<'de> Deserialize<'de> for KnownList {
@@ -62,12 +62,12 @@
     rest.map(|rest| rest.0).map_err(|e| format!("GW_CONFIG: {path}: expected JSON: {e}"))
 }
 
-/// Reads the file, without its server list.
+/// Reads the file without its server list.
 pub fn read_without_list(path: &str) -> Result<Value, String> {
     parse(path, &read(path)?)
 }
 
-/// Reads the file, and apart from it the server list or why there is none.
+/// Reads the file without its server list, and separately the server list or why there is none.
 pub fn read_with_list(path: &str) -> Result<(Value, Result<ServerList, String>), String> {
     let text = read(path)?;
     let rest = parse(path, &text)?;
--- a/crates/front/src/control.rs
+++ b/crates/front/src/control.rs
@@ -1,5 +1,6 @@
-//! The control socket: the other commands of this program ask the front here. Threads of its own serve it, a
-//! few at a time and each only for a while, so that whatever comes in disturbs nothing.
+//! The control socket, through which the other commands of this program send requests to the running front. It is
+//! served by threads of its own, with a limit on their number and on their waits, so that no input can disturb the
+//! front.
 
 use crate::clock::Clock;
 use crate::membership;
@@ -16,26 +17,27 @@
 use std::sync::mpsc::sync_channel;
 use std::time::Duration;
 
-/// Who asks at a time, how long it may take over a frame, and how long the desk may take over an answer.
+/// Connections served at a time.
 const MAX_CONNECTIONS: usize = 4;
+/// How long one read or write, or an answer of an actor, may take.
 const TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a change may take until all fronts hold.
+/// How long a planned change may take until all fronts hold the group's writes.
 const HOLD_TIMEOUT: Duration = Duration::from_millis(4500);
-/// Groups in one answer.
+/// Maximum number of groups in one answer.
 const MAX_GROUPS: usize = 1000;
 
-/// Answers what comes in.
+/// Answers requests on the control socket.
 pub struct Control {
     pub clock: Clock,
     pub dispatcher: Sender<DispatcherMessage>,
     pub counters: Arc<crate::counters::Counters>,
     pub upgrade: UpgradeFn,
     pub membership: Option<membership::Handle>,
-    /// Work is shared with the other fronts: changes of primaries go to all.
+    /// Fleet tasks are enabled, so planned changes of a primary involve all fronts.
     pub fleet_tasks: bool,
 }
 
-/// Opens the socket, for its owner alone. One that lies there is replaced at once and whole.
+/// Opens the socket, accessible to its owner only. An existing one is replaced atomically.
 pub fn open(path: &Path) -> Result<UnixListener, String> {
     let failed = |e: std::io::Error| format!("control socket {}: {e}", path.display());
     let mut temporary = path.as_os_str().to_owned();
@@ -47,7 +49,7 @@
     Ok(listener)
 }
 
-/// Serves it on a thread of its own.
+/// Serves the socket on threads of its own.
 pub fn serve(listener: UnixListener, control: Control, log: slog::Logger) {
     let (control, open_connections) = (Arc::new(control), Arc::new(AtomicUsize::new(0)));
     std::thread::spawn(move || {
@@ -69,7 +71,7 @@
 }
 
 impl Control {
-    /// This thread is not the worker's.
+    /// Sends a message through the clock, because only the worker's own thread may wake an actor directly.
     fn send_to_membership(&self, membership: &membership::Handle, message: MembershipMessage) {
         let membership = membership.clone();
         self.clock.run_at(Duration::ZERO, move || membership.send(message));
@@ -191,7 +193,7 @@
     }
 }
 
-/// The printed counters as an object.
+/// Converts the printed counters to a JSON object.
 fn counters(printed: &str) -> Value {
     let pairs = printed.split_whitespace().filter_map(|pair| pair.split_once('='));
     pairs
@@ -200,7 +202,7 @@
         .into()
 }
 
-/// Asks a front through its socket; the error says why it has no answer, or the one that it gave.
+/// Sends a request to a front through its control socket. The error is the front's own, or why there is no answer.
 pub fn send_request(path: &Path, request: &Value, wait: Duration) -> Result<Value, String> {
     let failed = |e: std::io::Error| format!("control socket {}: {e}", path.display());
     let mut stream = UnixStream::connect(path).map_err(failed)?;
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -1,5 +1,5 @@
-//! The front: actors for clients, servers, discovery and the dispatcher, on coroutines. The program `juniperdock` is
-//! built on this package; its parts are public for the tests that take them apart.
+//! The front: actors for clients, servers, discovery and the dispatcher, as coroutines. The program `juniperdock` is
+//! built on this package; its modules are public so that tests can use them separately.
 
 pub mod acceptor;
 pub mod atomic_file;
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -1,4 +1,4 @@
-//! `juniperdock`: the front, and the commands that operators give one that runs.
+//! `juniperdock`: the front, and the commands with which operators control a running one.
 
 use clap::{CommandFactory, Parser, Subcommand};
 use juniperdock_front::{control, migrate, serve};
@@ -8,17 +8,17 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// How long a command waits for the front's answer; an upgrade takes longer.
+/// How long a command waits for the front's answer; an upgrade may take longer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A query router for sharded, replicated databases.
 #[derive(Parser)]
 #[command(name = "juniperdock", version, about)]
 struct Cli {
-    /// The operators' own file, in JSON5; without one, what it would turn on is off.
+    /// Path of the operators' file, in JSON5. Without it, all features that it enables are off.
     #[arg(long, global = true, env = "JUNIPERDOCK_CHARTER", value_name = "FILE")]
     charter: Option<PathBuf>,
-    /// Answers as one line of JSON.
+    /// Print answers as one line of JSON.
     #[arg(long, global = true)]
     json: bool,
     #[command(subcommand)]
@@ -27,72 +27,73 @@
 
 #[derive(Subcommand)]
 enum CliCommand {
-    /// Serves; what the program does without any command. GW_CONFIG names the platform's configuration.
+    /// Run the front; this is the default command. GW_CONFIG names the platform's configuration.
     Run,
-    /// Reads the operators' file and the configuration, and names every fault.
+    /// Validate the operators' file and the configuration, and report every error.
     Check {
-        /// Prints the schema of the operators' file instead.
+        /// Print the JSON schema of the operators' file instead.
         #[arg(long)]
         schema: bool,
     },
-    /// Tells how groups and counters of the running front stand.
+    /// Show the groups and counters of the running front.
     Status {
-        /// One group only, by its number in the list.
+        /// Show only this group, by its number in the server list.
         group: Option<u64>,
     },
-    /// Planned changes of a group's primary.
+    /// Plan or cancel a change of a group's primary.
     Primary {
         #[command(subcommand)]
         what: PrimaryCommand,
     },
-    /// The fronts together.
+    /// Inspect and control all fronts together.
     Fleet {
         #[command(subcommand)]
         what: FleetCommand,
     },
-    /// Hands the running front's clients over to a new process.
+    /// Replace the running front by a new process that takes over its clients.
     Upgrade {
-        /// The program to be started; the one that runs unless it is named here or in the operators' file.
+        /// Program to start; defaults to the one in the operators' file, else to the running one.
         #[arg(long)]
         program: Option<PathBuf>,
     },
-    /// What a front keeps for the process after it.
+    /// Inspect the snapshots that a front saves for its next process.
     Snapshot {
         #[command(subcommand)]
         what: SnapshotCommand,
     },
-    /// Brings a front's configuration from the old shape into the new, and tells what became of each field.
+    /// Convert a front's configuration to the new format, and report what became of each field.
     Migrate {
-        /// The file of the old shape; it stays as it is.
+        /// Configuration file in the old format; it is not modified.
         old: PathBuf,
-        /// Where the file of the new shape is to be written.
+        /// Path of the file to write in the new format.
         #[arg(long, value_name = "NEW", required_unless_present = "dry_run")]
         output: Option<PathBuf>,
-        /// Replaces the output if it is there.
+        /// Replace an existing output file.
         #[arg(long)]
         force: bool,
-        /// Tells everything and writes nothing.
+        /// Print the report without writing a file.
         #[arg(long)]
         dry_run: bool,
     },
-    /// Prints completions for a shell.
+    /// Print completions for a shell.
     Completions { shell: clap_complete::Shell },
 }
 
 #[derive(Subcommand)]
 enum FleetCommand {
-    /// Who of the fronts is there, as the running front sees it, and how it stands itself.
+    /// Show the running front's view of all fronts, and its own connectivity.
     Status,
-    /// Which work on behalf of all there is, and which front owns it.
+    /// Show the fleet tasks, and which front owns each.
     Duties,
-    /// Upgrades all fronts, a few at a time; stops at the first that does not come back or serves badly.
+    /// Upgrade all fronts, a few at a time; stop at the first that does not come back or serves badly.
     Roll {
-        /// The program to be started; the one that runs, as it lies on the disk by then, unless it is named.
+        /// Program to start; defaults to the running one, as found on disk at that time.
         #[arg(long)]
         program: Option<String>,
+        /// Number of fronts to upgrade at a time.
         #[arg(long, value_name = "K", default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=4))]
         at_once: u64,
-        /// Calls it off: fronts under way end as they end.
+        /// Cancel the rolling upgrade; upgrades already started are completed.
         #[arg(long)]
         off: bool,
     },
@@ -100,23 +101,23 @@
 
 #[derive(Subcommand)]
 enum SnapshotCommand {
-    /// Prints a snapshot as JSON, and why a start would refuse it.
+    /// Print a snapshot as JSON, and why a start would reject it.
     Show {
-        /// The file; the one of the operators' file unless it is named.
+        /// Snapshot file; defaults to snapshot.path of the operators' file.
         file: Option<PathBuf>,
     },
 }
 
 #[derive(Subcommand)]
 enum PrimaryCommand {
-    /// Holds the group's writes until another member claims; undone if none does in time.
+    /// Hold the group's writes until another member becomes primary; undone if none does in time.
     Move {
         group: u64,
-        /// The member that is to follow, by its id in the list.
+        /// Id of the next primary in the server list.
         #[arg(long)]
         to: Option<String>,
     },
-    /// Calls a change off.
+    /// Cancel a planned change.
     Cancel { group: u64 },
 }
 
@@ -135,7 +136,7 @@
     }
 }
 
-/// Reads the operators' file, if one is named.
+/// Reads the operators' file, or returns the defaults if no path is given.
 fn read_operator_config(path: Option<&Path>) -> Result<Charter, Vec<Fault>> {
     let Some(path) = path else { return Ok(Charter::default()) };
     let file_error = |why: String| vec![Fault { line: None, field: String::new(), why }];
--- a/crates/front/src/migrate.rs
+++ b/crates/front/src/migrate.rs
@@ -1,5 +1,4 @@
-//! `juniperdock migrate`: reads a configuration of the old shape, writes one of the new beside it, whole or not
-//! at all.
+//! `juniperdock migrate`: reads a configuration file in the old format and atomically writes one in the new format.
 
 use crate::atomic_file;
 use crate::settings::Settings;
@@ -9,8 +8,8 @@
 use std::os::unix::fs::MetadataExt;
 use std::path::Path;
 
-/// Brings the file `old` into the new shape, and writes it to `output` if one is named. Tells what became of
-/// each field; the error names the file and the line or field that is wrong, and nothing was written then.
+/// Converts the file `old` to the new format, and writes the result to `output` if one is given. Returns a report of
+/// what became of each field. The error names the file and the invalid line or field; nothing has been written then.
 pub fn migrate(old: &Path, output: Option<&Path>, force: bool) -> Result<Value, String> {
     let with_path = |why: String| format!("{}: {why}", old.display());
     let text = fs::read_to_string(old).map_err(|e| with_path(e.to_string()))?;
@@ -37,7 +36,7 @@
     )
 }
 
-/// Writes a file whole or not at all; one that is there already is replaced only by force.
+/// Writes a file atomically; an existing one is replaced only with `force`.
 fn write(output: &Path, bytes: &[u8], force: bool) -> Result<(), String> {
     let name = output.file_name().ok_or("expected the path of a file")?.to_string_lossy();
     let temporary = output.with_file_name(format!(".{name}.{}", std::process::id()));
@@ -47,7 +46,7 @@
     })
 }
 
-/// The report as lines.
+/// Formats the report as lines of text.
 pub fn format_report(report: &Value) -> String {
     let mut lines = Vec::new();
     let text = |value: &Value| value.as_str().unwrap_or_default().to_owned();
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -1,4 +1,4 @@
-//! Starts a front: reads what is told, wires the actors, serves.
+//! Starts a front: reads the configuration, creates and connects the actors, and serves until SIGTERM.
 
 use crate::client::CONNECTION_STACK_BYTES;
 use crate::clients::SharedClients;
@@ -24,17 +24,17 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How long a start may wait for a socket: restarted processes have to be ready in 10 s.
+/// How long a start may wait for a socket. Restarted processes have to be ready within 10 s.
 const START_TIMEOUT: Duration = Duration::from_secs(8);
-/// How long a new process waits for roles before it says that it is ready.
+/// How long a new process waits for the roles of members before it reports that it is ready.
 const ROLE_WAIT: Duration = Duration::from_millis(600);
-/// Free stacks that are kept for the next connections. `may` makes as many at the start and uses the one that has
-/// been free for longest: unless told otherwise a thousand, each touched by and by, 20 MB of memory that nobody needs.
+/// Free coroutine stacks kept for reuse. `may` allocates them at the start and reuses the one that has been free for
+/// longest, so its default of 1000 would gradually touch all of them and waste 20 MB of memory.
 const POOLED_STACKS: usize = 32;
-/// The stack, in bytes, of the coroutines that decide or read JSON.
+/// Stack size, in bytes, of the coroutines that make routing decisions or parse JSON.
 const LARGE_STACK_BYTES: usize = 1 << 20;
 
-/// Whether the platform's configuration is all there, as far as a start would tell.
+/// Validates the platform's configuration, as far as a start would.
 pub fn check(config: Option<&Charter>) -> Result<(), String> {
     let settings = Settings::read()?;
     settings.address("GW_LISTEN", "listen")?;
@@ -45,7 +45,7 @@
     let (listen, peers) =
         settings.peer_addresses()?.ok_or("fellows: the settings do not allow fronts to speak")?;
     peers.into_iter().collect::<Result<Vec<_>, _>>()?;
-    // A front that runs has its own address; any other that has it is in the way.
+    // A running front occupies its own address; any other process that occupies it is a fault.
     let free = std::net::UdpSocket::bind(listen);
     let runs = config.and_then(|config| config.control.as_ref()).is_some_and(|control| control.path.exists());
     match free {
@@ -54,8 +54,8 @@
     }
 }
 
-/// Starts to speak with the other fronts, where the operators' file and the settings have it. Whatever is wrong
-/// there keeps no front from serving: the log says why it goes without its fellows, and `check` says it before.
+/// Starts the membership actor, which communicates with the other fronts. An error here must not keep the front from
+/// serving: it is logged and the front runs without peers. `check` reports the same errors in advance.
 fn start_membership(
     fellows_config: &operator_config::Fellows,
     settings: &Settings,
@@ -66,7 +66,7 @@
 ) -> Result<membership::Handle, String> {
     let keys = membership::read_keys(&fellows_config.keys)?;
     let (listen, peers) = settings.peer_addresses()?.ok_or("the settings do not allow fronts to speak")?;
-    // One name that can't be found is one fellow less.
+    // A name that can't be resolved only excludes that peer.
     let with_address = |peer: Result<_, String>| {
         peer.map_err(|why| slog::error!(log, "a fellow has no address"; "why" => why)).ok()
     };
@@ -84,11 +84,11 @@
     Ok(handle)
 }
 
-/// Reads what is told, wires the actors, and serves until SIGTERM.
+/// Reads the configuration, creates and connects the actors, and serves until SIGTERM.
 pub fn serve(config: &Charter, file: Option<&Path>) -> Result<(), String> {
     let signals = signals::listen()?;
     let mut target = TransferTarget::connect().transpose()?;
-    // Before anything of `may` is used.
+    // This must precede any other use of `may`.
     may::config()
         .set_workers(1)
         .set_stack_size(CONNECTION_STACK_BYTES / size_of::<usize>())
@@ -166,7 +166,7 @@
         Ok(list) => drop(dispatcher_tx.send(DispatcherMessage::List(list))),
         Err(why) => slog::warn!(log, "no list is known yet"; "why" => why),
     }
-    // What another process hands over is newer than any file.
+    // A snapshot received from the old process is newer than any file.
     let snapshot_config = config.snapshot.as_ref().filter(|_| target.is_none());
     if let Some(bytes) =
         snapshot_config.and_then(|snapshot_config| snapshot_file::read(&snapshot_config.path, &log))
@@ -246,7 +246,7 @@
         };
         control::serve(control::open(&socket.path)?, control, log.clone());
     }
-    // Where a supervisor has named a socket for it.
+    // Has an effect only if a supervisor has set NOTIFY_SOCKET.
     let states = [NotifyState::MainPid(std::process::id()), NotifyState::Ready];
     if let Err(why) = sd_notify::notify(&states) {
         slog::warn!(log, "the supervisor was not told"; "why" => %why);
@@ -277,7 +277,8 @@
     }
 }
 
-/// Reads the operators' file again. What may wait counts at once; gives the names of what else has changed.
+/// Reads the operators' file again. Limits of the wait queue and keys of peers take effect at once; returns the names
+/// of the other sections that have changed.
 fn reload_operator_config(
     file: Option<&Path>,
     current: &Mutex<Charter>,
@@ -296,7 +297,7 @@
         current.held = new.held.clone();
     }
     if let (Some(new), Some(old), Some(_)) = (&new.fellows, &mut current.fellows, &clients.membership) {
-        // The files may have changed under the same names.
+        // The key files may have changed under the same names.
         clients.send_to_membership(MembershipMessage::SetKeys(membership::read_keys(&new.keys)?));
         old.keys.clone_from(&new.keys);
     }
@@ -310,7 +311,7 @@
     Ok(other.into_iter().filter(|(_, changed)| *changed).map(|(name, _)| name).collect())
 }
 
-/// Waits until it is known who is primary of each group, or for as long as clients would be worth it.
+/// Waits until the primary of each group is known, but not so long that clients would suffer more from the wait.
 fn await_roles(counters: &Counters) {
     let started_at = Instant::now();
     while (counters.lists.read() == 0 || counters.groups_vacant.read() > 0)
@@ -320,7 +321,7 @@
     }
 }
 
-/// Upgrades through the control socket, one at a time.
+/// Returns the function that upgrades this front on request; only one upgrade runs at a time.
 fn make_upgrade_fn(
     clients: &Arc<SharedClients>,
     listener: &Arc<Door>,
@@ -353,7 +354,8 @@
     })
 }
 
-/// The same where another front asks for it: whoever has a key of the fellows is not to start whatever program lies here.
+/// Restricts an upgrade function for requests from other fronts: a holder of a peer key must not be able to start an
+/// arbitrary program on this host.
 pub fn upgrade_for_roll(upgrade: &messages::UpgradeFn, config: &Upgrade) -> messages::UpgradeFn {
     let (upgrade, named) = (upgrade.clone(), config.program.clone());
     Arc::new(move |program| {
@@ -367,22 +369,22 @@
     })
 }
 
-/// Whether a program lies in the same folder as one of those that are known; links and detours are followed.
+/// Whether a program lies in the same folder as one of the known ones. Symbolic links and `..` are resolved.
 pub fn in_known_folder(program: &Path, known: &[Option<PathBuf>]) -> bool {
     let folder = |path: &Path| path.canonicalize().ok()?.parent().map(Path::to_path_buf);
     let program_folder = folder(program);
     program_folder.is_some() && known.iter().flatten().any(|known| folder(known) == program_folder)
 }
 
-/// What is logged: by the environment, else by the operators' file.
+/// The log level from the environment, else from the operators' file.
 fn log_level(config: &Log) -> slog::Level {
     let level = std::env::var("JUNIPERDOCK_LOG").ok().and_then(|level| level.parse().ok());
     level.or_else(|| config.level.name().parse().ok()).unwrap_or(slog::Level::Info)
 }
 
-/// Lines of text or of JSON, written by a thread of their own.
+/// Creates a logger that writes lines of text or JSON to standard error, on a thread of its own.
 fn logger(config: &Log, level: slog::Level) -> slog::Logger {
-    // A line at a time: while one process succeeds another both write there, and pieces of lines would mix.
+    // Line by line: during an upgrade two processes write to the same stream, and partial lines would mix.
     let lines = std::io::LineWriter::new(std::io::stderr());
     let drain = match config.form {
         Form::Text => {
--- a/crates/front/src/settings.rs
+++ b/crates/front/src/settings.rs
@@ -1,5 +1,5 @@
-//! What the front is told at its start: the environment, the configuration and the terms inside it. Each
-//! reader gives the few values that one part needs, or says what was expected and where.
+//! The front's configuration at its start: environment variables, the configuration file and the settings inside it.
+//! Each accessor returns the few values that one part needs, or an error with what was expected and where.
 
 use crate::configuration::{read_with_list, read_without_list};
 use juniperdock_deployment::{self as deployment, Indices};
@@ -11,43 +11,44 @@
 use std::net::{SocketAddr, ToSocketAddrs};
 use std::time::Duration;
 
-/// Buffers for an answer hold at most one in so many parts of the memory.
+/// The buffer of one answer takes at most this fraction of the memory limit.
 const MAX_ANSWER_MEMORY_DIVISOR: usize = 64;
-/// Descriptors of the front's own: standard streams, listener, list, selector, signals.
+/// File descriptors reserved for the front itself: standard streams, listener, discovery, selector, signals.
 const RESERVED_DESCRIPTORS: usize = 14;
 
-/// The configuration as it was read, and where it lies.
+/// The configuration as it was read, with its path.
 pub struct Settings {
     path: String,
-    /// All but the server list.
+    /// Everything except the server list.
     json: Value,
     known_list: Result<ServerList, String>,
 }
 
-/// The txn types by name.
+/// The configured txn types.
 pub struct TxnTypes {
     pub names: Indices<String>,
-    /// Which of them write.
+    /// By index, whether the type writes.
     pub writes: Vec<bool>,
-    /// The longest time that one of them has.
+    /// The largest `HardLimit` of all types.
     pub max_time_limit: Duration,
 }
 
-/// How the descriptors are shared out.
+/// How file descriptors are divided between clients and members.
 pub struct Descriptors {
-    /// Connections to members, and clients, each this many at most.
+    /// Maximum number of connections to members, and also of clients.
     pub max_connections: usize,
-    /// Clients beyond those that are only told that there is no room.
+    /// Further clients that are accepted only to be refused with an error.
     pub refusal_slots: usize,
-    /// Clients beyond this many leave when idle for long, beyond `crowd` when idle for less.
+    /// Above this number of clients, those that have been idle for long are disconnected.
     pub close_long_idle_above: usize,
+    /// Above this number of clients, those that have been idle for a shorter time are disconnected, too.
     pub close_idle_above: usize,
 }
 
-/// Where a front listens for its fellows, and where they are, or why that is not known.
+/// The address on which a front listens for its peers, and the address of each front or why it is unknown.
 pub type PeerAddresses = (SocketAddr, Vec<Result<SocketAddr, String>>);
 
-/// An address and port, or what was expected instead.
+/// Parses an address with a port; `name` appears in the error.
 pub fn parse_address(name: &str, text: &str) -> Result<SocketAddr, String> {
     text.parse().map_err(|_| format!("{name}: expected an address and port, found {text:?}"))
 }
@@ -61,12 +62,12 @@
         Ok(Settings { path, json, known_list })
     }
 
-    /// A configuration that lies nowhere yet.
+    /// Wraps a configuration that was not read from a file.
     pub fn from_json(json: Value) -> Settings {
         Settings { path: String::new(), json, known_list: Err("none is told".to_owned()) }
     }
 
-    /// Every term and limit that the front reads has its form; addresses may still come from elsewhere.
+    /// Validates every setting and limit that the front reads; addresses may still come from the environment.
     pub fn check(&self) -> Result<(), String> {
         for field in ["listen", "discovery"] {
             match &self.json[field] {
@@ -82,36 +83,38 @@
         self.txn_types().map(drop)
     }
 
-    /// An address: the environment counts before the file.
+    /// Returns an address; the environment variable takes precedence over the file.
     pub fn address(&self, variable: &str, field: &str) -> Result<SocketAddr, String> {
         let text = std::env::var(variable).ok().or_else(|| self.json[field].as_str().map(str::to_owned));
         let text = text.ok_or_else(|| format!("expected {variable}, or {field} in GW_CONFIG"))?;
         parse_address(variable, &text)
     }
 
+    /// Returns the seed for random decisions.
     pub fn seed(&self) -> Result<u64, String> {
         let seed = self.json["seed"].as_str().ok_or("expected a text in seed of GW_CONFIG")?;
         u64::from_str_radix(seed, 16).map_err(|_| format!("seed: expected hex digits, found {seed:?}"))
     }
 
+    /// Returns the setting at that path as text.
     pub fn get(&self, path: &str) -> Option<String> {
         term(&self.json["settings"], path)
     }
 
-    /// A time in milliseconds among the terms.
+    /// Returns a setting that is a time in milliseconds.
     pub fn millis(&self, path: &str) -> Result<Duration, String> {
         let ms = self.get(path).and_then(|ms| deployment::micros(ms.parse().ok()?));
         ms.map(deployment::span).ok_or_else(|| format!("settings: expected a time in {path}"))
     }
 
-    /// Makes routers of these terms, as often as one is needed.
+    /// Validates the settings and returns a function that creates routers from them.
     pub fn routers(&self) -> Result<impl Fn() -> Result<Router, String> + Send + use<>, String> {
         let (seed, settings) = (self.seed()?, self.json["settings"].clone());
         deployment::open(seed, &|path| term(&settings, path)).map_err(|why| format!("settings: {why}"))?;
         Ok(move || Ok(deployment::open(seed, &|path| term(&settings, path))?.0))
     }
 
-    /// The txn types, as clients' actors need them.
+    /// Returns the txn types, as the client actors need them.
     pub fn txn_types(&self) -> Result<TxnTypes, String> {
         let (_, levels) = deployment::open(self.seed()?, &|path| self.get(path))?;
         let (mut names, mut max_time_limit) = (Indices::default(), Duration::ZERO);
@@ -124,10 +127,12 @@
         Ok(TxnTypes { names, writes, max_time_limit })
     }
 
+    /// Returns the names of the zones.
     pub fn zones(&self) -> Vec<String> {
         self.get("Zones").unwrap_or_default().split(',').map(str::to_owned).collect()
     }
 
+    /// Divides the file descriptors that `limits.sockets` allows.
     pub fn descriptors(&self) -> Result<Descriptors, String> {
         let sockets = self.json["limits"]["sockets"].as_u64();
         let sockets = sockets.ok_or("expected a number in limits.sockets of GW_CONFIG")?;
@@ -144,19 +149,19 @@
         })
     }
 
-    /// Bytes of memory, where a limit is told.
+    /// Returns the memory limit in bytes, if one is configured.
     pub fn memory(&self) -> Option<usize> {
         let mb = self.json["limits"]["memory_mb"].as_u64().and_then(|mb| usize::try_from(mb).ok());
         mb.map(|mb| mb << 20)
     }
 
-    /// The longest answer taken, in bytes: never more than a part of the memory; without a limit, a value of
-    /// the usual size.
+    /// Returns the maximum size of an answer in bytes: a fraction of the memory limit, but at least `LONGEST` of the
+    /// `pg` package.
     pub fn largest_answer(&self) -> usize {
         self.memory().map_or(0, |bytes| bytes / MAX_ANSWER_MEMORY_DIVISOR).max(juniperdock_pg::LONGEST)
     }
 
-    /// This front's place in its tier, and how many there are.
+    /// Returns the index of this front in its cluster, and the number of fronts.
     pub fn front_index(&self) -> Result<(usize, usize), String> {
         let number = |path: &str| {
             let number = self.get(path).and_then(|text| text.parse::<usize>().ok());
@@ -170,14 +175,14 @@
         }
     }
 
-    /// What this front is called.
+    /// Returns the name of this front: from the environment, else from the file, else made from its index.
     pub fn name(&self, me: usize) -> String {
         let name = std::env::var("GW_NAME").ok().or_else(|| self.json["name"].as_str().map(str::to_owned));
         name.unwrap_or_else(|| format!("front {me}"))
     }
 
-    /// Where this front listens for its fellows and where they are, by their places; `None` where the
-    /// settings do not allow it. A name that can't be found is told in its place.
+    /// Returns the address on which this front listens for its peers, and the addresses of all fronts by index; `None`
+    /// if the settings disable communication between fronts. A name that can't be resolved gives an error in its place.
     pub fn peer_addresses(&self) -> Result<Option<PeerAddresses>, String> {
         if self.get("Bounds.Peers").is_some_and(|allowed| allowed != "true" && allowed != "1") {
             return Ok(None);
@@ -203,12 +208,12 @@
         Ok(Some((listen, peers.iter().enumerate().map(at).collect())))
     }
 
-    /// The server list as last seen; it is not kept here any longer.
+    /// Takes the last known server list out of the configuration.
     pub fn take_known_list(&mut self) -> Result<ServerList, String> {
         std::mem::replace(&mut self.known_list, Err("it has been taken".to_owned()))
     }
 
-    /// Reads the file again: where the list is to be had, and which other fields differ from the start's.
+    /// Reads the file again. Returns the address of discovery, and which other fields differ from those at the start.
     pub fn reread(&self) -> Result<(SocketAddr, Vec<&'static str>), String> {
         let new = read_without_list(&self.path)?;
         let discovery = new["discovery"].as_str().ok_or("expected a text in discovery of GW_CONFIG")?;
--- a/crates/front/src/signals.rs
+++ b/crates/front/src/signals.rs
@@ -1,5 +1,5 @@
-//! What signals do: SIGUSR1 prints the counters, SIGHUP reads the configuration again, SIGTERM ends the front
-//! once all that was taken is answered.
+//! Signal handling: SIGUSR1 prints the counters, SIGHUP reloads the configuration, SIGTERM stops the front once all
+//! accepted requests are answered.
 
 use crate::clients::SharedClients;
 use crate::clock::Clock;
@@ -15,21 +15,24 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// After SIGTERM clients still come for 0.4 s; then those between txns are told to go elsewhere.
+/// After SIGTERM clients may still arrive for 0.4 s. After this delay those between txns are disconnected with a
+/// notice.
 const CLOSE_DELAY: Duration = Duration::from_millis(450);
 
+/// Registers for the signals that [`follow`] handles.
 pub fn listen() -> Result<Signals, String> {
     Signals::new([SIGHUP, SIGTERM, SIGUSR1]).map_err(|e| format!("signals: {e}"))
 }
 
-/// A supervisor may kill the process this long and 0.7 s after SIGTERM, however long a request may take.
+/// Limit on the time for open requests: a supervisor may kill the process this long and 0.7 s after SIGTERM, however
+/// long a request may take.
 const MAX_SHUTDOWN: Duration = Duration::from_secs(3);
-/// Between a failed wait for a signal and the next.
+/// Delay between a failed wait for a signal and the next.
 const RETRY_DELAY: Duration = Duration::from_millis(10);
-/// What is answered last gets this long to be handed over.
+/// Time for the last answers to be sent.
 const FINAL_ANSWER_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Waits until nobody is taken in any more and all clients have gone, until that time at the longest.
+/// Waits until the acceptor has stopped and all clients have disconnected, at most until `deadline`.
 fn await_clients(clients: &SharedClients, deadline: Duration) {
     while (clients.acceptor_running.load(Ordering::Acquire) || clients.present() > 0)
         && clients.clock.now() < deadline
@@ -43,8 +46,8 @@
     clients.clock.run_at(Duration::ZERO, move || waker.ring());
 }
 
-/// The next signal. The library takes any failed read of its own socket for the end of the world; one that the machine is
-/// short of memory for passes.
+/// Returns the next signal. `signal_hook` panics on any failed read of its own socket, but a read that fails for lack
+/// of memory on the machine can be retried.
 fn next_signal(signals: &mut Signals) -> Option<i32> {
     loop {
         match catch_unwind(AssertUnwindSafe(|| signals.forever().next())) {
@@ -54,7 +57,8 @@
     }
 }
 
-/// Reads the configuration again. Where the list is to be had counts at once; all else at the next start.
+/// Reloads the operators' file and the configuration. The address of discovery takes effect at once; other changes of
+/// the configuration only at the next start.
 fn reload(
     settings: &Settings,
     clock: &Clock,
@@ -88,7 +92,7 @@
     }
 }
 
-/// Follows signals until SIGTERM; then answers all that was taken, for so long at the longest.
+/// Handles signals until SIGTERM, then shuts down: answers open requests for at most `max_request_time`.
 pub fn follow(
     mut signals: Signals,
     settings: &Settings,
@@ -107,14 +111,14 @@
             _ => break,
         }
     }
-    // All times count from here: where this thread is held up on the way, what comes after is not later by as much.
+    // All deadlines count from here, so that a delay of this thread does not postpone the later steps.
     let terminated_at = clients.clock.now();
     let close_at = terminated_at + CLOSE_DELAY;
     let answer_deadline = close_at + max_request_time.min(MAX_SHUTDOWN);
     clients.send_to_membership(MembershipMessage::Leave);
     std::thread::sleep(close_at.saturating_sub(clients.clock.now()));
     clients.close();
-    // The acceptor takes in who has come by now, and shuts the door.
+    // The acceptor accepts the clients that have arrived by now, and closes the listener.
     wake(clients, listener.bell());
     await_clients(clients, answer_deadline);
     clients.answer_all_now();
--- a/crates/front/src/snapshot_file.rs
+++ b/crates/front/src/snapshot_file.rs
@@ -1,4 +1,4 @@
-//! Keeps what the front knows in a file, whole or not at all, on a thread of its own.
+//! Writes snapshots of the front to a file, atomically and on a thread of its own.
 
 use crate::atomic_file;
 use crate::clock::Clock;
@@ -11,19 +11,19 @@
 use std::sync::mpsc::sync_channel;
 use std::time::Duration;
 
-/// How long the desk may take over what it knows.
+/// How long the dispatcher may take to produce a snapshot.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Which run of the machine this is (random(4)).
+/// The id of the current boot (random(4)).
 const BOOT_ID: &str = "/proc/sys/kernel/random/boot_id";
 
-/// The machine's own time, where it tells which run it is in.
+/// Returns the current machine time, or `None` if the id of the boot can't be read.
 pub fn machine_time() -> Option<MachineTime> {
     let boot = fs::read_to_string(BOOT_ID).ok()?.trim().to_owned();
     Some(MachineTime { boot, up_us: juniperdock_connection::since_boot().as_micros() as i64 })
 }
 
-/// Replaces the file; a draft of a front that was killed is in nobody's way.
+/// Replaces the file. A temporary file left by a front that was killed is removed first.
 fn write(path: &Path, bytes: &[u8]) -> std::io::Result<()> {
     let mut draft = path.as_os_str().to_owned();
     draft.push(".new");
@@ -31,7 +31,7 @@
     atomic_file::write(path, draft.as_ref(), bytes, true)
 }
 
-/// What the file holds for a start, if it lies there.
+/// Returns the contents of the file, or `None` if there is none or it can't be read.
 pub fn read(path: &Path, log: &slog::Logger) -> Option<Vec<u8>> {
     match fs::read(path) {
         Ok(bytes) => Some(bytes),
@@ -43,7 +43,8 @@
     }
 }
 
-/// Writes now and then for as long as the program runs.
+/// Writes a snapshot at the configured interval for as long as the program runs. Of consecutive failures only the first
+/// is logged.
 pub fn write_periodically(
     config: Snapshot,
     clock: Clock,
--- a/crates/front/src/upgrade.rs
+++ b/crates/front/src/upgrade.rs
@@ -1,6 +1,6 @@
-//! Hands the front over to a process that succeeds it, or takes over from one. The rules are those of
-//! `juniperdock_hot_restart`; here they meet processes, descriptors and clients' actors. On threads of its own,
-//! for calls wait.
+//! Upgrades without downtime: transfers listener and clients to a newly started process, or receives them as that
+//! process. `juniperdock_hot_restart` decides; this module connects it to processes, file descriptors and client
+//! actors. It runs on threads of its own because its calls block.
 
 use crate::client::CONNECTION_STACK_BYTES;
 use crate::clients::{ClientTransfer, SharedClients, TransferResult};
@@ -19,23 +19,23 @@
 use std::sync::mpsc::{Receiver, Sender, SyncSender, channel, sync_channel};
 use std::time::{Duration, Instant};
 
-/// Tells a new process that its standard input is the line to the one that it succeeds.
+/// Set for a new process whose standard input is the socket to the process that it replaces.
 const SUCCESSOR_ENV: &str = "JUNIPERDOCK_TAKES_OVER";
-/// How long one look at the line lasts.
+/// How long one wait for messages lasts.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// Clients that are sent before the next look at what was taken.
+/// Clients that are sent before confirmations are read again.
 const BATCH_SIZE: usize = 16;
-/// How long a process may take from the end of its line to its own.
+/// How long a process may take to exit after its socket has closed.
 const EXIT_GRACE: Duration = Duration::from_secs(1);
-/// How long the desk may take over what it knows.
+/// How long the dispatcher may take to produce a snapshot.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long the new process waits for a word of the old one. Each of its own steps has limits there.
+/// How long the new process waits for a message. The old process has its own, shorter limits for each step.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// An idle connection, and its member's id.
+/// The id of a member, and an idle connection to it.
 type IdleConnection = (String, OwnedFd);
 
-/// The old process's side.
+/// The old process's side of an upgrade.
 struct TransferSource {
     clients: Arc<SharedClients>,
     listener: Arc<Door>,
@@ -45,13 +45,13 @@
     transfer_tx: Sender<ClientTransfer>,
     transfer_rx: Receiver<ClientTransfer>,
     in_flight: BTreeMap<u64, TransferResult>,
-    /// Idle connections to members on their way.
+    /// Idle connections to members that are to be sent.
     idle_channel: (Sender<IdleConnection>, Receiver<IdleConnection>),
     log: slog::Logger,
 }
 
-/// Starts the program and hands over to it. `result_tx` hears how it went: the new process's id, or why this one
-/// goes on.
+/// Starts the program and transfers listener and clients to it. Sends `result_tx` the id of the new process once that
+/// serves, or the reason why this process continues to serve.
 pub fn run_upgrade(
     clients: Arc<SharedClients>,
     listener: Arc<Door>,
@@ -97,7 +97,7 @@
             if !matches!(self.child.try_wait(), Ok(None)) {
                 self.state.on_disconnected();
             }
-            // A few at a time: who only sends does not hear that they were taken, and both would wait.
+            // In small batches, with confirmations read in between: otherwise both sides could block on full sockets.
             let clients: Vec<_> = self.transfer_rx.try_iter().take(BATCH_SIZE).collect();
             if clients.len() < BATCH_SIZE {
                 for (member, connection) in
@@ -107,7 +107,7 @@
                 }
             }
             clients.into_iter().for_each(|client| self.send_client(client));
-            // Those that still come from the process before this one have to go on, too.
+            // Clients still arriving from this process's own predecessor have to be transferred, too.
             let still_receiving = self.clients.receiving_transfers.load(Ordering::Acquire);
             self.state.set_remaining(self.clients.present() + usize::from(still_receiving));
             while let Some(action) = self.state.next_action(self.clients.clock.now()) {
@@ -116,7 +116,7 @@
                 }
             }
             if let Phase::Aborted(why) = self.state.phase() {
-                // Nobody is under way any more.
+                // No client is in flight any more.
                 slog::error!(self.log, "an upgrade is undone"; "why" => ?why);
                 let _ = result_tx.try_send(Err(format!("undone: {why:?}")));
                 return;
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Hears what the new process has said by now; waits a moment for the first word.
+    /// Reads the messages that have arrived from the new process; waits up to `POLL_INTERVAL` for the first.
     fn receive_messages(&mut self) {
         let mut wait = POLL_INTERVAL;
         for _ in 0..4 * BATCH_SIZE {
@@ -138,6 +138,7 @@
         }
     }
 
+    /// Returns whether the message was sent; if not, the new process counts as disconnected.
     fn send_message(&mut self, message: &[u8], with: Option<&OwnedFd>) -> bool {
         let sent = self.socket.send(message, with).is_ok();
         if !sent {
@@ -146,7 +147,7 @@
         sent
     }
 
-    /// What this front knows; nothing where the desk is late.
+    /// Returns an encoded snapshot, which is empty if the dispatcher does not produce one in time.
     fn snapshot(&self) -> Vec<u8> {
         let (reply, response) = sync_channel(1);
         self.clients.clock.post(&self.clients.dispatcher, DispatcherMessage::TakeSnapshot(reply));
@@ -158,7 +159,7 @@
         })
     }
 
-    /// Sends a client with what it has sent; where clients do not move any more, it stays.
+    /// Sends a client together with its unprocessed input. If clients are no longer transferred, it stays here.
     fn send_client(&mut self, client: ClientTransfer) {
         let ClientTransfer { number, descriptor, unread, open, skipping, result } = client;
         let sent = self.state.is_transferring()
@@ -174,7 +175,7 @@
         self.state.on_sent(self.clients.clock.now(), number);
     }
 
-    /// True once all is over.
+    /// Performs an action. Returns true once the upgrade is complete.
     fn perform(&mut self, action: Action, result_tx: &SyncSender<Result<u32, String>>) -> bool {
         match action {
             Action::SendVersion(version) => drop(self.send_message(&message::agree(version), None)),
@@ -199,7 +200,7 @@
                     self.clients.stop_accepting.store(true, Ordering::Release);
                     let waker = self.listener.bell();
                     self.clients.clock.run_at(Duration::ZERO, move || waker.ring());
-                    // The new process needs the address, and speaks in this place from now on.
+                    // The new process needs the peer address and represents this front from now on.
                     self.clients.send_to_membership(MembershipMessage::Leave);
                     self.clients.clock.post(
                         &self.clients.dispatcher,
@@ -218,7 +219,7 @@
             Action::Resume => self.resume(),
             Action::Exit => {
                 slog::info!(self.log, "the last client has moved");
-                // As after any SIGTERM: nobody is left to be waited for.
+                // Ends the usual way; no client is left to wait for.
                 let _ = signal_hook::low_level::raise(signal_hook::consts::SIGTERM);
                 return true;
             }
@@ -226,22 +227,22 @@
         false
     }
 
-    /// Serves on: clients stay, and new ones are taken in again.
+    /// Continues to serve: clients stay, and new ones are accepted again.
     fn resume(&mut self) {
         self.clients.stop_transfer();
         while let Ok(client) = self.transfer_rx.try_recv() {
             client.result.complete(false);
         }
         let committed = self.clients.stop_accepting.load(Ordering::Acquire);
-        // One that ends closes its line a moment before it is gone.
+        // An exiting process closes its socket shortly before it is gone.
         let started_at = Instant::now();
         while committed && matches!(self.child.try_wait(), Ok(None)) && started_at.elapsed() < EXIT_GRACE {
             std::thread::sleep(POLL_INTERVAL);
         }
         let exited_cleanly = matches!(self.child.try_wait(), Ok(Some(status)) if status.success());
         if committed && (exited_cleanly || matches!(self.child.try_wait(), Ok(None))) {
-            // It serves, though its line has ended, or it has served and was told to end: this process answers
-            // what it has in hand, and ends.
+            // The new process serves although its socket is closed, or it has served and was terminated in the regular
+            // way: this process answers its pending requests and exits.
             let _ = signal_hook::low_level::raise(signal_hook::consts::SIGTERM);
             return;
         }
@@ -262,7 +263,7 @@
     }
 }
 
-/// A client that has come from the old process.
+/// A client received from the old process.
 struct ReceivedClient {
     stream: TcpStream,
     unread: Vec<u8>,
@@ -270,7 +271,7 @@
     skipping: bool,
 }
 
-/// The new process's side.
+/// The new process's side of an upgrade.
 pub struct TransferTarget {
     socket: PacketSocket,
     state: NewProcess,
@@ -316,7 +317,7 @@
             return;
         };
         self.received_clients.push(ReceivedClient { stream: TcpStream::from(fd), unread, open, skipping });
-        // From here on it is this process's, should it serve.
+        // After this confirmation the client belongs to this process, provided that the restart is committed.
         let _ = self.socket.send(&message::client_received(number), None);
     }
 
@@ -337,7 +338,8 @@
 }
 
 impl TransferTarget {
-    /// Greets the process that is to be succeeded, if this one was started to do so.
+    /// Connects to the process to be replaced and agrees on a protocol version; `None` if this process was started
+    /// otherwise.
     pub fn connect() -> Option<Result<TransferTarget, String>> {
         std::env::var_os(SUCCESSOR_ENV)?;
         let socket = std::io::stdin().as_fd().try_clone_to_owned().map(PacketSocket::from_fd);
@@ -360,7 +362,7 @@
         }))
     }
 
-    /// Hears words until that stage is reached.
+    /// Handles messages until that stage is reached.
     fn wait_for_stage(&mut self, stage: Stage) -> Result<(), String> {
         let started_at = Instant::now();
         while self.state.stage() != stage {
@@ -389,14 +391,14 @@
         self.error.map_or(Ok(()), |why| Err(format!("the hand-over: {why}")))
     }
 
-    /// Says that this process could serve, and waits for the listener.
+    /// Reports that this process is ready to serve, and waits for the listener.
     pub fn receive_listener(&mut self) -> Result<TcpListener, String> {
         self.socket.send(&message::ready(), None)?;
         self.wait_for_stage(Stage::Receiving)?;
         self.listener.take().ok_or_else(|| "no listener came".to_owned())
     }
 
-    /// Holds what comes until this process is to serve, then takes it in; clients that were busy follow.
+    /// Collects clients and connections until the commit, then serves them. Clients that were busy follow on a thread.
     pub fn serve(mut self, clients: &Arc<SharedClients>) -> Result<(), String> {
         self.wait_for_stage(Stage::Serving)?;
         if !self.snapshot.is_empty() {
@@ -421,7 +423,7 @@
         for (member, stream) in self.idle.drain(..) {
             clients.clock.post(&clients.dispatcher, DispatcherMessage::AdoptConnection(member, stream));
         }
-        // Those sent last ask most: they are not to wait behind the others.
+        // The clients sent last are the most active ones and must not wait behind the others.
         for client in self.received_clients.drain(..).rev() {
             clients.clone().admit(client.stream, &client.unread, client.open, client.skipping);
         }
--- a/crates/front/tests/cluster/mod.rs
+++ b/crates/front/tests/cluster/mod.rs
@@ -1,12 +1,12 @@
-//! The built program among stand-ins: one group, and what stories wait for.
-#![allow(dead_code)] // Not every file of stories uses all of it.
+//! A test cluster for the built program: one group of simulated members, discovery, and helpers that wait for a state.
+#![allow(dead_code)] // Not every test file uses all of it.
 
 use juniperdock_test_support::{Agent, Front, Member, PATIENCE, WATCH, list};
 use std::time::Instant;
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_juniperdock");
 
-/// One group: member 0 is its primary, 1 and 2 are replicas.
+/// One group, with member 0 as its primary and members 1 and 2 as replicas.
 pub struct TestCluster {
     pub agent: Agent,
     pub members: Vec<Member>,
@@ -38,7 +38,7 @@
         self.agent.tell(TestCluster::list(&self.members, version, states));
     }
 
-    /// The next txn that a member is sent.
+    /// Waits for the next txn that a member receives.
     pub fn next_txn(&self, member: usize) -> String {
         self.members[member].seen.recv_timeout(PATIENCE).expect("a txn goes there")
     }
@@ -48,7 +48,7 @@
     }
 }
 
-/// Asks until an answer is as it should be.
+/// Waits until the condition holds.
 pub fn wait_until(mut condition: impl FnMut() -> bool) {
     let started_at = Instant::now();
     while !condition() {
--- a/crates/front/tests/migrate.rs
+++ b/crates/front/tests/migrate.rs
@@ -1,5 +1,5 @@
-//! `juniperdock migrate` as an operator runs it: the built program, files in a folder of its own, and a front on
-//! loopback addresses among stand-ins.
+//! `juniperdock migrate` as an operator runs it: the built program, files in a directory of their own, and a front on
+//! loopback addresses with simulated members and discovery.
 
 use juniperdock_test_support::{Agent, Front, Member, WATCH, address, list, txn};
 use serde_json::Value;
@@ -8,7 +8,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_juniperdock");
 
-/// A folder with a configuration of the old shape, gone with the story.
+/// A directory with a configuration in the old format; removed when dropped.
 struct Workspace {
     dir: PathBuf,
 }
@@ -94,7 +94,7 @@
     assert!(check.status.success(), "{}", stderr(&check));
     let front = Front::with(PROGRAM, at, agent.at, &workspace.text("new.json"), None);
     assert!(front.client().ask(&txn("lookup", 2000, "r")).value.is_some());
-    // And the old one serves as ever.
+    // The old file still works as well.
     let before = Front::with(PROGRAM, address(), agent.at, &workspace.text("old.json"), None);
     assert!(before.client().ask(&txn("lookup", 2000, "r")).value.is_some());
 }
--- a/crates/front/tests/primary.rs
+++ b/crates/front/tests/primary.rs
@@ -1,4 +1,4 @@
-//! A small proof on sockets: primaries are killed, hung, cut off, drained and moved under load.
+//! Changes of primaries on sockets: primaries are killed, hung, disconnected, drained and moved under load.
 
 use juniperdock_lab::fleet::history::read;
 use juniperdock_lab::fleet::primaries::changes;
@@ -19,6 +19,7 @@
     }
     println!("{figures}");
     assert!(figures.holds(), "{figures}");
-    // Two primaries claim at a time while one is apart, and who comes back is cold: most are committed all the same.
+    // While a primary is partitioned, two members claim the role, and a returning member is cold; most writes have to
+    // be committed nevertheless.
     assert!(figures.committed * 10 > figures.writes * 6, "{figures}");
 }
--- a/crates/front/tests/scale.rs
+++ b/crates/front/tests/scale.rs
@@ -1,5 +1,5 @@
-//! What the size of the server list costs a front. Bounds are far from what was measured (`docs/CAPACITY.md`), and far
-//! below what it cost to probe all servers after one change.
+//! The cost of large server lists. The limits are well above the normal cost (`docs/CAPACITY.md`), and far below the
+//! cost of probing all servers after one change.
 
 use juniperdock_lab::scale::{Outcome, Plan, hollow::Behaviour, line, play};
 use std::time::Duration;
@@ -26,7 +26,7 @@
         let (small, large) = sizes(behaviour);
         let more = large.one_change_mib.max(large.changes_mib) - small.one_change_mib.min(small.rest_mib);
         assert!(more < 64.0, "{behaviour:?}: {more} MiB more: {large:?}");
-        // A probe of each server would be 6000.
+        // Probing every server would take 6000 probes.
         assert!(large.probes < small.probes + 500, "{behaviour:?}: {small:?} {large:?}");
         assert!(large.in_force_measured > 0 && large.in_force_max_ms < 4000.0, "{behaviour:?}: {large:?}");
         assert!(large.end_ms.is_some(), "{behaviour:?}: it had to be killed: {large:?}");
--- a/crates/front/tests/soak.rs
+++ b/crates/front/tests/soak.rs
@@ -1,5 +1,5 @@
-//! A short soak: ten processes of the program, faults of all kinds that overlap, and the invariants as the oracle.
-//! `juniperdock-lab soak` plays longer ones, for many seeds.
+//! A short soak test: ten front processes under overlapping faults of all kinds, checked against the invariants.
+//! `juniperdock-lab soak` runs longer ones, for many seeds.
 
 use juniperdock_lab::fleet::history::read;
 use juniperdock_lab::fleet::play::play;
@@ -7,7 +7,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_juniperdock");
 
-/// Of each seed so many seconds of faults, and what it takes to heal.
+/// Seconds of faults for each seed; recovery takes additional time.
 const SECONDS: f64 = 8.0;
 
 fn assert_invariants_hold(seed: u64) {
@@ -27,7 +27,8 @@
     }
 }
 
-/// The oracle sees what it is there for: a statement that a server had, and whose connection then ended without a word.
+/// Guards against an oracle that misses violations: a statement that was sent to a server and whose connection then
+/// closed without an answer, and one sent after its client had left.
 #[test]
 fn oracle_detects_planted_violations() {
     let schedule = Schedule { mishaps: Vec::new(), lasts_s: 2.0, ..Schedule::soak(4, 2, 1.0) };
--- a/crates/front/tests/upgrade.rs
+++ b/crates/front/tests/upgrade.rs
@@ -1,5 +1,5 @@
-//! Upgrades on sockets. Without the usual harness: the stories start this very program as a successor that
-//! fails.
+//! Upgrades of real processes on sockets. Runs without the standard test harness, because the scenarios start this very
+//! program as a new process that fails.
 
 use juniperdock_lab::upgrade;
 use juniperdock_test_support::{Agent, Client, Does, Front, Member, PATIENCE, WATCH, address, list, txn};
@@ -39,7 +39,7 @@
 
 struct TestCluster {
     members: Vec<Member>,
-    /// Answers watches for as long as the story lasts.
+    /// Answers discovery watches for as long as the scenario lasts.
     _agent: Agent,
     front: Front,
 }
@@ -59,7 +59,7 @@
         TestCluster { members, _agent: agent, front }
     }
 
-    /// Whether the command succeeded, and what it printed.
+    /// Runs a command; returns whether it succeeded, and what it printed.
     fn command(&self, args: &[&str]) -> (bool, String) {
         let charter = self.front.path("charter.json5");
         let out = Command::new(PROGRAM).arg("--charter").arg(charter).args(args).output().expect("it runs");
@@ -133,7 +133,7 @@
     let path = cluster.front.path("control");
     assert_eq!(std::fs::metadata(&path).expect("a socket").permissions().mode() & 0o777, 0o600);
     let mut client = cluster.front.client();
-    // One hangs with half a frame; others talk nonsense, or another version.
+    // One connection hangs with an incomplete frame; others send garbage or an unsupported version.
     let mut hangs = UnixStream::connect(&path).expect("a connection");
     hangs.write_all(&[0, 0, 0]).expect("sent");
     for bytes in [&[255u8; 64][..], b"\0\0\0\x04what", b"\0\0\0\x07{\"v\":9}", b"\0\0\0\x07{\"v\":1}"] {
@@ -193,7 +193,7 @@
     busy.say(&txn("order", 1500, "long"));
     wait_until(|| cluster.members[0].seen.try_iter().any(|seen| seen.contains("id=long")));
     cluster.members[0].set(Does::Serves);
-    // Half a statement is sent before the hand-over, the rest after it.
+    // One half of a statement is sent before the upgrade, the other half after it.
     let statement =
         juniperdock_test_support::message(b'Q', format!("{}\0", txn("lookup", 2000, "half")).as_bytes());
     std::io::Write::write_all(&mut half.stream, &statement[..20]).expect("sent");
@@ -204,13 +204,13 @@
     std::io::Write::write_all(&mut half.stream, &statement[20..]).expect("sent");
     assert!(half.reply().value.is_some(), "its half statement came along");
     assert!(idle.ask(&txn("order", 2000, "idle")).value.is_some());
-    // The one that was busy gets its one answer from the old process, and goes on with the new one.
+    // The busy client gets its one answer from the old process, and continues with the new one.
     assert_eq!(busy.reply().code.as_deref(), Some("40003"));
     assert!(busy.ask(&txn("order", 2000, "next")).value.is_some());
     wait_until(|| !std::path::Path::new(&format!("/proc/{old}")).exists() || zombie(&old));
 }
 
-/// A program that fails as a successor in a way; a file beside it, `how.begun`, tells that it was started.
+/// Creates a program that fails as the new process in the way `how`. It creates the file `how.begun` when it starts.
 fn failing_successor(cluster: &TestCluster, how: &str) -> String {
     let path = cluster.front.path(how);
     let own = std::env::current_exe().expect("its own path").display().to_string();
@@ -235,7 +235,7 @@
     assert_eq!(client.reply().last, 0, "who was handed over has to come again");
     assert!(cluster.front.client().ask(&txn("order", 2000, "again")).value.is_some());
     assert_eq!(cluster.serving_pid(), old);
-    // And the next one succeeds; hundreds of statements sent ahead come along.
+    // The next upgrade succeeds, and hundreds of pipelined statements are transferred with their client.
     let mut ahead = cluster.front.client();
     (0..200).for_each(|i| ahead.say(&txn("lookup", 5000, &format!("a{i}"))));
     wait_until(|| cluster.command(&["upgrade"]).0);
@@ -259,7 +259,7 @@
         .stderr(std::process::Stdio::null())
         .spawn()
         .expect("it runs");
-    // Asked any earlier, the second one could be the first to arrive, and succeed.
+    // Requested any earlier, the second upgrade could arrive first and succeed.
     wait_until(|| started_marker(&cluster, "waits").exists());
     let (succeeded, output) = cluster.command(&["upgrade"]);
     assert!(!succeeded && output.contains("under way"), "{output}");
@@ -275,7 +275,8 @@
     wait_until(|| zombie(&cluster.front.id().to_string()));
 }
 
-/// The program itself, after a shell has done something; `name.begun` tells its process id.
+/// Creates a script that runs a shell command and then the program itself; the file `name.begun` contains its process
+/// id.
 fn wrapped_successor(cluster: &TestCluster, name: &str, shell_command: &str) -> String {
     let (path, marker) = (cluster.front.path(name), started_marker(cluster, name).display().to_string());
     let text = format!(
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -1,10 +1,10 @@
-//! The hand-over of a front's listener and clients to the process that succeeds it: what each side may do
-//! when, and what it does when the other fails. No input or output.
+//! State machines of a hot restart, in which a running front transfers its listener and clients to a newly started
+//! process: what each side may do when, and how it recovers when the other side fails. Performs no I/O.
 //!
-//! The *giver* is the process that serves; the *taker* was started to succeed it. Until the giver commits,
-//! the taker serves nobody and the giver can take everything back: it keeps its own descriptor of each client
-//! until the taker has it, and those under way are read by neither. From the commit on the taker serves; what
-//! was busy then stays with the giver until it is answered, and follows one by one.
+//! The *old process* serves and starts the *new process*. Until the old process commits, the new one serves no client
+//! and the old one can take everything back: it keeps its own descriptor of each client until the new process has
+//! received it, and neither process reads from a client in flight. After the commit the new process serves. Clients
+//! with a request in progress stay with the old process until they are answered, and are then transferred one by one.
 
 pub mod message;
 mod new_process;
@@ -13,10 +13,10 @@
 pub use new_process::{NewProcess, Stage};
 pub use old_process::{AbortReason, Action, OldProcess, Phase, Timeouts};
 
-/// The versions of the hand-over that are spoken here, the lowest and the highest.
+/// The lowest and the highest protocol version that this build supports.
 pub const SUPPORTED_VERSIONS: (u16, u16) = (1, 1);
 
-/// The highest version that both sides speak.
+/// Returns the highest version that both sides support.
 ///
 /// ```
 /// use juniperdock_hot_restart::negotiate_version;
--- a/crates/hot-restart/src/message.rs
+++ b/crates/hot-restart/src/message.rs
@@ -1,67 +1,67 @@
-//! What the two sides say, as bytes: a letter, then fixed fields in network order. One word is one packet; a
-//! descriptor may come with it.
+//! Messages between the two processes. Each is one packet: a letter, then fixed fields in network byte order. A
+//! file descriptor may accompany it.
 
 use crate::old_process::OldProcess;
 
-/// The most bytes of one word.
+/// Maximum length of one message, in bytes.
 pub const MAX_MESSAGE_LEN: usize = 32 << 10;
 
 fn split_field<const N: usize>(bytes: &[u8]) -> Option<([u8; N], &[u8])> {
     bytes.split_first_chunk::<N>().map(|(head, rest)| (*head, rest))
 }
 
-/// From the taker: which versions it speaks.
+/// Encodes the range of protocol versions that the new process supports.
 pub fn hello(lowest: u16, highest: u16) -> Vec<u8> {
     [&b"h"[..], &lowest.to_be_bytes(), &highest.to_be_bytes()].concat()
 }
 
-/// From the taker: it could serve.
+/// Encodes the report of the new process that it is ready to serve.
 pub fn ready() -> Vec<u8> {
     b"r".to_vec()
 }
 
-/// From the taker: it has that client.
+/// Encodes the confirmation of the new process that it has received a client.
 pub fn client_received(client: u64) -> Vec<u8> {
     [&b"t"[..], &client.to_be_bytes()].concat()
 }
 
-/// From the giver: the version to be spoken.
+/// Encodes the protocol version that the old process has chosen.
 pub fn agree(version: u16) -> Vec<u8> {
     [&b"a"[..], &version.to_be_bytes()].concat()
 }
 
-/// From the giver, with a descriptor: the listener.
+/// Encodes the header that accompanies the descriptor of the listener.
 pub fn listener() -> Vec<u8> {
     b"l".to_vec()
 }
 
-/// From the giver: a piece of what it knows; an empty one is the last.
+/// Encodes a piece of the old process's snapshot; an empty piece ends it.
 pub fn memory(piece: &[u8]) -> Vec<u8> {
     [&b"m"[..], piece].concat()
 }
 
-/// From the giver: bytes that the next client has sent, as far as one word takes them.
+/// Encodes bytes that the next client has sent and nobody has processed, as many as fit into one message.
 pub fn unread(bytes: &[u8]) -> Vec<u8> {
     [&b"u"[..], bytes].concat()
 }
 
-/// From the giver, with a descriptor: a client. `open`: it has been welcomed. `skipping`: all is passed by up
-/// to its next Sync.
+/// Encodes the header that accompanies the descriptor of a client. `open`: its start-up is complete. `skipping`: its
+/// messages are discarded up to the next Sync.
 pub fn client(number: u64, open: bool, skipping: bool) -> Vec<u8> {
     [&b"c"[..], &number.to_be_bytes(), &[u8::from(open), u8::from(skipping)]].concat()
 }
 
-/// From the giver, with a descriptor: an idle connection to the member of that id.
+/// Encodes the header that accompanies the descriptor of an idle connection to the member with that id.
 pub fn idle(member: &str) -> Vec<u8> {
     [&b"i"[..], member.as_bytes()].concat()
 }
 
-/// From the giver: the taker serves from now on.
+/// Encodes the order to the new process to serve from now on.
 pub fn commit() -> Vec<u8> {
     b"s".to_vec()
 }
 
-/// Hands a word of the taker to the giver.
+/// Decodes a message from the new process and passes it to the old one's state machine.
 pub fn deliver_to_old(message: &[u8], old_process: &mut OldProcess) {
     match message.split_first() {
         Some((b'h', fields)) => match split_field(fields).zip(fields.get(2..).and_then(split_field)) {
@@ -79,7 +79,7 @@
     }
 }
 
-/// What a taker does with the words of the giver.
+/// Handles the messages that the new process receives.
 pub trait MessageHandler {
     fn agreed(&mut self, version: u16);
     fn memory(&mut self, piece: &[u8]);
@@ -91,7 +91,7 @@
     fn nonsense(&mut self);
 }
 
-/// Hands a word of the giver to the taker.
+/// Decodes a message from the old process and passes it to the handler.
 pub fn deliver_to_new(message: &[u8], handler: &mut impl MessageHandler) {
     match message.split_first() {
         Some((b'a', fields)) => match split_field(fields) {
--- a/crates/hot-restart/src/new_process.rs
+++ b/crates/hot-restart/src/new_process.rs
@@ -1,22 +1,22 @@
-//! The side that is to serve.
+//! The side of the process that was started to serve next.
 
-/// How far the taker has come.
+/// How far the new process has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Nothing agreed yet.
+    /// No protocol version is agreed yet.
     AwaitingVersion,
-    /// A version is agreed; it may say that it is ready.
+    /// A version is agreed; the process may report that it is ready.
     Preparing,
-    /// It holds the listener and clients, and serves none of them.
+    /// The process receives the listener and clients, and serves none of them yet.
     Receiving,
-    /// It serves.
+    /// The process serves.
     Serving,
-    /// The giver has gone on without it, or said what makes no sense: it ends.
+    /// The old process aborted the restart or sent an unexpected message; this process has to exit.
     Failed,
 }
 
-/// The taker's side of one hand-over. Each input says whether it fits; after one that does not, the taker
-/// ends.
+/// The new process's side of one hot restart. Each input returns whether it was expected at this stage; after one
+/// that was not, the process has to exit.
 #[derive(Debug)]
 pub struct NewProcess {
     stage: Stage,
@@ -40,17 +40,19 @@
         expected
     }
 
+    /// Handles the protocol version chosen by the old process.
     pub fn on_version(&mut self, version: u16) -> bool {
         let supported = (crate::SUPPORTED_VERSIONS.0..=crate::SUPPORTED_VERSIONS.1).contains(&version);
         self.advance(&[Stage::AwaitingVersion], if supported { Stage::Preparing } else { Stage::Failed })
             && supported
     }
 
+    /// Handles the arrival of the listener.
     pub fn on_listener(&mut self) -> bool {
         self.advance(&[Stage::Preparing], Stage::Receiving)
     }
 
-    /// A client came; it may be served at once only if this says so.
+    /// Handles the arrival of a client. Returns whether it may be served at once, or `None` if it was not expected.
     pub fn on_client(&mut self) -> Option<bool> {
         self.received_clients += 1;
         match self.stage {
@@ -63,11 +65,12 @@
         }
     }
 
+    /// Handles the order to serve.
     pub fn on_commit(&mut self) -> bool {
         self.advance(&[Stage::Receiving], Stage::Serving)
     }
 
-    /// The giver's end of the line has ended: whether this process goes on serving.
+    /// Handles the end of the connection to the old process. Returns whether this process continues to serve.
     pub fn on_disconnected(&mut self) -> bool {
         if self.stage != Stage::Serving {
             self.stage = Stage::Failed;
@@ -75,7 +78,7 @@
         self.stage == Stage::Serving
     }
 
-    /// Clients that came.
+    /// The number of clients received so far.
     pub fn received_clients(&self) -> u64 {
         self.received_clients
     }
--- a/crates/hot-restart/src/old_process.rs
+++ b/crates/hot-restart/src/old_process.rs
@@ -1,76 +1,78 @@
-//! The side that serves until it has committed.
+//! The side of the process that serves until it commits the restart.
 
 use crate::{SUPPORTED_VERSIONS, negotiate_version};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// How long each step may take before the hand-over is undone.
+/// Time limits of the steps; a step that misses its limit aborts the restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timeouts {
-    /// From the start of the taker to its readiness.
+    /// From the start of the new process until a version is agreed, and from there until it reports that it is ready.
     pub ready: Duration,
-    /// For clients between txns to be sent, once the taker is ready: first for those that have rested, until
-    /// none has been sent for so long, then for all.
+    /// Length of one period in which clients between txns are sent after the new process is ready. Clients that have
+    /// been idle for a while are sent first, until none has been sent for one period; then all follow for one period.
     pub gather: Duration,
-    /// From the last client sent to the last one taken.
+    /// From the last client sent until the new process has confirmed all of them.
     pub acknowledge: Duration,
 }
 
+/// How far the restart has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// The taker was started and has said nothing yet.
+    /// The new process was started and has sent nothing yet.
     Started,
-    /// A version was agreed; the taker prepares.
+    /// A protocol version was agreed; the new process prepares.
     Preparing,
-    /// The taker has the listener, and clients between txns are sent to it.
+    /// The new process has the listener, and clients between txns are sent to it.
     Transferring,
-    /// The taker serves. Clients that were busy follow.
+    /// The new process serves. Clients that were busy follow once they are answered.
     Committed,
-    /// Nothing is left to be sent.
+    /// All clients were transferred.
     Done,
+    /// The old process continues to serve.
     Aborted(AbortReason),
 }
 
-/// Why the giver goes on as if nothing had been.
+/// Why the restart was aborted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AbortReason {
-    /// The taker ended.
+    /// The new process exited or closed its end of the socket.
     Ended,
-    /// It speaks no version that is spoken here.
+    /// The two processes have no protocol version in common.
     Version,
-    /// It said something that makes no sense then.
+    /// The new process sent a malformed or unexpected message.
     Nonsense,
-    /// It was not ready, or did not take what was sent, in time.
+    /// The new process was not ready, or did not confirm the clients sent to it, in time.
     Late,
-    /// It was called off here.
+    /// The old process canceled the restart.
     CalledOff,
 }
 
-/// Clients that have rested are sent for so many times `Timeouts::gather` at most, however many come.
+/// Idle clients are sent for at most this many periods of `Timeouts::gather` before all others follow.
 const MAX_GATHER_PERIODS: u32 = 50;
 
-/// What the caller is to do next.
+/// What the caller has to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Tell the taker the version that both speak.
+    /// Send the agreed protocol version to the new process.
     SendVersion(u16),
-    /// Send the listener, and from now on each client that has rested for a while.
+    /// Send the listener, and from now on each client that has been idle for a while.
     SendListener,
     /// Send each client that is between txns, from now on.
     TransferAll,
-    /// Tell the taker to serve. The giver takes nobody in any more.
+    /// Tell the new process to serve, and stop accepting clients here.
     Commit,
-    /// A client is the taker's: its descriptor here is closed.
+    /// Close this process's descriptor of a client that the new process serves.
     Release(u64),
-    /// A client is served here again.
+    /// Serve a client here again.
     Keep(u64),
-    /// Take clients in and serve as before; the taker is to be ended.
+    /// Accept clients and serve as before, and terminate the new process.
     Resume,
-    /// All has been handed over.
+    /// Exit, as everything has been transferred.
     Exit,
 }
 
-/// The giver's side of one hand-over. Inputs note facts; [`OldProcess::step`] goes through the rules.
+/// The old process's side of one hot restart. Inputs only record facts; [`OldProcess::next_action`] evaluates them.
 #[derive(Debug)]
 pub struct OldProcess {
     timeouts: Timeouts,
@@ -81,13 +83,13 @@
     protocol_error: bool,
     disconnected: bool,
     canceled: bool,
-    /// No client is left here.
     no_clients_left: bool,
-    /// Sent, and not taken yet; taken, and not released yet.
+    /// Sent, but not yet confirmed by the new process.
     in_flight: BTreeSet<u64>,
+    /// Confirmed by the new process, but not yet released.
     received: BTreeSet<u64>,
     last_sent: Duration,
-    /// All between txns are sent, not only those that have rested.
+    /// All clients between txns are sent, not only those that have been idle for a while.
     transfer_all: bool,
 }
 
@@ -114,25 +116,25 @@
         self.phase
     }
 
-    /// The taker has said which versions it speaks.
+    /// Records the range of protocol versions that the new process supports.
     pub fn on_hello(&mut self, lowest: u16, highest: u16) {
         self.protocol_error |= self.new_versions.is_some() || lowest > highest;
         self.new_versions = Some((lowest, highest));
     }
 
-    /// The taker could serve.
+    /// Records that the new process is ready to serve.
     pub fn on_ready(&mut self) {
         self.protocol_error |= self.phase != Phase::Preparing || self.new_is_ready;
         self.new_is_ready = true;
     }
 
-    /// A client was sent; its number is new. Only while clients move.
+    /// Records that a client was sent under a new number. Valid only while [`OldProcess::is_transferring`].
     pub fn on_sent(&mut self, now: Duration, client: u64) {
         self.in_flight.insert(client);
         self.last_sent = now;
     }
 
-    /// The taker has a client.
+    /// Records that the new process has received a client.
     pub fn on_received(&mut self, client: u64) {
         if self.in_flight.remove(&client) {
             self.received.insert(client);
@@ -141,27 +143,27 @@
         }
     }
 
-    /// What the taker said can't be read.
+    /// Records a message that could not be decoded.
     pub fn on_protocol_error(&mut self) {
         self.protocol_error = true;
     }
 
-    /// The taker has ended, or its end of the line has.
+    /// Records that the new process exited or closed its end of the socket.
     pub fn on_disconnected(&mut self) {
         self.disconnected = true;
     }
 
-    /// The hand-over is called off, if it has not been committed.
+    /// Cancels the restart unless it has been committed.
     pub fn cancel(&mut self) {
         self.canceled = true;
     }
 
-    /// Whether any client is left here, be it under way.
+    /// Sets how many clients this process still has, including those in flight.
     pub fn set_remaining(&mut self, clients: usize) {
         self.no_clients_left = clients == 0;
     }
 
-    /// Clients may be sent now.
+    /// Whether clients may be sent now.
     pub fn is_transferring(&self) -> bool {
         matches!(self.phase, Phase::Transferring | Phase::Committed)
     }
@@ -176,7 +178,7 @@
             Phase::Transferring => {
                 !self.in_flight.is_empty() && now >= self.last_sent + self.timeouts.acknowledge
             }
-            // The other serves: to take a client back that it may be reading would be worse than to wait.
+            // The new process serves and may already be reading from the client: waiting is safer than taking it back.
             Phase::Committed => false,
             Phase::Done | Phase::Aborted(_) => return None,
         };
@@ -193,9 +195,9 @@
         }
     }
 
-    /// The first rule that holds, and what it wants done; `None` once nothing is to be done for now.
+    /// Returns the next action, or `None` when nothing has to be done for now.
     pub fn next_action(&mut self, now: Duration) -> Option<Action> {
-        // A commit is never taken back for what was taken: the taker serves it, or its clients come again.
+        // After a commit, a received client is never taken back: the new process serves it, or the client reconnects.
         if let Some(&client) = self.received.iter().next().filter(|_| self.phase == Phase::Committed) {
             self.received.remove(&client);
             return Some(Action::Release(client));
@@ -212,7 +214,7 @@
             Phase::Started => {
                 let version = negotiate_version(SUPPORTED_VERSIONS, self.new_versions?)?;
                 self.enter(now, Phase::Preparing);
-                // The time for its readiness counts from its start.
+                // This starts the limit `Timeouts::ready` anew, for the time from the agreement to readiness.
                 Some(Action::SendVersion(version))
             }
             Phase::Preparing if self.new_is_ready => {
@@ -220,7 +222,7 @@
                 self.last_sent = now;
                 Some(Action::SendListener)
             }
-            // Those that ask again and again wait for the commit from when they are sent: they come last.
+            // A client is not served between its transfer and the commit, so the most active ones are sent last.
             Phase::Transferring if !self.transfer_all => {
                 let Timeouts { gather, .. } = self.timeouts;
                 let quiet = self.in_flight.is_empty() && now >= self.last_sent + gather;
--- a/crates/hot-restart/tests/scenarios.rs
+++ b/crates/hot-restart/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Both sides, and each way in which one may fail the other.
+//! Both sides of a hot restart, and the ways in which one of them may fail.
 
 use juniperdock_hot_restart::message::{self, MessageHandler};
 use juniperdock_hot_restart::{
@@ -21,7 +21,8 @@
     std::iter::from_fn(|| old_process.next_action(ms(now))).collect()
 }
 
-/// Ready, the offer made, clients 1 to 3 sent at 100 ms, none of which has rested.
+/// An old process whose successor is ready and has the listener, with clients 1 to 3, none of them idle before, sent
+/// at 100 ms.
 fn transferring() -> OldProcess {
     let mut old_process = OldProcess::new(ms(0), TIMEOUTS);
     old_process.on_hello(SUPPORTED_VERSIONS.0, SUPPORTED_VERSIONS.1);
@@ -44,7 +45,7 @@
         actions_at(&mut old_process, 141),
         [Action::Commit, Action::Release(1), Action::Release(2), Action::Release(3)]
     );
-    // One that was busy follows.
+    // A client that was busy follows.
     old_process.on_sent(ms(300), 4);
     old_process.set_remaining(1);
     assert!(actions_at(&mut old_process, 300).is_empty());
@@ -77,7 +78,7 @@
     assert_eq!(actions_at(&mut old_process, 290), [Action::TransferAll]);
     assert!(actions_at(&mut old_process, 319).is_empty());
     assert_eq!(actions_at(&mut old_process, 320)[0], Action::Commit);
-    // Where they come without end, the rest is sent all the same.
+    // When idle clients keep coming, the others are sent after a bounded time all the same.
     let mut old_process =
         OldProcess::new(ms(0), Timeouts { acknowledge: Duration::from_secs(99), ..TIMEOUTS });
     old_process.on_hello(SUPPORTED_VERSIONS.0, SUPPORTED_VERSIONS.1);
@@ -148,7 +149,7 @@
     let mut old_process = transferring();
     old_process.cancel();
     assert_eq!(actions_at(&mut old_process, 110)[0], Action::Resume);
-    // Too late once it is committed.
+    // Canceling has no effect after the commit.
     let mut old_process = transferring();
     (1..4).for_each(|client| old_process.on_received(client));
     actions_at(&mut old_process, 200);
@@ -232,8 +233,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever comes in whatever order: each client that was sent is released or kept, once, and released
-    /// only after a commit and after it was taken.
+    /// For any order of inputs, each client that was sent is released or kept exactly once, and released only after
+    /// the commit and after the new process has received it.
     #[test]
     fn every_sent_client_is_released_or_kept_exactly_once(steps in proptest::collection::vec((0..9u8, 0..5u64, 0..300u64), 1..80)) {
         let mut old_process = OldProcess::new(ms(0), TIMEOUTS);
--- a/crates/snapshot/src/decay.rs
+++ b/crates/snapshot/src/decay.rs
@@ -1,23 +1,24 @@
-//! What facts are worth after a while.
+//! How the value of recorded facts decreases with the age of a snapshot.
 
 use std::time::Duration;
 
-/// Half of what was learnt of speed and room is forgotten in this time: as long as slowness is remembered of
-/// a member that nothing is sent to, some times over.
+/// Half-life of learned speeds and concurrency limits: several times as long as the slowness of a member without
+/// traffic is remembered.
 const HALF_LIFE: Duration = Duration::from_secs(10);
 
-/// What a snapshot of a given age is worth.
+/// Weighs the contents of a snapshot by its age.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Decay {
     age: Duration,
 }
 
 impl Decay {
+    /// Creates the decay for a snapshot of that age.
     pub fn of(age: Duration) -> Decay {
         Decay { age }
     }
 
-    /// A learnt value on its way back to what is assumed of the unknown.
+    /// Returns a learned value, moved towards the default for unknown members with the age.
     ///
     /// ```
     /// use juniperdock_snapshot::Decay;
@@ -32,7 +33,7 @@
         default + (value - default) * remaining
     }
 
-    /// Work sent to a cold member counts in full while any of it may lie inside the rule's window.
+    /// Work sent to a cold member counts in full while any of it may lie within the window of that rule.
     pub fn budget_spent(self, work: f64, window: Duration) -> f64 {
         if self.age < window { work } else { 0.0 }
     }
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -1,13 +1,13 @@
-//! What a front knows of its members, kept for the process after it. No input or output.
+//! What a front has learned about its members, saved for the next process. Performs no I/O.
 //!
-//! A snapshot is a head (a mark, a version, a length, a checksum) and a body. One that is cut, flipped,
-//! foreign, of another version, too old or from the future is refused with one line, and the program starts
-//! from nothing.
+//! A snapshot consists of a header (magic bytes, version, length, checksum) and a body. One that is truncated,
+//! corrupted, not a snapshot, of another version, too old or from the future is rejected with a one-line error, and
+//! the program starts without it.
 //!
-//! Times are microseconds since 1970: a process counts from its own start. The wall clock may be stepped between two
-//! processes, so a snapshot also tells the machine's own time, by which the next one finds its age. What a fact is worth later,
-//! [`Decay`] says: proofs, terms, drains and budgets spent hold; roles are hints; what was learnt of speed
-//! fades.
+//! Times are microseconds since 1970, since a process counts time from its own start. The wall clock may be stepped
+//! between two processes, so a snapshot also contains the machine time, by which the next process computes its age.
+//! [`Decay`] weighs facts by age: proofs, terms, drains and spent budgets stay valid; roles are hints; learned speeds
+//! decay.
 
 mod decay;
 mod machine_time;
@@ -20,73 +20,75 @@
 use std::time::Duration;
 
 const MAGIC: [u8; 4] = *b"JDSN";
-/// The version written here.
+/// The version that [`encode`] writes.
 pub const VERSION: u16 = 2;
-/// Read as well: the same without the machine's time.
+/// An older version that [`decode`] accepts too; it lacks the machine time.
 const VERSION_WITHOUT_MACHINE_TIME: u16 = 1;
 const HEADER_LEN: usize = 14;
-/// The most bytes of a snapshot: some hundred for each of 100,000 members.
+/// Maximum size of a snapshot in bytes: several hundred for each of 100,000 members.
 pub const MAX_SNAPSHOT_BYTES: usize = 64 << 20;
-/// A snapshot older than this tells of another fleet.
+/// Maximum age of a snapshot; by then the fleet may have changed too much.
 pub const MAX_AGE: Duration = Duration::from_secs(600);
-/// What may lie in the future: clocks are set a little now and then.
+/// Tolerance for a snapshot from the future, since clocks are adjusted by small amounts.
 const MAX_CLOCK_SKEW: Duration = Duration::from_secs(1);
 
-/// All that is kept.
+/// The contents of a snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[schemars(rename = "Memory")]
 pub struct Snapshot {
-    /// When it was taken.
+    /// When the snapshot was taken.
     pub taken: i64,
     pub members: Vec<MemberRecord>,
     pub groups: Vec<GroupRecord>,
     pub types: Vec<TxnTypeRecord>,
-    /// When it was taken, by the machine's own time.
+    /// When the snapshot was taken, as machine time.
     pub machine_time: Option<MachineTime>,
 }
 
-/// Of one member, by its id in the list.
+/// What is saved about one member, by its id in the server list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[schemars(rename = "OfMember")]
 pub struct MemberRecord {
     pub id: String,
-    /// It was seen draining, and binds until a later start.
+    /// The member was seen draining; this holds until it starts again.
     pub drains: bool,
-    /// Since when it is warm, or will be.
+    /// The time from which the member counts as warm; may lie in the future.
     pub warm_at: Option<i64>,
-    /// It has every commit up to here.
+    /// The member has every commit up to this position.
     pub position: Option<i64>,
-    /// Work sent to it within the window of the rule on cold members, in seconds.
+    /// Work sent to the member within the window of the rule on cold members, in seconds.
     pub sent: f64,
-    /// Submissions that it may hold, and its answer time as a multiple of what is typical.
+    /// Concurrency limit: the number of submissions that the member may have in progress.
     pub room: f64,
+    /// Response time as a multiple of the typical one.
     pub slow: f64,
-    /// Until when it is left alone.
+    /// The time until which nothing is sent to the member.
     pub shunned: Option<i64>,
-    /// The last term that it held in its group, 0 for none; its newest claim then; its newest proven word as
-    /// a replica.
+    /// The last term in which the member was primary of its group; 0 for none.
     pub term: u32,
+    /// Its newest claim to be primary in that term.
     pub served: Option<i64>,
+    /// Its newest proven report to be a replica.
     pub stepped: Option<i64>,
-    /// When it was heard last.
+    /// When the member was last observed.
     pub heard: Option<i64>,
 }
 
-/// Of one group, by its number in the list.
+/// What is saved about one group, by its number in the server list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[schemars(rename = "OfGroup")]
 pub struct GroupRecord {
     pub group: u64,
     pub term: u32,
-    /// Who held the newest term, by its id.
+    /// The id of the primary of the newest term.
     pub last: Option<String>,
     pub began: Option<i64>,
     pub newest: Option<i64>,
-    /// How long changes took of late, as a sketch.
+    /// Durations of recent changes of the primary, as a sketch.
     pub vacancies: Vec<u8>,
 }
 
-/// Of one txn type, by its name: answer times in seconds.
+/// Response times of one txn type, by its name, in seconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[schemars(rename = "OfType")]
 pub struct TxnTypeRecord {
@@ -95,7 +97,7 @@
     pub usual: f64,
 }
 
-/// Writes a snapshot.
+/// Encodes a snapshot.
 pub fn encode(snapshot: &Snapshot) -> Result<Vec<u8>, String> {
     let body = postcard::to_stdvec(snapshot).map_err(|e| format!("snapshot: {e}"))?;
     if HEADER_LEN + body.len() > MAX_SNAPSHOT_BYTES {
@@ -109,7 +111,7 @@
     Ok([&MAGIC[..], &VERSION.to_be_bytes(), &length, &checksum, &body].concat())
 }
 
-/// Reads a snapshot, whatever its age.
+/// Decodes a snapshot and validates it, except for its age.
 ///
 /// ```
 /// use juniperdock_snapshot::{Snapshot, decode, encode};
@@ -147,7 +149,7 @@
 }
 
 impl Snapshot {
-    /// Numbers are numbers, and names are there.
+    /// Checks that all numbers are finite and not negative, and that no name is empty.
     fn check(&self) -> Result<(), String> {
         let valid = |n: f64| n.is_finite() && n >= 0.0;
         let member = |m: &MemberRecord| !m.id.is_empty() && valid(m.sent) && valid(m.room) && valid(m.slow);
@@ -158,8 +160,8 @@
         Err("snapshot: a number or a name in it is none".to_owned())
     }
 
-    /// How old it is; the error says why it can't be used. `now` in microseconds since 1970, `here` by the machine. Within
-    /// one run of the machine its own time decides, and the wall clock, which may have been stepped, does not.
+    /// Returns the age of the snapshot, or the reason why it can't be used. `now` is in microseconds since 1970, `here`
+    /// is the machine time. Within one boot the machine time decides, because the wall clock may have been stepped.
     pub fn age(&self, now: i64, here: Option<&MachineTime>) -> Result<Duration, String> {
         let by_machine = here.zip(self.machine_time.as_ref()).and_then(|(here, taken)| here.since(taken));
         let age = by_machine.unwrap_or_else(|| now.saturating_sub(self.taken));
@@ -173,7 +175,7 @@
         Ok(age)
     }
 
-    /// Dates all by a clock that says `now` while the snapshot is of that age.
+    /// Shifts all times to a clock that shows `now` while the snapshot has that age.
     pub fn rebase(&mut self, now: i64, age: Duration) {
         let taken = now.saturating_sub(age.as_micros() as i64);
         let offset = taken.saturating_sub(self.taken);
@@ -195,7 +197,7 @@
     }
 }
 
-/// What a snapshot holds, as a JSON schema.
+/// Returns the JSON schema of a snapshot.
 pub fn schema() -> serde_json::Value {
     schemars::schema_for!(Snapshot).to_value()
 }
--- a/crates/snapshot/tests/codec.rs
+++ b/crates/snapshot/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The codec against whatever may lie in a file.
+//! The snapshot format against valid, corrupted and arbitrary input.
 
 use juniperdock_snapshot::{
     GroupRecord, MAX_AGE, MachineTime, MemberRecord, Snapshot, TxnTypeRecord, decode, encode, schema,
@@ -70,7 +70,7 @@
     #[test]
     fn arbitrary_bytes_are_rejected_without_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         prop_assert!(decode(&bytes).is_err());
-        // Behind a good head, too.
+        // The same bytes behind a valid header.
         for version in [1, 2] {
         let body = [&b"JDSN\0"[..], &[version], &(bytes.len() as u32).to_be_bytes()].concat();
         let all = [&body[..], &crc32fast::hash(&bytes).to_be_bytes(), &bytes].concat();
@@ -111,7 +111,7 @@
     for step_s in [-3600, -5, 0, 3, 3600] {
         assert_eq!(age(step_s, &at(57 * SECOND)), Ok(Duration::from_secs(7)), "a step of {step_s} s");
     }
-    // After the machine has started anew the wall clock is all there is.
+    // After a reboot only the wall clock is left.
     let after_reboot = MachineTime { boot: "another".to_owned(), up_us: 90 * SECOND };
     assert_eq!(age(2, &after_reboot), Ok(Duration::from_secs(9)));
     assert!(age(-3600, &after_reboot).is_err() && age(3600, &after_reboot).is_err());
