--- a/crates/fd-passing/src/lib.rs
+++ b/crates/fd-passing/src/lib.rs
@@ -30,7 +30,7 @@
     /// Creates a socket pair. Neither end survives an exec unless it is explicitly passed to the new program.
     pub fn pair() -> Result<(PacketSocket, OwnedFd), String> {
         let pair = socketpair(AddressFamily::UNIX, SocketType::SEQPACKET, SocketFlags::CLOEXEC, None);
-        let (here, there) = pair.map_err(|e| format!("a line: {e}"))?;
+        let (here, there) = pair.map_err(|e| format!("creating a socket pair: {e}"))?;
         Ok((PacketSocket(here), there))
     }
 
@@ -46,25 +46,25 @@
         let mut ancillary = SendAncillaryBuffer::new(&mut space);
         let fds: Vec<_> = fd.iter().map(|fd| fd.as_fd()).collect();
         if !fds.is_empty() && !ancillary.push(SendAncillaryMessage::ScmRights(&fds)) {
-            return Err("no room for a descriptor".to_owned());
+            return Err("no space for a descriptor in the control message".to_owned());
         }
         loop {
             match sendmsg(&self.0, &[IoSlice::new(packet)], &mut ancillary, SendFlags::NOSIGNAL) {
                 Ok(_) => return Ok(()),
                 Err(Errno::INTR) => {}
-                Err(e) => return Err(format!("the other end: {e}")),
+                Err(e) => return Err(format!("sending a packet: {e}")),
             }
         }
     }
 
     /// Waits for one packet, at most for `timeout`. A packet longer than `max_len` is an error.
     pub fn receive(&self, max_len: usize, timeout: Duration) -> Result<Received, String> {
-        let timespec = Timespec::try_from(timeout).map_err(|e| format!("a time: {e}"))?;
+        let timespec = Timespec::try_from(timeout).map_err(|e| format!("timeout out of range: {e}"))?;
         let mut fds = [PollFd::new(&self.0, PollFlags::IN)];
         match poll(&mut fds, Some(&timespec)) {
             Ok(0) | Err(Errno::INTR) => return Ok(Received::TimedOut),
             Ok(_) => {}
-            Err(e) => return Err(format!("waiting: {e}")),
+            Err(e) => return Err(format!("waiting for a packet: {e}")),
         }
         let mut packet = vec![0; max_len + 1];
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
@@ -74,7 +74,7 @@
             Ok(received) => received.bytes,
             Err(Errno::INTR) => return Ok(Received::TimedOut),
             Err(Errno::CONNRESET) => return Ok(Received::Closed),
-            Err(e) => return Err(format!("reading: {e}")),
+            Err(e) => return Err(format!("receiving a packet: {e}")),
         };
         let mut received_fd = None;
         for message in ancillary.drain() {
@@ -101,7 +101,7 @@
 
     #[test]
     fn descriptor_arrives_with_its_packet_and_closing_is_detected() {
-        let (here, there) = PacketSocket::pair().expect("a line");
+        let (here, there) = PacketSocket::pair().expect("a socket pair");
         let there = PacketSocket::from_fd(there);
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free address");
         let mut near = TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
@@ -118,7 +118,7 @@
         let mut far = TcpStream::from(fd);
         far.write_all(b"x").expect("it is open");
         let mut byte = [0];
-        near.read_exact(&mut byte).expect("and goes to the same place");
+        near.read_exact(&mut byte).expect("it belongs to the same connection");
         assert!(matches!(there.receive(10, timeout), Ok(Received::Packet(packet, None)) if packet == b"two"));
         assert!(matches!(there.receive(10, Duration::ZERO), Ok(Received::TimedOut)));
         here.send(&[0; 11], None).expect("sent");
--- a/crates/front/src/control.rs
+++ b/crates/front/src/control.rs
@@ -56,13 +56,13 @@
         for stream in listener.incoming().flatten() {
             if open_connections.fetch_add(1, Ordering::AcqRel) >= MAX_CONNECTIONS {
                 open_connections.fetch_sub(1, Ordering::AcqRel);
-                let _ = (&stream).write_all(&frame(&fault("too many ask at a time")));
+                let _ = (&stream).write_all(&frame(&fault("too many connections to the control socket")));
                 continue;
             }
             let (control, open_connections, log) = (control.clone(), open_connections.clone(), log.clone());
             std::thread::spawn(move || {
                 if let Err(why) = control.handle(stream) {
-                    slog::debug!(log, "the control socket was misused"; "why" => why);
+                    slog::debug!(log, "control connection failed"; "why" => why);
                 }
                 open_connections.fetch_sub(1, Ordering::AcqRel);
             });
@@ -115,13 +115,16 @@
                         reply,
                     },
                 );
-                let mut status = response.recv_timeout(TIMEOUT).map_err(|_| "the desk is late".to_owned())?;
+                let mut status = response
+                    .recv_timeout(TIMEOUT)
+                    .map_err(|_| "the dispatcher did not answer in time".to_owned())?;
                 status["counters"] = counters(&self.counters.to_string());
                 status["pid"] = std::process::id().into();
                 Ok(status)
             }
             Some(what @ ("move" | "cancel")) if self.fleet_tasks => {
-                let membership = self.membership.as_ref().ok_or("fellows are off: the log says why")?;
+                let membership =
+                    self.membership.as_ref().ok_or("membership is off: the log has the reason")?;
                 let (reply, response) = sync_channel(1);
                 let successor = request["to"].as_str().map(str::to_owned);
                 self.send_to_membership(
@@ -135,7 +138,7 @@
                 );
                 let answer = response
                     .recv_timeout(HOLD_TIMEOUT)
-                    .map_err(|_| "not all fronts hold yet: see fleet duties")?;
+                    .map_err(|_| "not all fronts hold writes yet: see fleet duties")?;
                 answer.map(Value::from)
             }
             Some("roll") => {
@@ -149,17 +152,20 @@
                     membership,
                     MembershipMessage::RollingUpgrade { program, at_once, cancel, reply },
                 );
-                let answer = response.recv_timeout(TIMEOUT).map_err(|_| "it has no socket yet".to_owned())?;
+                let answer =
+                    response.recv_timeout(TIMEOUT).map_err(|_| "membership has no socket yet".to_owned())?;
                 answer.map(Value::from)
             }
             Some("duties") => {
-                let membership =
-                    self.membership.as_ref().ok_or("fellows are off: see fellows in the operators' file")?;
+                let membership = self
+                    .membership
+                    .as_ref()
+                    .ok_or("membership is off: see fellows in the operators' file")?;
                 let (reply, response) = sync_channel(1);
                 self.send_to_membership(membership, MembershipMessage::FleetTasks(reply));
                 let tasks = response
                     .recv_timeout(TIMEOUT)
-                    .map_err(|_| "it has no socket yet: its address may be taken".to_owned())?;
+                    .map_err(|_| "membership has no socket yet: its address may be in use".to_owned())?;
                 if tasks["off"] == true { Err(membership::TASKS_OFF.to_owned()) } else { Ok(tasks) }
             }
             Some(what @ ("move" | "cancel")) => {
@@ -172,17 +178,21 @@
                     reply,
                 };
                 self.clock.post(&self.dispatcher, change);
-                let answer = response.recv_timeout(TIMEOUT).map_err(|_| "the desk is late".to_owned())?;
+                let answer = response
+                    .recv_timeout(TIMEOUT)
+                    .map_err(|_| "the dispatcher did not answer in time".to_owned())?;
                 answer.map(Value::from)
             }
             Some("fleet") => {
-                let membership =
-                    self.membership.as_ref().ok_or("fellows are off: see fellows in the operators' file")?;
+                let membership = self
+                    .membership
+                    .as_ref()
+                    .ok_or("membership is off: see fellows in the operators' file")?;
                 let (reply, response) = sync_channel(1);
                 self.send_to_membership(membership, MembershipMessage::Status(reply));
                 response
                     .recv_timeout(TIMEOUT)
-                    .map_err(|_| "it has no socket yet: its address may be taken".to_owned())
+                    .map_err(|_| "membership has no socket yet: its address may be in use".to_owned())
             }
             Some("upgrade") => (self.upgrade)(request["program"].as_str()).map(|pid| json!({ "pid": pid })),
             Some(unknown) => Err(format!(
@@ -212,11 +222,11 @@
     loop {
         if let Some(answer) = frames.whole()? {
             let good = answer["ok"].as_bool() == Some(true);
-            let why = answer["why"].as_str().unwrap_or("the front said no");
+            let why = answer["why"].as_str().unwrap_or("the front refused the request");
             return if good { Ok(answer["is"].clone()) } else { Err(why.to_owned()) };
         }
         match stream.read(&mut buffer).map_err(failed)? {
-            0 => return Err("the front ended without an answer".to_owned()),
+            0 => return Err("the front closed the connection without an answer".to_owned()),
             n => frames.take(&buffer[..n]),
         }
     }
--- a/crates/front/src/migrate.rs
+++ b/crates/front/src/migrate.rs
@@ -21,7 +21,7 @@
         if let (Ok(a), Ok(b)) = (fs::metadata(old), fs::metadata(output))
             && same(a, b)
         {
-            return Err(format!("{}: expected another file than the old one", output.display()));
+            return Err(format!("{}: expected a file other than the old one", output.display()));
         }
         let text = format!("{:#}\n", migrated.file);
         write(output, text.as_bytes(), force).map_err(|why| format!("{}: {why}", output.display()))?;
@@ -41,7 +41,7 @@
     let name = output.file_name().ok_or("expected the path of a file")?.to_string_lossy();
     let temporary = output.with_file_name(format!(".{name}.{}", std::process::id()));
     atomic_file::write(output, &temporary, bytes, force).map_err(|e| match e.kind() {
-        ErrorKind::AlreadyExists => "is there already; --force replaces it".to_owned(),
+        ErrorKind::AlreadyExists => "file exists already; --force replaces it".to_owned(),
         _ => e.to_string(),
     })
 }
@@ -57,7 +57,7 @@
     let left_out = |l: &Value| format!("left out   {}: {}", text(&l["field"]), text(&l["why"]));
     lines.extend(each("left_out").iter().map(left_out));
     lines.push(match (&report["written"], report["already"] == json!(true)) {
-        (_, true) => "of the new shape already: nothing is written".to_owned(),
+        (_, true) => "already in the new format: nothing is written".to_owned(),
         (Value::String(path), _) => format!("written to {path}"),
         _ => "nothing is written".to_owned(),
     });
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -42,8 +42,9 @@
     settings.check()?;
     let Some(fellows_config) = config.and_then(|config| config.fellows.as_ref()) else { return Ok(()) };
     membership::read_keys(&fellows_config.keys)?;
-    let (listen, peers) =
-        settings.peer_addresses()?.ok_or("fellows: the settings do not allow fronts to speak")?;
+    let (listen, peers) = settings
+        .peer_addresses()?
+        .ok_or("fellows: communication between fronts is disabled by Bounds.Peers")?;
     peers.into_iter().collect::<Result<Vec<_>, _>>()?;
     // A running front occupies its own address; any other process that occupies it is a fault.
     let free = std::net::UdpSocket::bind(listen);
@@ -65,10 +66,11 @@
     log: &slog::Logger,
 ) -> Result<membership::Handle, String> {
     let keys = membership::read_keys(&fellows_config.keys)?;
-    let (listen, peers) = settings.peer_addresses()?.ok_or("the settings do not allow fronts to speak")?;
+    let (listen, peers) =
+        settings.peer_addresses()?.ok_or("communication between fronts is disabled by Bounds.Peers")?;
     // A name that can't be resolved only excludes that peer.
     let with_address = |peer: Result<_, String>| {
-        peer.map_err(|why| slog::error!(log, "a fellow has no address"; "why" => why)).ok()
+        peer.map_err(|why| slog::error!(log, "peer without address"; "why" => why)).ok()
     };
     let peers = peers.into_iter().map(with_address).collect();
     let (me, _) = settings.front_index()?;
@@ -164,7 +166,7 @@
     )?;
     match known_list {
         Ok(list) => drop(dispatcher_tx.send(DispatcherMessage::List(list))),
-        Err(why) => slog::warn!(log, "no list is known yet"; "why" => why),
+        Err(why) => slog::warn!(log, "no server list known yet"; "why" => why),
     }
     // A snapshot received from the old process is newer than any file.
     let snapshot_config = config.snapshot.as_ref().filter(|_| target.is_none());
@@ -249,7 +251,7 @@
     // Has an effect only if a supervisor has set NOTIFY_SOCKET.
     let states = [NotifyState::MainPid(std::process::id()), NotifyState::Ready];
     if let Err(why) = sd_notify::notify(&states) {
-        slog::warn!(log, "the supervisor was not told"; "why" => %why);
+        slog::warn!(log, "could not notify the supervisor"; "why" => %why);
     }
     slog::info!(log, "serving"; "listen" => %listen, "discovery" => %discovery);
     let current = Mutex::new(config.clone());
@@ -339,7 +341,7 @@
     Arc::new(move |program| {
         let current_program = || std::env::args_os().next().map(PathBuf::from);
         let program = program.map(PathBuf::from).or_else(|| config.program.clone()).or_else(current_program);
-        let program = program.ok_or("the own program is not known: name it")?;
+        let program = program.ok_or("path of the running program unknown: name a program")?;
         if running.swap(true, Ordering::AcqRel) {
             return Err("an upgrade is under way".to_owned());
         }
@@ -363,7 +365,7 @@
         if program.is_none_or(|program| in_known_folder(Path::new(program), &known)) {
             upgrade(program)
         } else {
-            Err("a roll may name a program only beside the one that runs, or the one of upgrade.program"
+            Err("a rolling upgrade may only name a program in the folder of the running one or of upgrade.program"
                 .to_owned())
         }
     })
--- a/crates/front/src/settings.rs
+++ b/crates/front/src/settings.rs
@@ -64,7 +64,7 @@
 
     /// Wraps a configuration that was not read from a file.
     pub fn from_json(json: Value) -> Settings {
-        Settings { path: String::new(), json, known_list: Err("none is told".to_owned()) }
+        Settings { path: String::new(), json, known_list: Err("no server list configured".to_owned()) }
     }
 
     /// Validates every setting and limit that the front reads; addresses may still come from the environment.
@@ -92,7 +92,7 @@
 
     /// Returns the seed for random decisions.
     pub fn seed(&self) -> Result<u64, String> {
-        let seed = self.json["seed"].as_str().ok_or("expected a text in seed of GW_CONFIG")?;
+        let seed = self.json["seed"].as_str().ok_or("expected a string in seed of GW_CONFIG")?;
         u64::from_str_radix(seed, 16).map_err(|_| format!("seed: expected hex digits, found {seed:?}"))
     }
 
@@ -139,7 +139,7 @@
         let sockets = usize::try_from(sockets).map_err(|e| format!("limits.sockets: {e}"))?;
         let available = sockets
             .checked_sub(RESERVED_DESCRIPTORS)
-            .ok_or_else(|| format!("limits.sockets: expected over {RESERVED_DESCRIPTORS}"))?;
+            .ok_or_else(|| format!("limits.sockets: expected more than {RESERVED_DESCRIPTORS}"))?;
         let refusal_slots = available / 16;
         Ok(Descriptors {
             max_connections: (available - refusal_slots) / 2,
@@ -189,10 +189,10 @@
         }
         let resolve = |field: &str, text: &str| {
             let found = text.to_socket_addrs().map_err(|e| format!("{field}: {text}: {e}"))?.next();
-            found.ok_or_else(|| format!("{field}: {text}: no address"))
+            found.ok_or_else(|| format!("{field}: {text}: no address found"))
         };
         let resolve_field = |field: &str, value: &Value| {
-            let text = value.as_str().ok_or_else(|| format!("expected a text in {field} of GW_CONFIG"))?;
+            let text = value.as_str().ok_or_else(|| format!("expected a string in {field} of GW_CONFIG"))?;
             resolve(field, text)
         };
         let listen = resolve_field("peer_listen", &self.json["peer_listen"])?;
@@ -200,7 +200,7 @@
         let (me, fronts) = self.front_index()?;
         if peers.len() != fronts {
             return Err(format!(
-                "peers: expected {fronts} addresses, as Balancers tells, found {}",
+                "peers: expected {fronts} addresses, as set in Balancers, found {}",
                 peers.len()
             ));
         }
@@ -210,13 +210,13 @@
 
     /// Takes the last known server list out of the configuration.
     pub fn take_known_list(&mut self) -> Result<ServerList, String> {
-        std::mem::replace(&mut self.known_list, Err("it has been taken".to_owned()))
+        std::mem::replace(&mut self.known_list, Err("server list already taken".to_owned()))
     }
 
     /// Reads the file again. Returns the address of discovery, and which other fields differ from those at the start.
     pub fn reread(&self) -> Result<(SocketAddr, Vec<&'static str>), String> {
         let new = read_without_list(&self.path)?;
-        let discovery = new["discovery"].as_str().ok_or("expected a text in discovery of GW_CONFIG")?;
+        let discovery = new["discovery"].as_str().ok_or("expected a string in discovery of GW_CONFIG")?;
         let discovery = parse_address("discovery", discovery)?;
         let others = ["name", "listen", "limits", "peer_listen", "peers", "peers_all", "settings"];
         Ok((discovery, others.into_iter().filter(|field| new[field] != self.json[field]).collect()))
--- a/crates/front/src/signals.rs
+++ b/crates/front/src/signals.rs
@@ -71,23 +71,23 @@
     match reload_operator_config() {
         Ok(changed) if changed.is_empty() => {}
         Ok(changed) => {
-            slog::warn!(log, "a change that counts from the next start only"; "in" => changed.join(", "));
+            slog::warn!(log, "configuration change takes effect only at the next start"; "in" => changed.join(", "));
         }
         Err(why) => {
             counters.reloads_failed.add();
-            slog::error!(log, "the operators' file stays as it is"; "why" => why);
+            slog::error!(log, "could not reload the operators' file; keeping the current one"; "why" => why);
         }
     }
     match settings.reread() {
         Ok((address, changed)) => {
             clock.post(discovery, DiscoveryMessage::SetAddress(address));
             if !changed.is_empty() {
-                slog::warn!(log, "a change that counts from the next start only"; "in" => changed.join(", "));
+                slog::warn!(log, "configuration change takes effect only at the next start"; "in" => changed.join(", "));
             }
         }
         Err(why) => {
             counters.reloads_failed.add();
-            slog::error!(log, "the configuration stays as it is"; "why" => why);
+            slog::error!(log, "could not reload the configuration; keeping the current one"; "why" => why);
         }
     }
 }
--- a/crates/front/src/snapshot_file.rs
+++ b/crates/front/src/snapshot_file.rs
@@ -37,7 +37,7 @@
         Ok(bytes) => Some(bytes),
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => None,
         Err(e) => {
-            slog::warn!(log, "a snapshot is refused"; "why" => format!("{}: {e}", path.display()));
+            slog::warn!(log, "could not read the snapshot"; "why" => format!("{}: {e}", path.display()));
             None
         }
     }
--- a/crates/front/src/upgrade.rs
+++ b/crates/front/src/upgrade.rs
@@ -72,7 +72,7 @@
         Ok(started) => started,
         Err(why) => return drop(result_tx.try_send(Err(why))),
     };
-    slog::info!(log, "an upgrade begins"; "program" => %program.display(), "pid" => child.id());
+    slog::info!(log, "upgrade started"; "program" => %program.display(), "pid" => child.id());
     let (transfer_tx, transfer_rx) = channel();
     let state = OldProcess::new(clients.clock.now(), timeouts);
     TransferSource {
@@ -117,7 +117,7 @@
             }
             if let Phase::Aborted(why) = self.state.phase() {
                 // No client is in flight any more.
-                slog::error!(self.log, "an upgrade is undone"; "why" => ?why);
+                slog::error!(self.log, "upgrade aborted"; "why" => ?why);
                 let _ = result_tx.try_send(Err(format!("undone: {why:?}")));
                 return;
             }
@@ -154,7 +154,7 @@
         let snapshot =
             response.recv_timeout(SNAPSHOT_TIMEOUT).map_err(|e| e.to_string()).and_then(|snapshot| snapshot);
         snapshot.unwrap_or_else(|why| {
-            slog::warn!(self.log, "the new process has to learn anew"; "why" => why);
+            slog::warn!(self.log, "no snapshot for the new process; it starts without one"; "why" => why);
             Vec::new()
         })
     }
@@ -206,7 +206,7 @@
                         &self.clients.dispatcher,
                         DispatcherMessage::TransferIdle(self.idle_channel.0.clone()),
                     );
-                    slog::info!(self.log, "handed over"; "clients" => self.in_flight.len(), "pid" => self.child.id());
+                    slog::info!(self.log, "upgrade committed"; "clients" => self.in_flight.len(), "pid" => self.child.id());
                     let _ = result_tx.try_send(Ok(self.child.id()));
                 }
             }
@@ -218,7 +218,7 @@
             }
             Action::Resume => self.resume(),
             Action::Exit => {
-                slog::info!(self.log, "the last client has moved");
+                slog::info!(self.log, "last client transferred");
                 // Ends the usual way; no client is left to wait for.
                 let _ = signal_hook::low_level::raise(signal_hook::consts::SIGTERM);
                 return true;
@@ -257,7 +257,7 @@
             if let Err(why) =
                 spawn("acceptor", CONNECTION_STACK_BYTES, move || clients.accept_until_stopped(&listener))
             {
-                slog::crit!(self.log, "nobody can be taken in any more"; "why" => why);
+                slog::crit!(self.log, "no acceptor: new clients can't be accepted"; "why" => why);
             }
         }
     }
@@ -288,21 +288,21 @@
 impl MessageHandler for TransferTarget {
     fn agreed(&mut self, version: u16) {
         if !self.state.on_version(version) {
-            self.error = Some("no version that both speak");
+            self.error = Some("no common protocol version");
         }
     }
 
     fn memory(&mut self, piece: &[u8]) {
         self.snapshot.extend_from_slice(piece);
         if self.snapshot.len() > juniperdock_snapshot::MAX_SNAPSHOT_BYTES {
-            self.error = Some("what the old process knows is too long");
+            self.error = Some("the snapshot of the old process is too long");
         }
     }
 
     fn listener(&mut self) {
         self.listener = self.descriptor.take().map(TcpListener::from);
         if !self.state.on_listener() || self.listener.is_none() {
-            self.error = Some("no listener came");
+            self.error = Some("listener missing or unexpected");
         }
     }
 
@@ -313,7 +313,7 @@
     fn client(&mut self, number: u64, open: bool, skipping: bool) {
         let unread = std::mem::take(&mut self.unread);
         let (Some(fd), Some(_)) = (self.descriptor.take(), self.state.on_client()) else {
-            self.error = Some("a client came out of turn");
+            self.error = Some("unexpected client");
             return;
         };
         self.received_clients.push(ReceivedClient { stream: TcpStream::from(fd), unread, open, skipping });
@@ -328,12 +328,12 @@
 
     fn commit(&mut self) {
         if !self.state.on_commit() {
-            self.error = Some("a commit came out of turn");
+            self.error = Some("unexpected commit");
         }
     }
 
     fn nonsense(&mut self) {
-        self.error = Some("what came can't be read");
+        self.error = Some("malformed message");
     }
 }
 
@@ -368,7 +368,7 @@
         while self.state.stage() != stage {
             self.receive_message(MESSAGE_TIMEOUT.saturating_sub(started_at.elapsed()))?;
             if started_at.elapsed() >= MESSAGE_TIMEOUT {
-                return Err("the old process says nothing".to_owned());
+                return Err("no message from the old process in time".to_owned());
             }
         }
         Ok(())
@@ -383,19 +383,19 @@
             Received::TimedOut => {}
             Received::Closed => {
                 if !self.state.on_disconnected() {
-                    return Err("the old process goes on without this one".to_owned());
+                    return Err("the old process continues without this one".to_owned());
                 }
-                return Err("the old process has ended".to_owned());
+                return Err("the old process has exited".to_owned());
             }
         }
-        self.error.map_or(Ok(()), |why| Err(format!("the hand-over: {why}")))
+        self.error.map_or(Ok(()), |why| Err(format!("hot restart: {why}")))
     }
 
     /// Reports that this process is ready to serve, and waits for the listener.
     pub fn receive_listener(&mut self) -> Result<TcpListener, String> {
         self.socket.send(&message::ready(), None)?;
         self.wait_for_stage(Stage::Receiving)?;
-        self.listener.take().ok_or_else(|| "no listener came".to_owned())
+        self.listener.take().ok_or_else(|| "no listener received".to_owned())
     }
 
     /// Collects clients and connections until the commit, then serves them. Clients that were busy follow on a thread.
--- a/crates/front/tests/cluster/mod.rs
+++ b/crates/front/tests/cluster/mod.rs
@@ -40,7 +40,7 @@
 
     /// Waits for the next txn that a member receives.
     pub fn next_txn(&self, member: usize) -> String {
-        self.members[member].seen.recv_timeout(PATIENCE).expect("a txn goes there")
+        self.members[member].seen.recv_timeout(PATIENCE).expect("the member receives a txn")
     }
 
     pub fn received_nothing(&self, member: usize) -> bool {
@@ -52,7 +52,7 @@
 pub fn wait_until(mut condition: impl FnMut() -> bool) {
     let started_at = Instant::now();
     while !condition() {
-        assert!(started_at.elapsed() < PATIENCE, "it does not come about");
+        assert!(started_at.elapsed() < PATIENCE, "the condition did not become true in time");
         std::thread::sleep(std::time::Duration::from_millis(1));
     }
 }
--- a/crates/front/tests/migrate.rs
+++ b/crates/front/tests/migrate.rs
@@ -82,7 +82,7 @@
     ] {
         assert!(stderr_text.lines().any(|l| l == line), "{line} in {stderr_text}");
     }
-    assert_eq!(workspace.text("old.json"), old(&server_list), "the old file stays as it is");
+    assert_eq!(workspace.text("old.json"), old(&server_list), "the old file is not modified");
     let at = address();
     let check = Command::new(PROGRAM)
         .arg("check")
@@ -123,7 +123,7 @@
     let again = workspace.run(&["migrate", "new.json", "--output", "newer.json"]);
     assert!(again.status.success() && stderr(&again).contains("already"), "{}", stderr(&again));
     assert_eq!((workspace.text("new.json"), workspace.at("newer.json").exists()), (written, false));
-    assert_eq!(workspace.files(), ["new.json", "old.json", "same.json"], "no draft is left behind");
+    assert_eq!(workspace.files(), ["new.json", "old.json", "same.json"], "no temporary file is left behind");
 }
 
 #[test]
--- a/crates/front/tests/upgrade.rs
+++ b/crates/front/tests/upgrade.rs
@@ -18,16 +18,16 @@
         std::process::exit(i32::from(!upgrade::successor(how)));
     }
     let scenarios: [(&str, fn()); 10] = [
-        ("the operators' commands say what stands and what is wrong", commands),
-        ("whatever comes in at the control socket disturbs nothing", control),
-        ("a snapshot is taken up at the next start and a bad one refused", snapshot),
-        ("a busy client follows once it has its answer", busy),
-        ("a successor that dies right after the commit leaves the old one serving", after_commit),
-        ("a second upgrade, SIGHUP and SIGTERM come in the middle of one", in_the_middle),
-        ("a successor that runs out of descriptors changes nothing", out_of_descriptors),
-        ("an old process killed at any point leaves one that serves, or none", old_killed),
-        ("a change of primaries is ordered and called off", change),
-        ("upgrades under load lose nothing, whichever starts fail", load),
+        ("operator commands report state and errors", commands),
+        ("malformed input on the control socket does not disturb the front", control),
+        ("a valid snapshot is restored at the next start and an invalid one rejected", snapshot),
+        ("a busy client is transferred once it has its answer", busy),
+        ("the old process continues to serve if the new one dies right after the commit", after_commit),
+        ("a second upgrade, SIGHUP and SIGTERM are handled during an upgrade", in_the_middle),
+        ("an upgrade to a process that runs out of descriptors changes nothing", out_of_descriptors),
+        ("after the old process is killed during an upgrade, the new one serves or exits", old_killed),
+        ("a planned change of a primary is performed and another one canceled", change),
+        ("upgrades under load lose no request, even if some starts fail", load),
     ];
     for (name, scenario) in scenarios {
         let started_at = Instant::now();
@@ -91,7 +91,7 @@
 fn wait_until(mut condition: impl FnMut() -> bool) {
     let started_at = Instant::now();
     while !condition() {
-        assert!(started_at.elapsed() < PATIENCE, "it does not come about");
+        assert!(started_at.elapsed() < PATIENCE, "the condition did not become true in time");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
@@ -168,14 +168,14 @@
     let good = std::fs::read(&file).expect("a snapshot");
     for (bytes, expected_log) in [
         (good.clone(), "a snapshot is taken up"),
-        (good[..good.len() - 3].to_vec(), "cut"),
-        (good.iter().rev().copied().collect(), "foreign"),
-        (b"".to_vec(), "cut inside its head"),
+        (good[..good.len() - 3].to_vec(), "truncated or too long"),
+        (good.iter().rev().copied().collect(), "not a snapshot file"),
+        (b"".to_vec(), "truncated header"),
     ] {
         std::fs::write(&file, &bytes).expect("a file");
         let front = start();
         let reply = front.client().ask(&txn("order", 2000, "next"));
-        assert!(reply.value.is_some(), "{expected_log}: it serves all the same: {reply:?}");
+        assert!(reply.value.is_some(), "{expected_log}: the front serves with any snapshot: {reply:?}");
         front.signal("-TERM");
         let (clean_exit, text) = front.end();
         assert!(clean_exit && text.contains(expected_log), "{expected_log}: {text}");
@@ -202,7 +202,7 @@
     assert!(cluster.command(&["status"]).0);
     wait_until(|| cluster.serving_pid() != old);
     std::io::Write::write_all(&mut half.stream, &statement[20..]).expect("sent");
-    assert!(half.reply().value.is_some(), "its half statement came along");
+    assert!(half.reply().value.is_some(), "the received half of the statement was transferred");
     assert!(idle.ask(&txn("order", 2000, "idle")).value.is_some());
     // The busy client gets its one answer from the old process, and continues with the new one.
     assert_eq!(busy.reply().code.as_deref(), Some("40003"));
@@ -231,8 +231,8 @@
     let mut client = cluster.front.client();
     assert!(client.ask(&txn("order", 2000, "first")).value.is_some());
     let program = failing_successor(&cluster, "commit");
-    assert!(cluster.command(&["upgrade", "--program", &program]).0, "it had committed");
-    assert_eq!(client.reply().last, 0, "who was handed over has to come again");
+    assert!(cluster.command(&["upgrade", "--program", &program]).0, "the upgrade was committed");
+    assert_eq!(client.reply().last, 0, "a transferred client is disconnected and has to reconnect");
     assert!(cluster.front.client().ask(&txn("order", 2000, "again")).value.is_some());
     assert_eq!(cluster.serving_pid(), old);
     // The next upgrade succeeds, and hundreds of pipelined statements are transferred with their client.
@@ -268,9 +268,9 @@
     std::fs::write(&charter, text).expect("a file");
     cluster.front.signal("-HUP");
     wait_until(|| cluster.command(&["--json", "status"]).1.contains("\"reloads\":1"));
-    assert!(client.ask(&txn("order", 2000, "next")).value.is_some(), "served all the while");
+    assert!(client.ask(&txn("order", 2000, "next")).value.is_some(), "served throughout the upgrade");
     cluster.front.signal("-TERM");
-    assert_eq!(client.reply().last, 0, "it ends as ever");
+    assert_eq!(client.reply().last, 0, "clients are disconnected as in any shutdown");
     let _ = first.wait();
     wait_until(|| zombie(&cluster.front.id().to_string()));
 }
@@ -299,7 +299,7 @@
     for (i, client) in clients.iter_mut().enumerate() {
         assert!(
             client.ask(&txn("lookup", 5000, &format!("c{i}"))).value.is_some(),
-            "client {i} is served on"
+            "client {i} is still served"
         );
     }
     assert!(cluster.command(&["upgrade"]).0, "the next one succeeds");
@@ -331,7 +331,10 @@
         wait_until(|| exited() || Client::open(cluster.front.at).is_some());
         if !exited() {
             let reply = cluster.front.client().ask(&txn("order", 5000, "after"));
-            assert!(reply.value.is_some(), "killed after {wait} ms: who stays serves: {reply:?}");
+            assert!(
+                reply.value.is_some(),
+                "old process killed after {wait} ms: the remaining one serves: {reply:?}"
+            );
             let _ = Command::new("kill").args(["-KILL", &next]).status();
         }
     }
--- a/crates/hot-restart/tests/scenarios.rs
+++ b/crates/hot-restart/tests/scenarios.rs
@@ -51,7 +51,7 @@
     assert!(actions_at(&mut old_process, 300).is_empty());
     assert!(
         actions_at(&mut old_process, 60_000).is_empty(),
-        "the other serves: a slow word takes nothing back"
+        "after the commit a late confirmation takes nothing back"
     );
     old_process.on_received(4);
     old_process.set_remaining(0);
@@ -71,7 +71,7 @@
         old_process.on_received(client);
         assert!(
             actions_at(&mut old_process, 100 + 20 * client).is_empty(),
-            "as long as they come, the busy ones stay"
+            "busy clients stay while idle ones are being sent"
         );
     }
     assert!(actions_at(&mut old_process, 289).is_empty());
@@ -263,13 +263,13 @@
                 match step {
                     Action::Commit => committed = true,
                     Action::Release(client) => {
-                        prop_assert!(committed && taken.contains(&client), "{client} released to nobody");
+                        prop_assert!(committed && taken.contains(&client), "client {client} released before the commit or before it was received");
                         let at = in_flight.iter().position(|&c| c == client);
-                        prop_assert!(at.map(|at| in_flight.remove(at)).is_some(), "twice");
+                        prop_assert!(at.map(|at| in_flight.remove(at)).is_some(), "client {client} released or kept twice");
                     }
                     Action::Keep(client) => {
                         let at = in_flight.iter().position(|&c| c == client);
-                        prop_assert!(at.map(|at| in_flight.remove(at)).is_some(), "twice");
+                        prop_assert!(at.map(|at| in_flight.remove(at)).is_some(), "client {client} released or kept twice");
                     }
                     Action::Exit => prop_assert!(in_flight.is_empty()),
                     Action::SendVersion(_) | Action::SendListener | Action::TransferAll | Action::Resume => {}
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -118,14 +118,14 @@
 ///
 /// let bytes = encode(&Snapshot::default()).unwrap();
 /// assert_eq!(decode(&bytes), Ok(Snapshot::default()));
-/// assert!(decode(&bytes[..bytes.len() - 1]).unwrap_err().contains("cut"));
+/// assert!(decode(&bytes[..bytes.len() - 1]).unwrap_err().contains("truncated"));
 /// ```
 pub fn decode(bytes: &[u8]) -> Result<Snapshot, String> {
     let Some((header, body)) = bytes.split_at_checked(HEADER_LEN) else {
-        return Err("snapshot: cut inside its head".to_owned());
+        return Err("snapshot: truncated header".to_owned());
     };
     if header[..4] != MAGIC {
-        return Err("snapshot: foreign, its mark is missing".to_owned());
+        return Err("snapshot: magic bytes missing, this is not a snapshot file".to_owned());
     }
     let version = u16::from_be_bytes([header[4], header[5]]);
     if ![VERSION, VERSION_WITHOUT_MACHINE_TIME].contains(&version) {
@@ -133,17 +133,21 @@
     }
     let field = |at: usize| u32::from_be_bytes([header[at], header[at + 1], header[at + 2], header[at + 3]]);
     if body.len() != field(6) as usize {
-        return Err(format!("snapshot: cut, expected {} bytes, found {}", field(6), body.len()));
+        return Err(format!(
+            "snapshot: truncated or too long: expected {} bytes, found {}",
+            field(6),
+            body.len()
+        ));
     }
     if crc32fast::hash(body) != field(10) {
-        return Err("snapshot: spoilt, its checksum is another".to_owned());
+        return Err("snapshot: corrupted, checksum mismatch".to_owned());
     }
     let absent_machine_time: &[u8] = if version == VERSION_WITHOUT_MACHINE_TIME { &[0] } else { &[] };
     let body = [body, absent_machine_time].concat();
     let (snapshot, rest) =
         postcard::take_from_bytes::<Snapshot>(&body).map_err(|e| format!("snapshot: {e}"))?;
     if !rest.is_empty() {
-        return Err("snapshot: more behind its end".to_owned());
+        return Err("snapshot: unexpected bytes after its end".to_owned());
     }
     snapshot.check().map(|()| snapshot)
 }
@@ -157,7 +161,7 @@
         if self.members.iter().all(member) && self.types.iter().all(txn_type) {
             return Ok(());
         }
-        Err("snapshot: a number or a name in it is none".to_owned())
+        Err("snapshot: invalid number or empty name".to_owned())
     }
 
     /// Returns the age of the snapshot, or the reason why it can't be used. `now` is in microseconds since 1970, `here`
@@ -166,11 +170,15 @@
         let by_machine = here.zip(self.machine_time.as_ref()).and_then(|(here, taken)| here.since(taken));
         let age = by_machine.unwrap_or_else(|| now.saturating_sub(self.taken));
         if age < -(MAX_CLOCK_SKEW.as_micros() as i64) {
-            return Err(format!("snapshot: from the future by {} ms, was the clock set back?", -age / 1000));
+            return Err(format!("snapshot: {} ms in the future; was the clock set back?", -age / 1000));
         }
         let age = Duration::from_micros(age.max(0) as u64);
         if age > MAX_AGE {
-            return Err(format!("snapshot: {} s old, at most {} s count", age.as_secs(), MAX_AGE.as_secs()));
+            return Err(format!(
+                "snapshot: {} s old, expected at most {} s",
+                age.as_secs(),
+                MAX_AGE.as_secs()
+            ));
         }
         Ok(age)
     }
--- a/crates/snapshot/tests/codec.rs
+++ b/crates/snapshot/tests/codec.rs
@@ -56,7 +56,7 @@
         at in any::<prop::sample::Index>(),
         flip in 1..=255u8,
     ) {
-        let bytes = encode(&snapshot).expect("it is short");
+        let bytes = encode(&snapshot).expect("below the size limit");
         prop_assert_eq!(decode(&bytes), Ok(snapshot));
         let at = at.index(bytes.len());
         let mut flipped = bytes.clone();
@@ -75,7 +75,7 @@
         let body = [&b"JDSN\0"[..], &[version], &(bytes.len() as u32).to_be_bytes()].concat();
         let all = [&body[..], &crc32fast::hash(&bytes).to_be_bytes(), &bytes].concat();
         if let Ok(snapshot) = decode(&all) {
-            let encoded_again = encode(&snapshot).expect("it is short");
+            let encoded_again = encode(&snapshot).expect("below the size limit");
             prop_assert_eq!(decode(&encoded_again), Ok(snapshot));
         }
         }
@@ -84,8 +84,9 @@
 
 #[test]
 fn wrong_age_version_or_format_is_rejected_with_its_reason() {
-    let bytes = encode(&Snapshot { taken: 1_000_000_000, ..Snapshot::default() }).expect("it is short");
-    let snapshot = decode(&bytes).expect("a snapshot");
+    let bytes =
+        encode(&Snapshot { taken: 1_000_000_000, ..Snapshot::default() }).expect("below the size limit");
+    let snapshot = decode(&bytes).expect("a valid snapshot");
     let seconds = |s: i64| 1_000_000_000 + s * 1_000_000;
     assert!(snapshot.age(seconds(5), None).is_ok_and(|age| age.as_secs() == 5));
     assert!(snapshot.age(seconds(-60), None).is_err_and(|why| why.contains("set back")));
@@ -93,12 +94,12 @@
     let mut other = bytes.clone();
     other[5] = 9;
     assert!(decode(&other).is_err_and(|why| why.contains("version")));
-    assert!(decode(b"GIF89a and so on").is_err_and(|why| why.contains("foreign")));
+    assert!(decode(b"GIF89a and so on").is_err_and(|why| why.contains("not a snapshot")));
     let bad = Snapshot {
         types: vec![TxnTypeRecord { name: "a".into(), typical: f64::NAN, usual: 0.0 }],
         ..snapshot
     };
-    assert!(decode(&encode(&bad).expect("it is short")).is_err_and(|why| why.contains("number")));
+    assert!(decode(&encode(&bad).expect("below the size limit")).is_err_and(|why| why.contains("number")));
     assert!(schema()["properties"]["members"].is_object());
 }
 
@@ -135,7 +136,7 @@
 #[test]
 fn version_1_without_machine_time_is_still_read() {
     let snapshot = Snapshot { taken: 77, ..Snapshot::default() };
-    let now = encode(&snapshot).expect("it is short");
+    let now = encode(&snapshot).expect("below the size limit");
     let (body, mut before) = (&now[14..now.len() - 1], now[..14].to_vec());
     before[4..6].copy_from_slice(&1u16.to_be_bytes());
     before[6..10].copy_from_slice(&(body.len() as u32).to_be_bytes());
