--- a/crates/front/src/control.rs
+++ b/crates/front/src/control.rs
@@ -77,6 +77,7 @@
         self.clock.run_at(Duration::ZERO, move || membership.send(message));
     }
 
+    /// Answers the requests of one connection until it closes, fails or times out.
     fn handle(&self, mut stream: UnixStream) -> Result<(), String> {
         let failed = |e: std::io::Error| e.to_string();
         stream.set_read_timeout(Some(TIMEOUT)).map_err(failed)?;
