--- a/crates/front/src/fleet_tasks.rs
+++ b/crates/front/src/fleet_tasks.rs
@@ -8,7 +8,7 @@
     Act, HoldStep, Move, Outcome, ProbeRole, ROLL, SHARDS, care, cared, hold, moved, moving, name,
 };
 use juniperdock_fleet_tasks::{Roll, RollStep, Rolling, Sees, Serves, release, say, step, words};
-use juniperdock_lease::{Event, FleetView, Host, LeaseManager, TaskId, order};
+use juniperdock_lease::{Event, FleetView, Host, LeaseManager, TaskId, preferred_owners};
 use juniperdock_membership::{Connectivity, Liveness, Membership};
 use may::sync::mpsc::Sender;
 use serde_json::{Value, json};
@@ -108,10 +108,10 @@
                 self.counters.duties_taken.add();
                 slog::info!(self.log, "duty taken"; "duty" => name(duty), "term" => term);
             }
-            Event::Gave(duty, term) => {
+            Event::Released(duty, term) => {
                 slog::info!(self.log, "duty given back"; "duty" => name(duty), "term" => term);
             }
-            Event::Lapsed(duty, term) => {
+            Event::Expired(duty, term) => {
                 self.counters.duties_lost.add();
                 slog::warn!(self.log, "duty lost"; "duty" => name(duty), "term" => term);
             }
@@ -187,7 +187,7 @@
     /// When [`Duties::turn`] is to be called next.
     pub fn next(&self) -> Duration {
         let moves = self.moves.values().filter_map(|(m, _)| m.next()).min();
-        self.office.next().min(self.cares).min(moves.unwrap_or(Duration::MAX))
+        self.office.next_timeout().min(self.cares).min(moves.unwrap_or(Duration::MAX))
     }
 
     /// A body has come from a front.
@@ -226,7 +226,7 @@
                 let duty = care(shard as u64);
                 if self.office.held_term(now, duty).is_some() {
                     *asks = ProbeRole::Owner;
-                } else if order(duty, &present, 2).contains(&me) {
+                } else if preferred_owners(duty, &present, 2).contains(&me) {
                     *asks = ProbeRole::Beside;
                 }
             }
@@ -328,12 +328,12 @@
             }
             return Ok("this front owns it: see fleet duties".to_owned());
         }
-        let stands = self.office.stands(now).into_iter().find(|stands| stands.duty == ROLL);
+        let stands = self.office.statuses(now).into_iter().find(|stands| stands.task == ROLL);
         let owner =
             stands.and_then(|stands| stands.owner).ok_or("no front owns the roll: see fleet status")?;
         let mut payload = vec![if off { OFF } else { BEGIN }];
         payload.extend(roll.bytes());
-        self.office.tell(ROLL, &[owner], &payload, ways!(self, core, hands));
+        self.office.announce(ROLL, &[owner], &payload, ways!(self, core, hands));
         Ok(format!("front {owner} owns it and was told: see fleet duties"))
     }
 
@@ -385,7 +385,7 @@
             if let Some(owner) = self.office.owner(now, ROLL).filter(|_| untold) {
                 self.spoken = now;
                 let payload = [&[STATE][..], &self.roll.bytes()].concat();
-                self.office.tell(ROLL, &[owner], &payload, ways!(self, core, hands));
+                self.office.announce(ROLL, &[owner], &payload, ways!(self, core, hands));
             }
             return;
         };
@@ -511,7 +511,7 @@
                 Some(term) => {
                     self.office.send_effect(clock, duty, term, &others, &piece, ways!(self, core, hands));
                 }
-                None => self.office.tell(duty, &others, &piece, ways!(self, core, hands)),
+                None => self.office.announce(duty, &others, &piece, ways!(self, core, hands)),
             }
         }
     }
@@ -541,7 +541,7 @@
         } else if self.moves.contains_key(&group) || self.orders.contains_key(&group) {
             Err(format!("a change of group {group} is under way"))
         } else {
-            self.office.order(now, duty, true);
+            self.office.set_wanted(now, duty, true);
             self.orders.insert(group, Order { successor, since: now, tell });
             return;
         };
@@ -563,7 +563,7 @@
                 slog::info!(self.log, "move begins"; "group" => group, "term" => term, "fronts" => present.len());
                 self.moves.insert(group, (m, Some(tell)));
             } else {
-                self.office.order(now, moving(group), false);
+                self.office.set_wanted(now, moving(group), false);
                 let why = "no majority of the fronts lets this one own the change: see fleet status";
                 let _ = tell.try_send(Err(why.to_owned()));
             }
@@ -628,7 +628,7 @@
                 self.look(now, core, hands);
             }
             if m.outcome.is_some() {
-                self.office.order(clock(), duty, false);
+                self.office.set_wanted(clock(), duty, false);
                 self.over.push_back(m);
                 while self.over.len() > TOLD {
                     self.over.pop_front();
@@ -647,18 +647,18 @@
 
     /// What `fleet duties` tells.
     pub fn status(&self, now: Duration) -> Value {
-        let duties = self.office.stands(now).into_iter().map(|stands| {
+        let duties = self.office.statuses(now).into_iter().map(|stands| {
             let until = stands.until.map(|until| until.saturating_sub(now).as_millis() as u64);
-            let mut told = json!({ "duty": name(stands.duty), "term": stands.term, "owner": stands.owner,
-                "until_ms": until, "mine": stands.mine, "effects": stands.effects, "refused_stale": stands.refused });
-            if stands.duty == ROLL && self.roll.number > 0 {
+            let mut told = json!({ "duty": name(stands.task), "term": stands.term, "owner": stands.owner,
+                "until_ms": until, "mine": stands.owned_here, "effects": stands.effects, "refused_stale": stands.refused });
+            if stands.task == ROLL && self.roll.number > 0 {
                 let Roll { number, program, back, under, end, .. } = &self.roll;
                 let end = end.map(|end| format!("{end:?}"));
                 let under: Vec<u16> = under.keys().copied().collect();
                 told["roll"] =
                     json!({ "number": number, "program": program, "back": back, "under": under, "end": end });
             }
-            let its = moved(stands.duty);
+            let its = moved(stands.task);
             let running = its.and_then(|group| self.moves.get(&group)).map(|(m, _)| m);
             if let Some(m) = running.or_else(|| self.over.iter().rev().find(|m| Some(m.group) == its)) {
                 let outcome = m.outcome.map(|outcome| format!("{outcome:?}"));
--- a/crates/lease/src/claim.rs
+++ b/crates/lease/src/claim.rs
@@ -1,70 +1,80 @@
-//! The owner's part: one front's claim on one duty.
+//! The claimant's side: one front's attempt to hold the lease on one task.
 
-use crate::{counted, majority};
+use crate::{majority, usable_duration};
 use std::time::Duration;
 
-/// Terms are told apart by their lowest bits: no two fronts ever ask under the same one.
-const PLACES: u32 = 16;
+/// The low bits of a term hold the front's number, so that no two fronts ever request the same term.
+const FRONT_BITS: u32 = 16;
 
-/// No term that was asked for before a life began is above this: terms begin at lives, and rise more slowly.
-pub(crate) fn floor(life: u32) -> u64 {
-    u64::from(life) << PLACES
+/// No term requested before an incarnation began is above this: terms start from the incarnation and grow more slowly.
+pub(crate) fn term_floor(incarnation: u32) -> u64 {
+    u64::from(incarnation) << FRONT_BITS
 }
 
-/// One front's claim on one duty: a round of questions at a time, and what came of the rounds so far.
+/// One front's claim on one task: one round of requests at a time, and the result of the rounds so far.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Claim {
     front: u16,
-    /// The highest term that was heard of, refused to this front or given up by it: the next one is above it.
-    above: u64,
-    /// The term and number of the round that is out, when it began, and who has granted.
-    asking: u64,
+    /// The highest term that was observed, refused to this front or released by it; the next request goes above it.
+    highest_seen: u64,
+    /// The term and number of the current round, when it began, and which fronts have granted it.
+    requested_term: u64,
     round: u32,
-    asked: Duration,
-    granted: Vec<u16>,
-    /// The term that a majority has granted, and until when it counts.
+    round_started: Duration,
+    granted_by: Vec<u16>,
+    /// The term that a majority has granted, and until when it is valid.
     held: Option<(u64, Duration)>,
 }
 
 impl Claim {
-    /// Terms begin above a front's own life, so that they rise even when nobody remembers any.
-    pub fn new(front: u16, life: u32) -> Claim {
-        let above = floor(life);
-        let (granted, held) = (Vec::new(), None);
-        Claim { front, above, asking: 0, round: 0, asked: Duration::ZERO, granted, held }
+    /// Terms start above the front's own incarnation, so that they rise even if no front remembers any.
+    pub fn new(front: u16, incarnation: u32) -> Claim {
+        let highest_seen = term_floor(incarnation);
+        let (granted_by, held) = (Vec::new(), None);
+        Claim {
+            front,
+            highest_seen,
+            requested_term: 0,
+            round: 0,
+            round_started: Duration::ZERO,
+            granted_by,
+            held,
+        }
     }
 
-    /// Begins a round: gives the term that goes out with the questions. Time counts from here, before any is
-    /// written. `round`: a number that no question of this process had before, of whatever claim: an answer to an
-    /// earlier claim under the same term would count from too late a time.
-    pub fn ask(&mut self, now: Duration, round: u32) -> u64 {
-        self.lapse(now);
-        if self.asking <= self.above {
-            self.asking = ((self.above >> PLACES) + 1) << PLACES | u64::from(self.front);
+    /// Begins a round and returns the term to send with the requests. The lease counts from `now`, before any request
+    /// is written. `round` must be a number that this process has used for no request of any claim: an answer to an
+    /// earlier claim under the same term would otherwise count from too late a time.
+    pub fn start_round(&mut self, now: Duration, round: u32) -> u64 {
+        self.expire(now);
+        if self.requested_term <= self.highest_seen {
+            self.requested_term =
+                ((self.highest_seen >> FRONT_BITS) + 1) << FRONT_BITS | u64::from(self.front);
         }
-        (self.round, self.asked) = (round, now);
-        self.granted.clear();
-        self.asking
+        (self.round, self.round_started) = (round, now);
+        self.granted_by.clear();
+        self.requested_term
     }
 
-    /// One of the tier has granted a round; true if this front holds a term that it did not hold before.
-    pub fn granted(
+    /// Records one front's grant of a round; true if this front now holds a term that it did not hold before.
+    pub fn record_grant(
         &mut self,
         now: Duration,
         from: u16,
         term: u64,
         round: u32,
-        tier: usize,
-        lasts: Duration,
+        cluster_size: usize,
+        lease_duration: Duration,
     ) -> bool {
-        // What comes of an earlier round would count from too late a time.
-        if (term, round) != (self.asking, self.round) || round == 0 || self.granted.contains(&from) {
+        // A grant of an earlier round would count from too late a time.
+        if (term, round) != (self.requested_term, self.round) || round == 0 || self.granted_by.contains(&from)
+        {
             return false;
         }
-        self.granted.push(from);
-        self.granted.sort_unstable();
-        let until = self.asked + counted(lasts);
-        if self.granted.len() < majority(tier) || until <= now {
+        self.granted_by.push(from);
+        self.granted_by.sort_unstable();
+        let until = self.round_started + usable_duration(lease_duration);
+        if self.granted_by.len() < majority(cluster_size) || until <= now {
             return false;
         }
         let before = self.held(now).map(|(term, _)| term);
@@ -72,40 +82,40 @@
         before != Some(term)
     }
 
-    /// Somebody knows a term that is not below this front's: it goes above it.
-    pub fn told(&mut self, newest: u64) {
-        self.above = self.above.max(newest.min(u64::MAX >> 1));
+    /// Another front knows a term that is not below this front's: the next request goes above it.
+    pub fn observe_term(&mut self, newest: u64) {
+        self.highest_seen = self.highest_seen.max(newest.min(u64::MAX >> 1));
     }
 
-    /// The term that it holds now, and until when.
+    /// The term held now, and until when.
     pub fn held(&self, now: Duration) -> Option<(u64, Duration)> {
         self.held.filter(|&(_, until)| now < until)
     }
 
-    /// Notes that its time has run out; gives the term that it held. That one is never asked for again.
-    pub fn lapse(&mut self, now: Duration) -> Option<u64> {
+    /// If the lease has expired, returns the term that was held. That term is never requested again.
+    pub fn expire(&mut self, now: Duration) -> Option<u64> {
         let (term, _) = self.held.take_if(|(_, until)| *until <= now)?;
-        self.above = self.above.max(term);
+        self.highest_seen = self.highest_seen.max(term);
         Some(term)
     }
 
-    /// Holds it no more, by its own will, and asks no more; gives the term to be given back.
-    pub fn give(&mut self) -> u64 {
+    /// Gives up the lease and the current round; returns the term to release at the other fronts.
+    pub fn release(&mut self) -> u64 {
         self.held = None;
-        self.granted.clear();
-        // Grants of the round that is out come too late.
+        self.granted_by.clear();
+        // Grants of the current round no longer count.
         self.round = 0;
-        self.above = self.above.max(self.asking);
-        self.asking
+        self.highest_seen = self.highest_seen.max(self.requested_term);
+        self.requested_term
     }
 
-    /// When the round that is out began.
-    pub fn asked(&self) -> Duration {
-        self.asked
+    /// When the current round began.
+    pub fn round_started(&self) -> Duration {
+        self.round_started
     }
 
-    /// Whether any has granted the round that is out.
-    pub fn partly(&self) -> bool {
-        !self.granted.is_empty()
+    /// Whether any front has granted the current round.
+    pub fn has_grants(&self) -> bool {
+        !self.granted_by.is_empty()
     }
 }
--- a/crates/lease/src/grants.rs
+++ b/crates/lease/src/grants.rs
@@ -1,111 +1,113 @@
-//! The acceptor's part: to whom this front has granted which duty, and until when. Nothing of it is on a disk.
+//! The acceptor's side: which lease this front has granted to whom, and until when. Kept in memory only.
 
 use crate::TaskId;
-use crate::claim::floor;
+use crate::claim::term_floor;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Duties that are remembered at most; others are not granted here.
-const MOST: usize = 4096;
+/// Upper bound on the number of tasks remembered; further tasks are not granted here.
+const MAX_TASKS: usize = 4096;
 
-/// Who holds: a front, in one life of its process.
+/// A lease holder: a front, in one incarnation of its process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Holder {
     pub front: u16,
-    pub life: u32,
+    pub incarnation: u32,
 }
 
-/// What becomes of a question.
+/// The answer to a lease request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Answer {
     Granted,
-    /// The newest term that is known here, and how long another's grant still runs.
+    /// The newest term known here, and how long the grant of another holder still runs.
     Refused {
         newest: u64,
         wait: Duration,
     },
-    /// It has started too lately to know what it granted before.
+    /// This front started too recently to know what it had granted before; no answer is sent.
     Quiet,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Grant {
     term: u64,
-    to: Option<Holder>,
+    holder: Option<Holder>,
     until: Duration,
 }
 
 /// What one front has granted, by its own clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Grants {
-    lasts: Duration,
+    lease_duration: Duration,
     quiet_until: Duration,
-    /// Nothing below this is granted.
-    floor: u64,
-    of: BTreeMap<TaskId, Grant>,
+    /// No term below this is granted.
+    term_floor: u64,
+    by_task: BTreeMap<TaskId, Grant>,
 }
 
 impl Grants {
-    /// One that starts in a life: whatever the process before it granted has run out once it speaks, and terms that
-    /// may have been forgotten with that process are below those that this one grants.
-    pub fn new(now: Duration, lasts: Duration, life: u32) -> Grants {
-        let quiet_until = now + lasts + lasts * 2 / crate::CLOCK_DRIFT_DIVISOR;
-        Grants { lasts, quiet_until, floor: floor(life), of: BTreeMap::new() }
+    /// State of a front that starts in `incarnation`. By the time it answers, every grant of its previous process has
+    /// expired, and terms that were forgotten with that process are below those granted now.
+    pub fn new(now: Duration, lease_duration: Duration, incarnation: u32) -> Grants {
+        let quiet_until = now + lease_duration + lease_duration * 2 / crate::CLOCK_DRIFT_DIVISOR;
+        Grants { lease_duration, quiet_until, term_floor: term_floor(incarnation), by_task: BTreeMap::new() }
     }
 
-    /// A later life of this place was heard of: its terms may be higher.
-    pub fn raise_term_floor(&mut self, life: u32) {
-        self.floor = self.floor.max(floor(life));
+    /// A later incarnation of this front was seen: its terms may be higher.
+    pub fn raise_term_floor(&mut self, incarnation: u32) {
+        self.term_floor = self.term_floor.max(term_floor(incarnation));
     }
 
-    /// Somebody asks for a duty under a term, or for more time.
-    pub fn ask(&mut self, now: Duration, from: Holder, duty: TaskId, term: u64) -> Answer {
-        if now < self.quiet_until || !self.of.contains_key(&duty) && self.of.len() >= MOST {
+    /// Handles a request for a lease or for its renewal.
+    pub fn request(&mut self, now: Duration, from: Holder, task: TaskId, term: u64) -> Answer {
+        if now < self.quiet_until || !self.by_task.contains_key(&task) && self.by_task.len() >= MAX_TASKS {
             return Answer::Quiet;
         }
-        let lasts = self.lasts;
-        // Guards against terms that fall where all who knew the newest have started anew.
-        if term < self.floor {
-            return Answer::Refused { newest: self.floor, wait: Duration::ZERO };
+        let lease_duration = self.lease_duration;
+        // Keeps terms from going back where every front that knew the newest one has restarted.
+        if term < self.term_floor {
+            return Answer::Refused { newest: self.term_floor, wait: Duration::ZERO };
         }
-        let grant = self.of.entry(duty).or_insert(Grant { term: 0, to: None, until: Duration::ZERO });
-        let mine = grant.to == Some(from);
-        // Guards against two at once: what was granted to another runs on.
-        if !mine && grant.to.is_some() && now < grant.until {
+        let grant =
+            self.by_task.entry(task).or_insert(Grant { term: 0, holder: None, until: Duration::ZERO });
+        let is_holder = grant.holder == Some(from);
+        // Keeps two holders from overlapping: a grant to another front runs to its end.
+        if !is_holder && grant.holder.is_some() && now < grant.until {
             return Answer::Refused { newest: grant.term, wait: grant.until - now };
         }
-        // Guards against terms that fall: nobody gets one that is not above all that were granted.
-        if term < grant.term || term == grant.term && !mine {
+        // Keeps terms from going back: a new term must be above all that were granted.
+        if term < grant.term || term == grant.term && !is_holder {
             return Answer::Refused { newest: grant.term, wait: Duration::ZERO };
         }
-        *grant = Grant { term, to: Some(from), until: now + lasts };
+        *grant = Grant { term, holder: Some(from), until: now + lease_duration };
         Answer::Granted
     }
 
-    /// The holder needs it no more. Its term stays the newest.
-    pub fn give(&mut self, from: Holder, duty: TaskId, term: u64) {
-        if let Some(grant) = self.of.get_mut(&duty).filter(|g| g.to == Some(from) && g.term <= term) {
-            grant.to = None;
+    /// The holder releases the lease. Its term stays the newest.
+    pub fn release(&mut self, from: Holder, task: TaskId, term: u64) {
+        if let Some(grant) = self.by_task.get_mut(&task).filter(|g| g.holder == Some(from) && g.term <= term)
+        {
+            grant.holder = None;
         }
     }
 
-    /// The newest term that was granted here, or what is above all that was forgotten.
-    pub fn newest(&self, duty: TaskId) -> u64 {
-        self.of.get(&duty).map_or(0, |grant| grant.term).max(self.floor)
+    /// The newest term granted here, or the bound above all forgotten terms.
+    pub fn newest_term(&self, task: TaskId) -> u64 {
+        self.by_task.get(&task).map_or(0, |grant| grant.term).max(self.term_floor)
     }
 
-    /// Who has it by what was granted here, and until when.
-    pub fn holder(&self, now: Duration, duty: TaskId) -> Option<(Holder, u64, Duration)> {
-        let grant = self.of.get(&duty)?;
-        Some((grant.to.filter(|_| now < grant.until)?, grant.term, grant.until))
+    /// The current holder by this front's grants, with term and expiry.
+    pub fn holder(&self, now: Duration, task: TaskId) -> Option<(Holder, u64, Duration)> {
+        let grant = self.by_task.get(&task)?;
+        Some((grant.holder.filter(|_| now < grant.until)?, grant.term, grant.until))
     }
 
-    /// Duties that were ever granted here.
-    pub fn duties(&self) -> impl Iterator<Item = TaskId> + '_ {
-        self.of.keys().copied()
+    /// Tasks of which this front has ever granted the lease.
+    pub fn tasks(&self) -> impl Iterator<Item = TaskId> + '_ {
+        self.by_task.keys().copied()
     }
 
-    pub fn quiet(&self, now: Duration) -> bool {
+    pub fn is_quiet(&self, now: Duration) -> bool {
         now < self.quiet_until
     }
 }
