--- a/crates/front/src/fleet_tasks.rs
+++ b/crates/front/src/fleet_tasks.rs
@@ -393,10 +393,10 @@
         if self.roll.going() || self.roll.end.is_some() && self.told_end != (self.roll.number, self.roll.step)
         {
             let me = core.me();
-            let there = core.peers().into_iter().filter(|fellow| fellow.liveness == Liveness::Alive);
-            let sees = there.map(|fellow| {
-                let whole = fellow.says == Some(Connectivity::Majority);
-                (fellow.index as u16, Sees { life: fellow.incarnation, whole })
+            let there = core.peers().into_iter().filter(|peer| peer.liveness == Liveness::Alive);
+            let sees = there.map(|peer| {
+                let whole = peer.reported == Some(Connectivity::Majority);
+                (peer.index as u16, Sees { life: peer.incarnation, whole })
             });
             let sees = sees.collect();
             let before = self.roll.step;
--- a/crates/front/src/membership.rs
+++ b/crates/front/src/membership.rs
@@ -113,12 +113,12 @@
                 self.counters.fellow_downs.add();
                 slog::warn!(self.log, "fellow down"; "front" => front);
             }
-            Event::Back(front) => slog::info!(self.log, "fellow back in a later life"; "front" => front),
+            Event::Restarted(front) => slog::info!(self.log, "fellow back in a later life"; "front" => front),
             Event::Rejoined => slog::warn!(self.log, "fellows took this front for dead"),
             Event::ConnectivityChanged(standing) => {
                 slog::info!(self.log, "standing"; "standing" => standing.name())
             }
-            Event::Stood(span) => {
+            Event::Stalled(span) => {
                 self.counters.standstills.add();
                 slog::warn!(self.log, "this front stood still"; "ms" => span.as_millis() as u64);
             }
@@ -215,7 +215,7 @@
         let bell = post.bell();
         let mut alarm: Option<(Duration, TimerHandle)> = None;
         // One byte more than the longest, so that a longer one is seen to be longer.
-        let mut buffer = [0; juniperdock_membership::LONGEST + 1];
+        let mut buffer = [0; juniperdock_membership::MAX_DATAGRAM_BYTES + 1];
         loop {
             let Actor { circle, counters, log, .. } = &*self;
             let (bodies, mail) = (Vec::new(), &self.own);
@@ -230,8 +230,8 @@
                 let taken = match self.places.get(&from) {
                     Some(&place) => core.handle_datagram(now, place, &buffer[..length], &mut hands),
                     None => {
-                        core.stranger();
-                        Err(Refused::Stranger)
+                        core.unknown_sender();
+                        Err(Refused::WrongSender)
                     }
                 };
                 if let Err(why) = taken {
@@ -250,7 +250,7 @@
                         drop(reply.try_send(status(&core, &circle.name, now)))
                     }
                     (MembershipMessage::SetKeys(keys), _) => {
-                        core.rekey(keys.clone());
+                        core.set_keys(keys.clone());
                         other_keys = Some(keys);
                     }
                     (MembershipMessage::Leave, _) => leaves = true,
@@ -344,9 +344,9 @@
 fn status(core: &Membership, name: &str, now: Duration) -> Value {
     let (standing, since) = core.connectivity();
     let ago = |at: Duration| now.saturating_sub(at).as_millis() as u64;
-    let front = |f: &juniperdock_membership::Fellow| {
+    let front = |f: &juniperdock_membership::Peer| {
         json!({ "index": f.index, "state": f.liveness.name(), "incarnation": f.incarnation,
-            "heard_ms_ago": f.heard.map(ago), "says": f.says.map(Connectivity::name) })
+            "heard_ms_ago": f.last_received.map(ago), "says": f.reported.map(Connectivity::name) })
     };
     let refused: serde_json::Map<String, Value> = Refused::ALL
         .iter()
@@ -354,8 +354,8 @@
         .map(|why| (why.name().to_owned(), core.refused[*why as usize].into()))
         .collect();
     json!({ "me": core.me(), "name": name, "incarnation": core.incarnation(),
-        "standing": standing.name(), "since_ms": ago(since), "view": core.view(),
+        "standing": standing.name(), "since_ms": ago(since), "view": core.view_version(),
         "present": core.present(), "fronts": core.peers().iter().map(front).collect::<Vec<_>>(),
         "datagrams_in": core.datagrams_in, "datagrams_out": core.datagrams_out, "bytes_out": core.bytes_out,
-        "longest": core.longest, "refused": refused })
+        "longest": core.longest_datagram, "refused": refused })
 }
--- a/crates/lease/src/manager.rs
+++ b/crates/lease/src/manager.rs
@@ -233,6 +233,7 @@
             now.saturating_sub(state.claim.round_started()) >= self.lease_duration / RENEWALS_PER_LEASE;
         if held.is_none() && state.claim.has_grants() && late {
             // Some fronts have granted, but too few: two claimants may compete. Release, and retry after a
+            // random delay.
             let term = state.claim.release();
             state.ask_all = true;
             state.next_request = now + self.lease_duration.mul_f64(self.rng.rand_float() / 4.0);
--- a/crates/membership/src/dice.rs
+++ b/crates/membership/src/foca_rng.rs
@@ -1,13 +1,13 @@
-//! The project's source of chance, as the membership library wants it.
+//! Adapter from the project's random number generator to the trait that the membership library expects.
 
 use oorandom::Rand64;
 use rand_core::TryRng;
 use std::convert::Infallible;
 
 #[derive(Debug)]
-pub struct Dice(pub Rand64);
+pub struct FocaRng(pub Rand64);
 
-impl TryRng for Dice {
+impl TryRng for FocaRng {
     type Error = Infallible;
 
     fn try_next_u32(&mut self) -> Result<u32, Infallible> {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,20 +1,20 @@
-//! The fronts know each other: who is there, who has failed, and what a front knows of itself.
+//! Membership of the fleet: which fronts are alive, which have failed, and how well a front is connected.
 //!
-//! [`Membership`] is one front's part of it, without I/O: datagrams, times and chance are handed in. The program
-//! drives it over UDP, the laboratory in simulated time, the simulator's host over its messages between fronts.
-//! Membership is SWIM's, by the library `foca` (Das, Gupta, Motivala: SWIM, DSN 2002; suspicion that widens while
-//! the own timers are late: Dadgar, Phillips, Currey, Lifeguard, 2017). `docs/fleet.md` has the ways weighed and
-//! the table of failures.
+//! [`Membership`] is one front's part of it, without I/O: datagrams, times and random seeds are passed in. The program
+//! drives it over UDP, the lab in simulated time, the simulator's adapter over its messages between fronts. The
+//! protocol is SWIM, by the library `foca` (Das, Gupta, Motivala: SWIM, DSN 2002; suspicion time-outs that widen while
+//! the front's own timers are late: Dadgar, Phillips, Currey, Lifeguard, 2017). `docs/fleet.md` has the alternatives
+//! and the table of failures.
 //!
-//! No rule on txns rests on what is told here.
+//! The correctness of txns does not depend on it.
 
-mod dice;
-mod fellows;
-mod seal;
-mod who;
-mod window;
+mod datagram;
+mod foca_rng;
+mod membership;
+mod peer_id;
+mod replay_window;
 
-pub use fellows::{Connectivity, Event, Fellow, Host, Liveness, Membership, Timing};
-pub use seal::{BODY, Keys, LONGEST, NEWEST_VERSION, Refused};
-pub use who::{Who, incarnation_at};
-pub use window::Window;
+pub use datagram::{Keys, MAX_BODY_BYTES, MAX_DATAGRAM_BYTES, NEWEST_VERSION, Refused};
+pub use membership::{Connectivity, Event, Host, Liveness, Membership, Peer, Timing};
+pub use peer_id::{PeerId, incarnation_at};
+pub use replay_window::ReplayWindow;
