--- a/crates/fleet-tasks/src/lib.rs
+++ b/crates/fleet-tasks/src/lib.rs
@@ -1,56 +1,62 @@
-//! What one front does on behalf of all, without I/O: it asks members and tells the others ([`HealthObserver`]), and has a
-//! planned change of a primary held by every front ([`Move`]). Who owns a duty, and that an owner of old does no
-//! harm, is `juniperdock_lease`'s. `docs/ownership.md` says what each effect may do when it comes late or twice.
+//! Work that one front does for the whole fleet, without I/O: probing members and telling the others
+//! ([`HealthObserver`]), a planned change of a primary that every front holds for ([`PrimaryMove`]), and rolling
+//! upgrades ([`UpgradeCoordinator`]). `juniperdock_lease` decides which front owns a task and fences stale owners.
+//! `docs/ownership.md` says what each effect may do when it comes late or twice.
 //!
-//! No rule on txns rests on what is told here: facts are proofs with the date that the member itself told, and a
-//! hold is a front's own plan, which ends at its own time.
-
-mod care;
-mod moves;
-mod roll;
-
-pub use care::{HealthObserver, Observation, ProbeRole, SHARDS};
-pub use moves::{Act, HoldStep, Move, Outcome, hold, release, say, step, words};
-pub use roll::{End, Roll, Rolling, Sees, Serves, Step as RollStep};
+//! The correctness of txns does not depend on it: observations are proofs dated by the member itself, and a hold is a
+//! front's own plan, which ends at its own deadline.
+
+mod health;
+mod primary_move;
+mod rolling_upgrade;
+
+pub use health::{HealthObserver, Observation, ProbeRole, SHARDS};
+pub use primary_move::{
+    HoldStep, MoveAction, Outcome, PrimaryMove, decode_order, decode_step, encode_hold, encode_release,
+    encode_step,
+};
+pub use rolling_upgrade::{
+    FrontReport, FrontView, UpgradeCoordinator, UpgradeOutcome, UpgradeState, UpgradeStep,
+};
 
 use juniperdock_lease::TaskId;
 
-/// Groups' changes have duties from this number on.
-const MOVES: TaskId = 1024;
+/// The first task number of planned primary changes, one for each group.
+const FIRST_MOVE_TASK: TaskId = 1024;
 
-/// The duty of a rolling upgrade.
-pub const ROLL: TaskId = 0;
+/// The task of a rolling upgrade.
+pub const ROLLING_UPGRADE: TaskId = 0;
 
-/// The duty of the members of a part of the fleet.
-pub fn care(shard: u64) -> TaskId {
+/// The task of observing the members of a shard.
+pub fn health_task(shard: u64) -> TaskId {
     1 + shard
 }
 
-/// The duty of a planned change of a group's primary; only ordered ones have owners.
-pub fn moving(group: u64) -> TaskId {
-    MOVES.saturating_add(group)
+/// The task of a planned change of a group's primary; it has an owner only while a change is wanted.
+pub fn move_task(group: u64) -> TaskId {
+    FIRST_MOVE_TASK.saturating_add(group)
 }
 
-/// What a duty is called, and the group or part that it is about.
+/// A task's printed name, with its group or shard.
 ///
 /// ```
-/// use juniperdock_fleet_tasks::{care, moving, name};
-/// assert_eq!((name(care(2)), name(moving(7))), ("care 2".to_owned(), "move 7".to_owned()));
+/// use juniperdock_fleet_tasks::{health_task, move_task, task_name};
+/// assert_eq!((task_name(health_task(2)), task_name(move_task(7))), ("care 2".to_owned(), "move 7".to_owned()));
 /// ```
-pub fn name(duty: TaskId) -> String {
-    match duty {
+pub fn task_name(task: TaskId) -> String {
+    match task {
         0 => "roll".to_owned(),
-        duty if duty >= MOVES => format!("move {}", duty - MOVES),
-        duty => format!("care {}", duty - 1),
+        task if task >= FIRST_MOVE_TASK => format!("move {}", task - FIRST_MOVE_TASK),
+        task => format!("care {}", task - 1),
     }
 }
 
-/// The part of the fleet that a duty cares for.
-pub fn cared(duty: TaskId) -> Option<usize> {
-    (1..=SHARDS).contains(&duty).then(|| duty as usize - 1)
+/// The shard that a task observes.
+pub fn health_shard(task: TaskId) -> Option<usize> {
+    (1..=SHARDS).contains(&task).then(|| task as usize - 1)
 }
 
-/// The group whose change a duty is.
-pub fn moved(duty: TaskId) -> Option<u64> {
-    duty.checked_sub(MOVES)
+/// The group whose primary a task changes.
+pub fn moved_group(task: TaskId) -> Option<u64> {
+    task.checked_sub(FIRST_MOVE_TASK)
 }
--- a/crates/front/src/fleet_tasks.rs
+++ b/crates/front/src/fleet_tasks.rs
@@ -2,12 +2,16 @@
 //! `juniperdock_fleet_tasks` meet the fellows' datagrams, the desk, the log and the operators. Nothing is decided here.
 
 use crate::counters::Counters;
-use crate::membership::Hands;
+use crate::membership::MembershipIo;
 use crate::messages::{DispatcherMessage, UpgradeFn};
 use juniperdock_fleet_tasks::{
-    Act, HoldStep, Move, Outcome, ProbeRole, ROLL, SHARDS, care, cared, hold, moved, moving, name,
+    FrontReport, FrontView, UpgradeCoordinator, UpgradeState, UpgradeStep, decode_order, decode_step,
+    encode_release, encode_step,
+};
+use juniperdock_fleet_tasks::{
+    HoldStep, MoveAction, Outcome, PrimaryMove, ProbeRole, ROLLING_UPGRADE, SHARDS, encode_hold,
+    health_shard, health_task, move_task, moved_group, task_name,
 };
-use juniperdock_fleet_tasks::{Roll, RollStep, Rolling, Sees, Serves, release, say, step, words};
 use juniperdock_lease::{Event, FleetView, Host, LeaseManager, TaskId, preferred_owners};
 use juniperdock_membership::{Connectivity, Liveness, Membership};
 use may::sync::mpsc::Sender;
@@ -18,41 +22,41 @@
 use std::time::Duration;
 
 /// A grant lasts so many of the fellows' periods.
-const PERIODS: u32 = 6;
+const LEASE_PERIODS: u32 = 6;
 /// An order that has not got its duty after so many grants' time is given up.
-const PATIENCE: u32 = 2;
+const ORDER_TIMEOUT_LEASES: u32 = 2;
 /// Changes that are over and still told.
-const TOLD: usize = 16;
+const MAX_ENDED_MOVES: usize = 16;
 /// Words about a rolling upgrade: its state, a front's turn, an order, and that it is called off.
 const STATE: u8 = 1;
-const TURN: u8 = 2;
-const BEGIN: u8 = 3;
-const OFF: u8 = 4;
+const UPGRADE: u8 = 2;
+const START: u8 = 3;
+const CANCEL: u8 = 4;
 /// An owner that says nothing of a roll for so long may not know of it: whoever does tells it.
-const UNTOLD: Duration = Duration::from_secs(1);
+const OWNER_SILENCE: Duration = Duration::from_secs(1);
 /// Until the desk has said how often it wants to be asked.
-const AT_FIRST: Duration = Duration::from_millis(100);
+const INITIAL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Who waits for the answer to an order.
-type Tell = SyncSender<Result<String, String>>;
+type Reply = SyncSender<Result<String, String>>;
 
 /// What has come in for this front, and is to be looked at.
-enum Came {
+enum Incoming {
     Effect(usize, TaskId, u64, Vec<u8>),
     Report(usize, TaskId, Vec<u8>),
-    Told(TaskId, Vec<u8>),
+    Announcement(TaskId, Vec<u8>),
 }
 
 /// A change that this front was asked for and does not own yet.
 struct Order {
     successor: Option<String>,
     since: Duration,
-    tell: Tell,
+    reply: Reply,
 }
 
 /// A change that another front, or this one, has ordered of this one.
-struct Holding {
-    duty: TaskId,
+struct HoldState {
+    task: TaskId,
     /// Which change it is, and the term of whoever ordered it last.
     order: u64,
     term: u64,
@@ -60,177 +64,191 @@
     step: HoldStep,
 }
 
-pub struct Duties {
-    office: LeaseManager,
-    lasts: Duration,
-    desk: Sender<DispatcherMessage>,
+pub struct FleetTasks {
+    leases: LeaseManager,
+    lease_duration: Duration,
+    dispatcher: Sender<DispatcherMessage>,
     log: slog::Logger,
     counters: Arc<Counters>,
     orders: BTreeMap<u64, Order>,
-    moves: BTreeMap<u64, (Move, Option<Tell>)>,
-    over: VecDeque<Move>,
+    moves: BTreeMap<u64, (PrimaryMove, Option<Reply>)>,
+    ended_moves: VecDeque<PrimaryMove>,
     /// By group: what was last ordered here. A hold that comes late or twice is nothing new.
-    holding: BTreeMap<u64, Holding>,
-    every: Duration,
-    cares: Duration,
-    came: Vec<Came>,
+    holds: BTreeMap<u64, HoldState>,
+    report_interval: Duration,
+    next_health_update: Duration,
+    incoming: Vec<Incoming>,
     /// By duty: the term of the effect that was carried out last.
     terms: BTreeMap<TaskId, u64>,
     /// The newest roll that was heard of, what its owner has seen, and the one in which this process has had its turn.
-    roll: Roll,
-    rolling: Option<Rolling>,
-    had_turn: u64,
-    undone: u64,
+    upgrade_state: UpgradeState,
+    coordinator: Option<UpgradeCoordinator>,
+    last_upgrade: u64,
+    failed_upgrade: u64,
     /// The end that all were told last.
-    told_end: (u64, u32),
+    announced_outcome: (u64, u32),
     /// When the owner last spoke of the roll, or was told of it.
-    spoken: Duration,
+    last_state_at: Duration,
     upgrade: Option<UpgradeFn>,
 }
 
 /// The ways out of an office: other fronts by sealed datagrams, the log, and what is looked at after the call.
-struct Ways<'a, 'b> {
-    core: &'a mut Membership,
-    hands: &'a mut Hands<'b>,
-    came: &'a mut Vec<Came>,
+struct LeaseHost<'a, 'b> {
+    membership: &'a mut Membership,
+    io: &'a mut MembershipIo<'b>,
+    incoming: &'a mut Vec<Incoming>,
     counters: &'a Counters,
     log: &'a slog::Logger,
 }
 
-impl Host for Ways<'_, '_> {
+impl Host for LeaseHost<'_, '_> {
     fn send(&mut self, to: usize, body: &[u8]) {
-        self.core.send_payload(to, body, self.hands);
+        self.membership.send_payload(to, body, self.io);
     }
 
     fn event(&mut self, event: Event) {
         match event {
-            Event::Acquired(duty, term) => {
+            Event::Acquired(task, term) => {
                 self.counters.duties_taken.add();
-                slog::info!(self.log, "duty taken"; "duty" => name(duty), "term" => term);
+                slog::info!(self.log, "duty taken"; "duty" => task_name(task), "term" => term);
             }
-            Event::Released(duty, term) => {
-                slog::info!(self.log, "duty given back"; "duty" => name(duty), "term" => term);
+            Event::Released(task, term) => {
+                slog::info!(self.log, "duty given back"; "duty" => task_name(task), "term" => term);
             }
-            Event::Expired(duty, term) => {
+            Event::Expired(task, term) => {
                 self.counters.duties_lost.add();
-                slog::warn!(self.log, "duty lost"; "duty" => name(duty), "term" => term);
+                slog::warn!(self.log, "duty lost"; "duty" => task_name(task), "term" => term);
             }
-            Event::StaleEffect(duty, term, from) => {
+            Event::StaleEffect(task, term, from) => {
                 self.counters.effects_refused.add();
-                slog::warn!(self.log, "stale effect refused"; "duty" => name(duty), "term" => term, "from" => from);
+                slog::warn!(self.log, "stale effect refused"; "duty" => task_name(task), "term" => term, "from" => from);
             }
         }
     }
 
-    fn effect(&mut self, from: usize, duty: TaskId, term: u64, payload: &[u8]) {
-        self.came.push(Came::Effect(from, duty, term, payload.to_vec()));
+    fn effect(&mut self, from: usize, task: TaskId, term: u64, payload: &[u8]) {
+        self.incoming.push(Incoming::Effect(from, task, term, payload.to_vec()));
     }
 
-    fn report(&mut self, from: usize, duty: TaskId, _term: u64, payload: &[u8]) {
-        self.came.push(Came::Report(from, duty, payload.to_vec()));
+    fn report(&mut self, from: usize, task: TaskId, _term: u64, payload: &[u8]) {
+        self.incoming.push(Incoming::Report(from, task, payload.to_vec()));
     }
 
-    fn announcement(&mut self, _from: usize, duty: TaskId, payload: &[u8]) {
-        self.came.push(Came::Told(duty, payload.to_vec()));
+    fn announcement(&mut self, _from: usize, task: TaskId, payload: &[u8]) {
+        self.incoming.push(Incoming::Announcement(task, payload.to_vec()));
     }
 }
 
-/// Lends the parts of a `Duties` to a call of its office.
-macro_rules! ways {
-    ($duties:ident, $core:ident, $hands:ident) => {
-        &mut Ways {
-            core: $core,
-            hands: $hands,
-            came: &mut $duties.came,
-            counters: &$duties.counters,
-            log: &$duties.log,
+/// Lends the parts of a `FleetTasks` to a call of its office.
+macro_rules! lease_host {
+    ($tasks:ident, $membership:ident, $io:ident) => {
+        &mut LeaseHost {
+            membership: $membership,
+            io: $io,
+            incoming: &mut $tasks.incoming,
+            counters: &$tasks.counters,
+            log: &$tasks.log,
         }
     };
 }
 
-impl Duties {
+impl FleetTasks {
     pub fn new(
         now: Duration,
-        core: &Membership,
-        tier: usize,
+        membership: &Membership,
+        cluster_size: usize,
         seed: u64,
         period: Duration,
-        desk: Sender<DispatcherMessage>,
+        dispatcher: Sender<DispatcherMessage>,
         counters: Arc<Counters>,
         log: slog::Logger,
-    ) -> Duties {
-        let (lasts, standing) = (period * PERIODS, (0..SHARDS).map(care).chain([ROLL]).collect());
-        Duties {
-            office: LeaseManager::new(now, core.me(), tier, core.incarnation(), seed, lasts, standing),
-            lasts,
-            desk,
+    ) -> FleetTasks {
+        let (lease_duration, permanent) =
+            (period * LEASE_PERIODS, (0..SHARDS).map(health_task).chain([ROLLING_UPGRADE]).collect());
+        FleetTasks {
+            leases: LeaseManager::new(
+                now,
+                membership.me(),
+                cluster_size,
+                membership.incarnation(),
+                seed,
+                lease_duration,
+                permanent,
+            ),
+            lease_duration,
+            dispatcher,
             log,
             counters,
             orders: BTreeMap::new(),
             moves: BTreeMap::new(),
-            over: VecDeque::new(),
-            holding: BTreeMap::new(),
-            every: AT_FIRST,
-            cares: now,
-            came: Vec::new(),
+            ended_moves: VecDeque::new(),
+            holds: BTreeMap::new(),
+            report_interval: INITIAL_INTERVAL,
+            next_health_update: now,
+            incoming: Vec::new(),
             terms: BTreeMap::new(),
-            roll: Roll::default(),
-            rolling: None,
-            had_turn: 0,
-            undone: 0,
-            told_end: (0, 0),
-            spoken: now,
+            upgrade_state: UpgradeState::default(),
+            coordinator: None,
+            last_upgrade: 0,
+            failed_upgrade: 0,
+            announced_outcome: (0, 0),
+            last_state_at: now,
             upgrade: None,
         }
     }
 
-    /// When [`Duties::turn`] is to be called next.
-    pub fn next(&self) -> Duration {
+    /// When [`FleetTasks::turn`] is to be called next.
+    pub fn next_timeout(&self) -> Duration {
         let moves = self.moves.values().filter_map(|(m, _)| m.next()).min();
-        self.office.next_timeout().min(self.cares).min(moves.unwrap_or(Duration::MAX))
+        self.leases.next_timeout().min(self.next_health_update).min(moves.unwrap_or(Duration::MAX))
     }
 
     /// A body has come from a front.
-    pub fn heard(
+    pub fn handle_payload(
         &mut self,
         now: Duration,
         from: usize,
         body: &[u8],
-        core: &mut Membership,
-        hands: &mut Hands,
+        membership: &mut Membership,
+        io: &mut MembershipIo,
     ) {
-        if let Err(why) = self.office.handle_message(now, from, body, ways!(self, core, hands)) {
+        if let Err(why) = self.leases.handle_message(now, from, body, lease_host!(self, membership, io)) {
             slog::debug!(self.log, "a body is passed over"; "from" => from, "why" => why);
         }
     }
 
     /// Does what is due. `clock` is read anew right before each effect leaves.
-    pub fn turn(&mut self, clock: &mut dyn FnMut() -> Duration, core: &mut Membership, hands: &mut Hands) {
+    pub fn run_due(
+        &mut self,
+        clock: &mut dyn FnMut() -> Duration,
+        membership: &mut Membership,
+        io: &mut MembershipIo,
+    ) {
         let now = clock();
-        self.office.raise_term_floor(core.incarnation());
-        let present = core.present();
-        let has_majority = core.connectivity().0 == Connectivity::Majority;
-        let sight = FleetView { present: &present, eligible: has_majority && !core.slow() };
-        self.office.handle_timeout(now, sight, ways!(self, core, hands));
-        self.look(now, core, hands);
-        self.ordered(now, &present);
-        self.go_on(clock, &present, core, hands);
-        self.roll_on(clock, core, hands);
+        self.leases.raise_term_floor(membership.incarnation());
+        let present = membership.present();
+        let has_majority = membership.connectivity().0 == Connectivity::Majority;
+        let view = FleetView { present: &present, eligible: has_majority && !membership.slow() };
+        self.leases.handle_timeout(now, view, lease_host!(self, membership, io));
+        self.process_incoming(now, membership, io);
+        self.start_ordered_moves(now, &present);
+        self.continue_moves(clock, &present, membership, io);
+        self.continue_upgrade(clock, membership, io);
         // Effects on this front itself were handed back by the office.
-        self.look(now, core, hands);
-        if now >= self.cares {
-            self.cares = now + self.every;
-            let me = core.me();
-            let mut shard_roles = [ProbeRole::No; SHARDS as usize];
-            for (shard, asks) in shard_roles.iter_mut().enumerate() {
-                let duty = care(shard as u64);
-                if self.office.held_term(now, duty).is_some() {
-                    *asks = ProbeRole::Owner;
-                } else if preferred_owners(duty, &present, 2).contains(&me) {
-                    *asks = ProbeRole::Beside;
+        self.process_incoming(now, membership, io);
+        if now >= self.next_health_update {
+            self.next_health_update = now + self.report_interval;
+            let me = membership.me();
+            let mut shard_roles = [ProbeRole::Receiver; SHARDS as usize];
+            for (shard, roles) in shard_roles.iter_mut().enumerate() {
+                let task = health_task(shard as u64);
+                if self.leases.held_term(now, task).is_some() {
+                    *roles = ProbeRole::Owner;
+                } else if preferred_owners(task, &present, 2).contains(&me) {
+                    *roles = ProbeRole::Backup;
                 }
             }
-            let _ = self.desk.send(DispatcherMessage::ObserveHealth {
+            let _ = self.dispatcher.send(DispatcherMessage::ObserveHealth {
                 has_majority,
                 present_fronts: present.len(),
                 shard_roles,
@@ -238,299 +256,344 @@
         }
     }
 
-    fn look(&mut self, now: Duration, core: &mut Membership, hands: &mut Hands) {
-        for came in std::mem::take(&mut self.came) {
-            if let Came::Effect(from, duty, term, _) = &came
-                && self.terms.insert(*duty, *term) != Some(*term)
+    fn process_incoming(&mut self, now: Duration, membership: &mut Membership, io: &mut MembershipIo) {
+        for incoming in std::mem::take(&mut self.incoming) {
+            if let Incoming::Effect(from, task, term, _) = &incoming
+                && self.terms.insert(*task, *term) != Some(*term)
             {
-                slog::info!(self.log, "effects of a term"; "duty" => name(*duty), "term" => term, "from" => from);
+                slog::info!(self.log, "effects of a term"; "duty" => task_name(*task), "term" => term, "from" => from);
             }
-            match came {
-                Came::Effect(_, duty, _, payload) if cared(duty).is_some() => {
-                    let _ = self.desk.send(DispatcherMessage::PeerObservations(payload));
+            match incoming {
+                Incoming::Effect(_, task, _, payload) if health_shard(task).is_some() => {
+                    let _ = self.dispatcher.send(DispatcherMessage::PeerObservations(payload));
+                }
+                Incoming::Announcement(task, payload) if health_shard(task).is_some() => {
+                    let _ = self.dispatcher.send(DispatcherMessage::PeerObservations(payload));
                 }
-                Came::Told(duty, payload) if cared(duty).is_some() => {
-                    let _ = self.desk.send(DispatcherMessage::PeerObservations(payload));
+                Incoming::Effect(from, ROLLING_UPGRADE, term, payload) => {
+                    self.handle_upgrade_effect(now, from, term, &payload, membership, io)
                 }
-                Came::Effect(from, ROLL, term, payload) => self.rolls(now, from, term, &payload, core, hands),
-                Came::Report(from, ROLL, payload) => {
-                    let word = postcard::from_bytes::<(u64, u64, u64)>(&payload);
-                    if let (Some(rolling), Ok((committed, failed, undone))) = (&mut self.rolling, word) {
-                        rolling.told(from as u16, Serves { committed, failed, undone });
+                Incoming::Report(from, ROLLING_UPGRADE, payload) => {
+                    let report = postcard::from_bytes::<(u64, u64, u64)>(&payload);
+                    if let (Some(coordinator), Ok((committed, failed, failed_upgrade))) =
+                        (&mut self.coordinator, report)
+                    {
+                        coordinator
+                            .record_report(from as u16, FrontReport { committed, failed, failed_upgrade });
                     }
                 }
-                Came::Told(ROLL, payload) => {
-                    let owns = self.rolling.is_some() && !payload.is_empty();
+                Incoming::Announcement(ROLLING_UPGRADE, payload) => {
+                    let owns = self.coordinator.is_some() && !payload.is_empty();
                     match payload.first() {
-                        Some(&BEGIN) if owns && !self.roll.going() => {
+                        Some(&START) if owns && !self.upgrade_state.is_running() => {
                             // Who ordered it may not have heard of the newest one.
-                            let ordered = Roll::read(&payload[1..]);
-                            let ordered = ordered.filter(|roll| roll.number != self.roll.number);
-                            let ordered = ordered.map(|roll| roll.numbered_after(&self.roll));
-                            ordered.into_iter().for_each(|roll| self.roll = roll);
+                            let ordered = UpgradeState::from_bytes(&payload[1..]);
+                            let ordered = ordered.filter(|state| state.number != self.upgrade_state.number);
+                            let ordered = ordered.map(|state| state.numbered_after(&self.upgrade_state));
+                            ordered.into_iter().for_each(|state| self.upgrade_state = state);
                         }
                         Some(&STATE) => {
-                            let newer = Roll::read(&payload[1..]).filter(|roll| roll.later(&self.roll));
-                            newer.into_iter().for_each(|roll| self.roll = roll);
+                            let newer = UpgradeState::from_bytes(&payload[1..])
+                                .filter(|state| state.supersedes(&self.upgrade_state));
+                            newer.into_iter().for_each(|state| self.upgrade_state = state);
                         }
-                        Some(&OFF) if owns => drop(Rolling::call_off(&mut self.roll)),
+                        Some(&CANCEL) if owns => drop(UpgradeCoordinator::call_off(&mut self.upgrade_state)),
                         _ => {}
                     }
                 }
-                Came::Effect(from, duty, term, payload) => {
-                    if let (Some(group), Some((order, holds, successor))) = (moved(duty), words(&payload)) {
-                        self.hold(group, duty, term, from, order, holds, successor, core, hands);
+                Incoming::Effect(from, task, term, payload) => {
+                    if let (Some(group), Some((order, hold, successor))) =
+                        (moved_group(task), decode_order(&payload))
+                    {
+                        self.handle_hold_order(
+                            group, task, term, from, order, hold, successor, membership, io,
+                        );
                     }
                 }
-                Came::Report(from, duty, payload) => {
-                    let its = moved(duty).and_then(|group| self.moves.get_mut(&group));
-                    if let (Some((m, _)), Some((order, step))) = (its, step(&payload)) {
-                        m.told(from, order, step);
+                Incoming::Report(from, task, payload) => {
+                    let its = moved_group(task).and_then(|group| self.moves.get_mut(&group));
+                    if let (Some((m, _)), Some((order, step))) = (its, decode_step(&payload)) {
+                        m.record_step(from, order, step);
                     }
                 }
-                Came::Told(..) => {}
+                Incoming::Announcement(..) => {}
             }
         }
     }
 
     /// How this front is upgraded when its turn comes.
-    pub fn upgraded_by(&mut self, upgrade: UpgradeFn) {
+    pub fn set_upgrade(&mut self, upgrade: UpgradeFn) {
         self.upgrade = Some(upgrade);
     }
 
     /// It could not be, in that roll.
-    pub fn undone(&mut self, roll: u64) {
-        self.undone = roll;
+    pub fn set_failed_upgrade(&mut self, number: u64) {
+        self.failed_upgrade = number;
     }
 
     /// From the control socket: a rolling upgrade of all fronts, or none any more. Its owner is told.
-    pub fn order_roll(
+    pub fn order_upgrade(
         &mut self,
         now: Duration,
         program: Option<&str>,
-        at_once: usize,
-        off: bool,
-        core: &mut Membership,
-        hands: &mut Hands,
+        max_concurrent: usize,
+        cancel: bool,
+        membership: &mut Membership,
+        io: &mut MembershipIo,
     ) -> Result<String, String> {
-        if self.roll.going() != off {
-            return Err(
-                if off { "no roll is under way" } else { "a roll is under way: see fleet duties" }.to_owned()
-            );
+        if self.upgrade_state.is_running() != cancel {
+            return Err(if cancel {
+                "no roll is under way"
+            } else {
+                "a roll is under way: see fleet duties"
+            }
+            .to_owned());
         }
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-        let roll = Roll::new(unix.as_millis() as u64, program, at_once)?.numbered_after(&self.roll);
-        if self.rolling.is_some() {
-            if off {
-                drop(Rolling::call_off(&mut self.roll))
+        let state = UpgradeState::new(unix.as_millis() as u64, program, max_concurrent)?
+            .numbered_after(&self.upgrade_state);
+        if self.coordinator.is_some() {
+            if cancel {
+                drop(UpgradeCoordinator::call_off(&mut self.upgrade_state))
             } else {
-                self.roll = roll
+                self.upgrade_state = state
             }
             return Ok("this front owns it: see fleet duties".to_owned());
         }
-        let stands = self.office.statuses(now).into_iter().find(|stands| stands.task == ROLL);
+        let status = self.leases.statuses(now).into_iter().find(|status| status.task == ROLLING_UPGRADE);
         let owner =
-            stands.and_then(|stands| stands.owner).ok_or("no front owns the roll: see fleet status")?;
-        let mut payload = vec![if off { OFF } else { BEGIN }];
-        payload.extend(roll.bytes());
-        self.office.announce(ROLL, &[owner], &payload, ways!(self, core, hands));
+            status.and_then(|status| status.owner).ok_or("no front owns the roll: see fleet status")?;
+        let mut payload = vec![if cancel { CANCEL } else { START }];
+        payload.extend(state.to_bytes());
+        self.leases.announce(ROLLING_UPGRADE, &[owner], &payload, lease_host!(self, membership, io));
         Ok(format!("front {owner} owns it and was told: see fleet duties"))
     }
 
     /// The owner of a roll tells how far it is, or that it is this front's turn.
-    fn rolls(
+    fn handle_upgrade_effect(
         &mut self,
         now: Duration,
         owner: usize,
         term: u64,
         payload: &[u8],
-        core: &mut Membership,
-        hands: &mut Hands,
+        membership: &mut Membership,
+        io: &mut MembershipIo,
     ) {
         let Some((what, rest)) = payload.split_first() else { return };
         if *what == STATE {
-            self.spoken = now;
-            let newer = Roll::read(rest).filter(|roll| roll.later(&self.roll));
-            newer.into_iter().for_each(|roll| self.roll = roll);
+            self.last_state_at = now;
+            let newer = UpgradeState::from_bytes(rest).filter(|state| state.supersedes(&self.upgrade_state));
+            newer.into_iter().for_each(|state| self.upgrade_state = state);
             let failed = [&self.counters.declined, &self.counters.rolled_back, &self.counters.unknown];
             let failed: u64 = failed.iter().map(|count| count.read()).sum();
-            let word = postcard::to_allocvec(&(self.counters.committed.read(), failed, self.undone));
-            self.office.report(owner, ROLL, term, &word.unwrap_or_default(), ways!(self, core, hands));
-        } else if *what == TURN
-            && let Ok((number, life, program)) = postcard::from_bytes::<(u64, u32, Option<String>)>(rest)
+            let report =
+                postcard::to_allocvec(&(self.counters.committed.read(), failed, self.failed_upgrade));
+            self.leases.report(
+                owner,
+                ROLLING_UPGRADE,
+                term,
+                &report.unwrap_or_default(),
+                lease_host!(self, membership, io),
+            );
+        } else if *what == UPGRADE
+            && let Ok((number, incarnation, program)) = postcard::from_bytes::<(u64, u32, Option<String>)>(rest)
             // A turn that comes late or twice is of a process that is over, or was had.
-            && life == core.incarnation()
-            && number != self.had_turn
+            && incarnation == membership.incarnation()
+            && number != self.last_upgrade
             && let Some(upgrade) = self.upgrade.clone()
         {
-            self.had_turn = number;
+            self.last_upgrade = number;
             slog::info!(self.log, "this front's turn in a roll"; "number" => number);
-            let (log, told) = (self.log.clone(), hands.mail());
+            let (log, handle) = (self.log.clone(), io.handle());
             std::thread::spawn(move || {
                 if let Err(why) = upgrade(program.as_deref()) {
                     slog::error!(log, "this front could not be rolled"; "why" => why);
-                    told.send(crate::messages::MembershipMessage::UpgradeFailed(number));
+                    handle.send(crate::messages::MembershipMessage::UpgradeFailed(number));
                 }
             });
         }
     }
 
     /// A roll that this front owns goes on by its rules.
-    fn roll_on(&mut self, clock: &mut dyn FnMut() -> Duration, core: &mut Membership, hands: &mut Hands) {
+    fn continue_upgrade(
+        &mut self,
+        clock: &mut dyn FnMut() -> Duration,
+        membership: &mut Membership,
+        io: &mut MembershipIo,
+    ) {
         let now = clock();
-        let Some(term) = self.office.held_term(now, ROLL) else {
-            self.rolling = None;
+        let Some(term) = self.leases.held_term(now, ROLLING_UPGRADE) else {
+            self.coordinator = None;
             // The next owner may have started anew and know nothing.
-            let untold = self.roll.going() && now > self.spoken + UNTOLD;
-            if let Some(owner) = self.office.owner(now, ROLL).filter(|_| untold) {
-                self.spoken = now;
-                let payload = [&[STATE][..], &self.roll.bytes()].concat();
-                self.office.announce(ROLL, &[owner], &payload, ways!(self, core, hands));
+            let untold = self.upgrade_state.is_running() && now > self.last_state_at + OWNER_SILENCE;
+            if let Some(owner) = self.leases.owner(now, ROLLING_UPGRADE).filter(|_| untold) {
+                self.last_state_at = now;
+                let payload = [&[STATE][..], &self.upgrade_state.to_bytes()].concat();
+                self.leases.announce(ROLLING_UPGRADE, &[owner], &payload, lease_host!(self, membership, io));
             }
             return;
         };
-        let mut rolling = self.rolling.take().unwrap_or_default();
-        if self.roll.going() || self.roll.end.is_some() && self.told_end != (self.roll.number, self.roll.step)
+        let mut coordinator = self.coordinator.take().unwrap_or_default();
+        if self.upgrade_state.is_running()
+            || self.upgrade_state.outcome.is_some()
+                && self.announced_outcome != (self.upgrade_state.number, self.upgrade_state.step)
         {
-            let me = core.me();
-            let there = core.peers().into_iter().filter(|peer| peer.liveness == Liveness::Alive);
-            let sees = there.map(|peer| {
-                let whole = peer.reported == Some(Connectivity::Majority);
-                (peer.index as u16, Sees { life: peer.incarnation, whole })
+            let me = membership.me();
+            let alive = membership.peers().into_iter().filter(|peer| peer.liveness == Liveness::Alive);
+            let fronts = alive.map(|peer| {
+                let has_majority = peer.reported == Some(Connectivity::Majority);
+                (peer.index as u16, FrontView { incarnation: peer.incarnation, has_majority })
             });
-            let sees = sees.collect();
-            let before = self.roll.step;
-            let mut steps = rolling.rule(now, me as u16, &mut self.roll, &sees);
+            let fronts = fronts.collect();
+            let before = self.upgrade_state.step;
+            let mut steps = coordinator.next_steps(now, me as u16, &mut self.upgrade_state, &fronts);
             // One that was called off, or ended before this front owned it, is told once more.
-            if steps.is_empty() && self.roll.end.is_some() {
-                steps = vec![RollStep::Tell];
+            if steps.is_empty() && self.upgrade_state.outcome.is_some() {
+                steps = vec![UpgradeStep::Tell];
             }
-            let others: Vec<usize> = core.present();
+            let others: Vec<usize> = membership.present();
             for step in steps {
                 match step {
-                    RollStep::Tell => {
-                        let payload = [&[STATE][..], &self.roll.bytes()].concat();
-                        self.office.send_effect(
+                    UpgradeStep::Tell => {
+                        let payload = [&[STATE][..], &self.upgrade_state.to_bytes()].concat();
+                        self.leases.send_effect(
                             clock,
-                            ROLL,
+                            ROLLING_UPGRADE,
                             term,
                             &others,
                             &payload,
-                            ways!(self, core, hands),
+                            lease_host!(self, membership, io),
                         );
-                        if self.roll.end.is_some() {
-                            self.told_end = (self.roll.number, self.roll.step);
+                        if self.upgrade_state.outcome.is_some() {
+                            self.announced_outcome = (self.upgrade_state.number, self.upgrade_state.step);
                         }
                     }
-                    RollStep::Upgrade(front, life) => {
-                        if self.roll.step != before {
-                            slog::info!(self.log, "roll goes on"; "front" => front, "number" => self.roll.number);
+                    UpgradeStep::Upgrade(front, incarnation) => {
+                        if self.upgrade_state.step != before {
+                            slog::info!(self.log, "roll goes on"; "front" => front, "number" => self.upgrade_state.number);
                         }
-                        let turn = postcard::to_allocvec(&(self.roll.number, life, &self.roll.program));
-                        let payload = [&[TURN][..], &turn.unwrap_or_default()].concat();
-                        self.office.send_effect(
+                        let turn = postcard::to_allocvec(&(
+                            self.upgrade_state.number,
+                            incarnation,
+                            &self.upgrade_state.program,
+                        ));
+                        let payload = [&[UPGRADE][..], &turn.unwrap_or_default()].concat();
+                        self.leases.send_effect(
                             clock,
-                            ROLL,
+                            ROLLING_UPGRADE,
                             term,
                             &[front.into()],
                             &payload,
-                            ways!(self, core, hands),
+                            lease_host!(self, membership, io),
                         );
                     }
-                    RollStep::Ended(end) => {
-                        slog::info!(self.log, "roll ended"; "number" => self.roll.number, "end" => format!("{end:?}"),
-                            "through" => format!("{:?}", self.roll.back));
+                    UpgradeStep::Ended(end) => {
+                        slog::info!(self.log, "roll ended"; "number" => self.upgrade_state.number, "end" => format!("{end:?}"),
+                            "through" => format!("{:?}", self.upgrade_state.completed));
                     }
                 }
             }
         }
-        self.rolling = Some(rolling);
-        self.look(now, core, hands);
+        self.coordinator = Some(coordinator);
+        self.process_incoming(now, membership, io);
     }
 
     /// The owner of a change has this front hold, or let go.
-    fn hold(
+    fn handle_hold_order(
         &mut self,
         group: u64,
-        duty: TaskId,
+        task: TaskId,
         term: u64,
         owner: usize,
         order: u64,
-        holds: bool,
+        hold: bool,
         successor: Option<&str>,
-        core: &mut Membership,
-        hands: &mut Hands,
+        membership: &mut Membership,
+        io: &mut MembershipIo,
     ) {
-        slog::debug!(self.log, "a change is ordered here"; "group" => group, "holds" => holds, "owner" => owner);
-        if let Some(holding) = self.holding.get_mut(&group).filter(|holding| holding.order == order && holds)
-        {
+        slog::debug!(self.log, "a change is ordered here"; "group" => group, "holds" => hold, "owner" => owner);
+        if let Some(holds) = self.holds.get_mut(&group).filter(|holds| holds.order == order && hold) {
             // It came before: only the word may have been lost.
-            (holding.term, holding.owner) = (term, owner);
-            let step = holding.step;
-            return self.office.report(owner, duty, term, &say(order, step), ways!(self, core, hands));
+            (holds.term, holds.owner) = (term, owner);
+            let step = holds.step;
+            return self.leases.report(
+                owner,
+                task,
+                term,
+                &encode_step(order, step),
+                lease_host!(self, membership, io),
+            );
         }
-        let step = if holds { HoldStep::Asked } else { HoldStep::Undone };
-        self.holding.insert(group, Holding { duty, order, term, owner, step });
-        let (successor, cancel) = (successor.map(str::to_owned), !holds);
-        let _ = self.desk.send(DispatcherMessage::PlannedChange { group, order, successor, cancel });
+        let step = if hold { HoldStep::Asked } else { HoldStep::Undone };
+        self.holds.insert(group, HoldState { task, order, term, owner, step });
+        let (successor, cancel) = (successor.map(str::to_owned), !hold);
+        let _ = self.dispatcher.send(DispatcherMessage::PlannedChange { group, order, successor, cancel });
     }
 
     /// How far this front is with a change that was ordered of it.
-    pub fn step(
+    pub fn report_progress(
         &mut self,
         now: Duration,
         group: u64,
         order: u64,
         step: HoldStep,
-        core: &mut Membership,
-        hands: &mut Hands,
+        membership: &mut Membership,
+        io: &mut MembershipIo,
     ) {
-        let its = self.holding.get_mut(&group).filter(|holding| holding.order == order);
-        let Some(holding) = its else { return };
-        holding.step = step;
-        let Holding { duty, term, owner, .. } = *holding;
-        self.office.report(owner, duty, term, &say(order, step), ways!(self, core, hands));
-        self.look(now, core, hands);
+        let its = self.holds.get_mut(&group).filter(|holds| holds.order == order);
+        let Some(holds) = its else { return };
+        holds.step = step;
+        let HoldState { task, term, owner, .. } = *holds;
+        self.leases.report(owner, task, term, &encode_step(order, step), lease_host!(self, membership, io));
+        self.process_incoming(now, membership, io);
     }
 
     /// What the desk has to tell of members.
-    pub fn facts(
+    pub fn share_observations(
         &mut self,
-        every: Duration,
+        report_interval: Duration,
         pieces: Vec<(usize, Vec<u8>)>,
         clock: &mut dyn FnMut() -> Duration,
-        core: &mut Membership,
-        hands: &mut Hands,
+        membership: &mut Membership,
+        io: &mut MembershipIo,
     ) {
-        self.every = every;
-        let others: Vec<usize> = core.present().into_iter().filter(|&front| front != core.me()).collect();
+        self.report_interval = report_interval;
+        let others: Vec<usize> =
+            membership.present().into_iter().filter(|&front| front != membership.me()).collect();
         for (shard, piece) in pieces {
-            let duty = care(shard as u64);
+            let task = health_task(shard as u64);
             self.counters.effects_out.add();
-            match self.office.held_term(clock(), duty) {
+            match self.leases.held_term(clock(), task) {
                 Some(term) => {
-                    self.office.send_effect(clock, duty, term, &others, &piece, ways!(self, core, hands));
+                    self.leases.send_effect(
+                        clock,
+                        task,
+                        term,
+                        &others,
+                        &piece,
+                        lease_host!(self, membership, io),
+                    );
                 }
-                None => self.office.announce(duty, &others, &piece, ways!(self, core, hands)),
+                None => self.leases.announce(task, &others, &piece, lease_host!(self, membership, io)),
             }
         }
     }
 
     /// From the control socket: a change of a group's primary at all fronts, or none.
-    pub fn order(
+    pub fn order_move(
         &mut self,
         now: Duration,
         me: usize,
         group: u64,
         successor: Option<String>,
-        off: bool,
-        tell: Tell,
+        cancel: bool,
+        reply: Reply,
     ) {
-        let duty = moving(group);
-        let owner = self.office.owner(now, duty).filter(|&owner| owner != me);
+        let task = move_task(group);
+        let owner = self.leases.owner(now, task).filter(|&owner| owner != me);
         let answer = if let Some(owner) = owner {
             Err(format!("front {owner} is changing the primary of group {group}: ask there"))
-        } else if off {
+        } else if cancel {
             match self.moves.get_mut(&group) {
                 Some((m, _)) => {
                     m.call_off();
@@ -541,138 +604,142 @@
         } else if self.moves.contains_key(&group) || self.orders.contains_key(&group) {
             Err(format!("a change of group {group} is under way"))
         } else {
-            self.office.set_wanted(now, duty, true);
-            self.orders.insert(group, Order { successor, since: now, tell });
+            self.leases.set_wanted(now, task, true);
+            self.orders.insert(group, Order { successor, since: now, reply });
             return;
         };
-        let _ = tell.try_send(answer);
+        let _ = reply.try_send(answer);
     }
 
     /// Orders whose duty this front has got begin; those that wait in vain end.
-    fn ordered(&mut self, now: Duration, present: &[usize]) {
+    fn start_ordered_moves(&mut self, now: Duration, present: &[usize]) {
         let groups: Vec<u64> = self.orders.keys().copied().collect();
         for group in groups {
-            let term = self.office.held_term(now, moving(group));
-            let late = now > self.orders[&group].since + self.lasts * PATIENCE;
+            let term = self.leases.held_term(now, move_task(group));
+            let late = now > self.orders[&group].since + self.lease_duration * ORDER_TIMEOUT_LEASES;
             if term.is_none() && !late {
                 continue;
             }
-            let Some(Order { successor, tell, .. }) = self.orders.remove(&group) else { continue };
+            let Some(Order { successor, reply, .. }) = self.orders.remove(&group) else { continue };
             if let Some(term) = term {
-                let m = Move::new(now, group, successor, term, present);
+                let m = PrimaryMove::new(now, group, successor, term, present);
                 slog::info!(self.log, "move begins"; "group" => group, "term" => term, "fronts" => present.len());
-                self.moves.insert(group, (m, Some(tell)));
+                self.moves.insert(group, (m, Some(reply)));
             } else {
-                self.office.set_wanted(now, moving(group), false);
+                self.leases.set_wanted(now, move_task(group), false);
                 let why = "no majority of the fronts lets this one own the change: see fleet status";
-                let _ = tell.try_send(Err(why.to_owned()));
+                let _ = reply.try_send(Err(why.to_owned()));
             }
         }
     }
 
     /// Changes under way go on by their rules.
-    fn go_on(
+    fn continue_moves(
         &mut self,
         clock: &mut dyn FnMut() -> Duration,
         present: &[usize],
-        core: &mut Membership,
-        hands: &mut Hands,
+        membership: &mut Membership,
+        io: &mut MembershipIo,
     ) {
         let groups: Vec<u64> = self.moves.keys().copied().collect();
         for group in groups {
-            let duty = moving(group);
-            let Some((mut m, mut tell)) = self.moves.remove(&group) else { continue };
+            let task = move_task(group);
+            let Some((mut m, mut reply)) = self.moves.remove(&group) else { continue };
             loop {
                 let now = clock();
-                let acts = m.rule(now, self.office.held_term(now, duty), present);
+                let acts = m.next_actions(now, self.leases.held_term(now, task), present);
                 if acts.is_empty() {
                     break;
                 }
                 for act in acts {
                     let payload = match act {
-                        Act::Hold(_) => hold(m.order, m.successor.as_deref()),
-                        _ => release(m.order),
+                        MoveAction::Hold(_) => encode_hold(m.order, m.successor.as_deref()),
+                        _ => encode_release(m.order),
                     };
                     match act {
-                        Act::Hold(front) | Act::Release(front) => {
+                        MoveAction::Hold(front) | MoveAction::Release(front) => {
                             self.counters.effects_out.add();
-                            self.office.send_effect(
+                            self.leases.send_effect(
                                 clock,
-                                duty,
+                                task,
                                 m.term,
                                 &[front],
                                 &payload,
-                                ways!(self, core, hands),
+                                lease_host!(self, membership, io),
                             );
                         }
-                        Act::Ready => {
+                        MoveAction::Ready => {
                             let n = m.fronts.len();
                             let text =
                                 format!("held by {n} fronts, nothing is out: the primary may be changed now");
                             slog::info!(self.log, "move ready"; "group" => group, "term" => m.term, "fronts" => n);
-                            tell.take().into_iter().for_each(|tell| drop(tell.try_send(Ok(text.clone()))));
+                            reply.take().into_iter().for_each(|reply| drop(reply.try_send(Ok(text.clone()))));
                         }
-                        Act::Ended(outcome) => {
+                        MoveAction::Ended(outcome) => {
                             let fronts = fronts(&m).to_string();
                             slog::info!(self.log, "move ended"; "group" => group, "term" => m.term,
-                                "outcome" => format!("{outcome:?}"), "fronts" => &fronts, "gone" => format!("{:?}", m.gone));
-                            let said = match outcome {
+                                "outcome" => format!("{outcome:?}"), "fronts" => &fronts, "gone" => format!("{:?}", m.departed));
+                            let answer = match outcome {
                                 Outcome::Done => Ok(format!("done, front by front: {fronts}")),
                                 _ => Err(format!("{outcome:?}, front by front: {fronts}")),
                             };
-                            tell.take().into_iter().for_each(|tell| drop(tell.try_send(said.clone())));
+                            reply.take().into_iter().for_each(|reply| drop(reply.try_send(answer.clone())));
                         }
                     }
                 }
                 // Words to oneself are there already.
-                self.look(now, core, hands);
+                self.process_incoming(now, membership, io);
             }
             if m.outcome.is_some() {
-                self.office.set_wanted(clock(), duty, false);
-                self.over.push_back(m);
-                while self.over.len() > TOLD {
-                    self.over.pop_front();
+                self.leases.set_wanted(clock(), task, false);
+                self.ended_moves.push_back(m);
+                while self.ended_moves.len() > MAX_ENDED_MOVES {
+                    self.ended_moves.pop_front();
                 }
             } else {
-                self.moves.insert(group, (m, tell));
+                self.moves.insert(group, (m, reply));
             }
         }
     }
 
     /// Gives all back: this process goes.
-    pub fn leave(&mut self, now: Duration, core: &mut Membership, hands: &mut Hands) {
-        let present = core.present();
-        self.office.leave(now, FleetView { present: &present, eligible: false }, ways!(self, core, hands));
+    pub fn leave(&mut self, now: Duration, membership: &mut Membership, io: &mut MembershipIo) {
+        let present = membership.present();
+        self.leases.leave(
+            now,
+            FleetView { present: &present, eligible: false },
+            lease_host!(self, membership, io),
+        );
     }
 
-    /// What `fleet duties` tells.
+    /// What `fleet tasks` tells.
     pub fn status(&self, now: Duration) -> Value {
-        let duties = self.office.statuses(now).into_iter().map(|stands| {
-            let until = stands.until.map(|until| until.saturating_sub(now).as_millis() as u64);
-            let mut told = json!({ "duty": name(stands.task), "term": stands.term, "owner": stands.owner,
-                "until_ms": until, "mine": stands.owned_here, "effects": stands.effects, "refused_stale": stands.refused });
-            if stands.task == ROLL && self.roll.number > 0 {
-                let Roll { number, program, back, under, end, .. } = &self.roll;
-                let end = end.map(|end| format!("{end:?}"));
-                let under: Vec<u16> = under.keys().copied().collect();
-                told["roll"] =
-                    json!({ "number": number, "program": program, "back": back, "under": under, "end": end });
+        let tasks = self.leases.statuses(now).into_iter().map(|status| {
+            let until = status.until.map(|until| until.saturating_sub(now).as_millis() as u64);
+            let mut entry = json!({ "duty": task_name(status.task), "term": status.term, "owner": status.owner,
+                "until_ms": until, "mine": status.owned_here, "effects": status.effects, "refused_stale": status.refused });
+            if status.task == ROLLING_UPGRADE && self.upgrade_state.number > 0 {
+                let UpgradeState { number, program, completed, upgrading, outcome, .. } = &self.upgrade_state;
+                let outcome = outcome.map(|outcome| format!("{outcome:?}"));
+                let upgrading: Vec<u16> = upgrading.keys().copied().collect();
+                entry["roll"] =
+                    json!({ "number": number, "program": program, "back": completed, "under": upgrading, "end": outcome });
             }
-            let its = moved(stands.task);
+            let its = moved_group(status.task);
             let running = its.and_then(|group| self.moves.get(&group)).map(|(m, _)| m);
-            if let Some(m) = running.or_else(|| self.over.iter().rev().find(|m| Some(m.group) == its)) {
+            if let Some(m) = running.or_else(|| self.ended_moves.iter().rev().find(|m| Some(m.group) == its)) {
                 let outcome = m.outcome.map(|outcome| format!("{outcome:?}"));
-                told["move"] =
-                    json!({ "term": m.term, "ready": m.ready, "outcome": outcome, "fronts": fronts(m), "gone": m.gone });
+                entry["move"] =
+                    json!({ "term": m.term, "ready": m.ready, "outcome": outcome, "fronts": fronts(m), "gone": m.departed });
             }
-            told
+            entry
         });
-        duties.collect()
+        tasks.collect()
     }
 }
 
 /// A change front by front.
-fn fronts(m: &Move) -> Value {
+fn fronts(m: &PrimaryMove) -> Value {
     m.fronts
         .iter()
         .map(|(front, step)| (front.to_string(), step.name().into()))
--- a/crates/front/src/membership.rs
+++ b/crates/front/src/membership.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::{Clock, TimerHandle};
 use crate::counters::Counters;
-use crate::fleet_tasks::Duties;
+use crate::fleet_tasks::FleetTasks;
 use crate::messages::{DispatcherMessage, MembershipMessage, UpgradeFn};
 use juniperdock_connection::{Bell, Post, give_way, spawn};
 use juniperdock_membership::{Connectivity, Event, Host, Keys, Membership, Refused, Timing, incarnation_at};
@@ -18,11 +18,11 @@
 use std::time::{Duration, SystemTime};
 
 /// Datagrams read before others get their turn.
-const A_FEW: usize = 32;
+const READ_BATCH: usize = 32;
 /// Why there are no duties.
 pub const TASKS_OFF: &str = "duties are off: see fellows.duties in the operators' file";
 /// How often an address that is taken is tried again.
-const AGAIN: Duration = Duration::from_millis(100);
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Reads the keys' files.
 pub fn read_keys(paths: &[PathBuf]) -> Result<Keys, String> {
@@ -38,10 +38,10 @@
 pub struct Handle(Sender<MembershipMessage>, Arc<Mutex<Option<Bell>>>);
 
 impl Handle {
-    pub fn send(&self, mail: MembershipMessage) {
-        let _ = self.0.send(mail);
-        let bell = self.1.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        bell.iter().for_each(Bell::ring);
+    pub fn send(&self, message: MembershipMessage) {
+        let _ = self.0.send(message);
+        let waker = self.1.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        waker.iter().for_each(Bell::ring);
     }
 }
 
@@ -58,40 +58,40 @@
 }
 
 struct Actor {
-    circle: Setup,
+    setup: Setup,
     places: HashMap<SocketAddr, usize>,
     clock: Clock,
     counters: Arc<Counters>,
     log: slog::Logger,
-    mail: Receiver<MembershipMessage>,
-    bell: Arc<Mutex<Option<Bell>>>,
+    messages: Receiver<MembershipMessage>,
+    waker: Arc<Mutex<Option<Bell>>>,
     /// Lives of this process so far.
-    life: u32,
-    own: Handle,
+    incarnation: u32,
+    handle: Handle,
     upgrade: Option<UpgradeFn>,
     /// The roll in which this front could not be upgraded.
-    undone: u64,
+    failed_upgrade: u64,
 }
 
 /// Carries out what the membership wants done.
-pub struct Hands<'a> {
+pub struct MembershipIo<'a> {
     post: &'a Post,
     peers: &'a [Option<SocketAddr>],
     counters: &'a Counters,
     log: &'a slog::Logger,
     /// Bodies for the duties, from which front.
     bodies: Vec<(usize, Vec<u8>)>,
-    mail: &'a Handle,
+    handle: &'a Handle,
 }
 
-impl Hands<'_> {
+impl MembershipIo<'_> {
     /// Posts to this actor.
-    pub fn mail(&self) -> Handle {
-        self.mail.clone()
+    pub fn handle(&self) -> Handle {
+        self.handle.clone()
     }
 }
 
-impl Host for Hands<'_> {
+impl Host for MembershipIo<'_> {
     fn send(&mut self, to: usize, datagram: &[u8]) {
         if let Some(Some(at)) = self.peers.get(to) {
             self.counters.fellows_out.add();
@@ -115,8 +115,8 @@
             }
             Event::Restarted(front) => slog::info!(self.log, "fellow back in a later life"; "front" => front),
             Event::Rejoined => slog::warn!(self.log, "fellows took this front for dead"),
-            Event::ConnectivityChanged(standing) => {
-                slog::info!(self.log, "standing"; "standing" => standing.name())
+            Event::ConnectivityChanged(connectivity) => {
+                slog::info!(self.log, "standing"; "standing" => connectivity.name())
             }
             Event::Stalled(span) => {
                 self.counters.standstills.add();
@@ -128,57 +128,68 @@
 
 /// Starts the actor.
 pub fn start(
-    circle: Setup,
+    setup: Setup,
     clock: Clock,
     counters: Arc<Counters>,
     log: slog::Logger,
     stack: usize,
 ) -> Result<Handle, String> {
-    let (send, mail) = channel();
-    let bell = Arc::new(Mutex::new(None));
-    let places = circle.peers.iter().enumerate().filter_map(|(i, at)| Some(((*at)?, i))).collect();
-    let own = Handle(send, bell.clone());
-    let sent = own.clone();
-    let actor =
-        Actor { circle, places, clock, counters, log, mail, bell, life: 0, own, upgrade: None, undone: 0 };
+    let (send, messages) = channel();
+    let waker = Arc::new(Mutex::new(None));
+    let places = setup.peers.iter().enumerate().filter_map(|(i, at)| Some(((*at)?, i))).collect();
+    let handle = Handle(send, waker.clone());
+    let sent = handle.clone();
+    let actor = Actor {
+        setup,
+        places,
+        clock,
+        counters,
+        log,
+        messages,
+        waker,
+        incarnation: 0,
+        handle,
+        upgrade: None,
+        failed_upgrade: 0,
+    };
     spawn("fellows", stack, move || actor.run())?;
     Ok(sent)
 }
 
 impl Actor {
     fn run(mut self) {
-        let mut told = false;
+        let mut bind_failure_logged = false;
         loop {
-            let post = match Post::open(self.circle.listen) {
+            let post = match Post::open(self.setup.listen) {
                 Ok(post) => post,
                 Err(why) => {
                     // The process before this one may still have it.
-                    if !std::mem::replace(&mut told, true) {
+                    if !std::mem::replace(&mut bind_failure_logged, true) {
                         slog::error!(self.log, "fellows can't be heard, tried again"; "why" => why);
                     }
                     let (wake, woken) = channel();
-                    self.clock.run_at(self.clock.now() + AGAIN, move || {
+                    self.clock.run_at(self.clock.now() + BIND_RETRY_INTERVAL, move || {
                         let _ = wake.send(());
                     });
                     let _ = woken.recv();
                     continue;
                 }
             };
-            told = false;
-            *self.bell.lock().unwrap_or_else(PoisonError::into_inner) = Some(post.bell());
-            let done = catch_unwind(AssertUnwindSafe(|| self.speak(&post)));
-            *self.bell.lock().unwrap_or_else(PoisonError::into_inner) = None;
+            bind_failure_logged = false;
+            *self.waker.lock().unwrap_or_else(PoisonError::into_inner) = Some(post.bell());
+            let done = catch_unwind(AssertUnwindSafe(|| self.run_protocol(&post)));
+            *self.waker.lock().unwrap_or_else(PoisonError::into_inner) = None;
             drop(post);
             match done {
                 // Has left: until it is asked in again, or for good.
                 Ok(()) => loop {
-                    match self.mail.recv() {
+                    match self.messages.recv() {
                         Ok(MembershipMessage::Join) => break,
                         Ok(MembershipMessage::Status(reply)) => drop(reply.try_send(json!({ "left": true }))),
-                        Ok(MembershipMessage::SetKeys(keys)) => self.circle.keys = keys,
+                        Ok(MembershipMessage::SetKeys(keys)) => self.setup.keys = keys,
                         Ok(MembershipMessage::FleetTasks(reply)) => drop(reply.try_send(json!([]))),
                         Ok(MembershipMessage::SetUpgrade(upgrade)) => self.upgrade = Some(upgrade),
-                        Ok(MembershipMessage::UpgradeFailed(roll)) => self.undone = roll,
+                        Ok(MembershipMessage::UpgradeFailed(number)) => self.failed_upgrade = number,
                         Ok(
                             MembershipMessage::ChangePrimary { reply, .. }
                             | MembershipMessage::RollingUpgrade { reply, .. },
@@ -198,39 +209,39 @@
         }
     }
 
-    fn core(&mut self) -> Membership {
+    fn new_membership(&mut self) -> Membership {
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-        self.life = incarnation_at(unix).max(self.life + 1);
-        let Setup { me, peers, config, keys, seed, .. } = &self.circle;
-        let times = Timing::with_period(Duration::from_millis(config.every_ms));
-        Membership::new(*me, peers.len(), self.life, *seed, config.speaks, times, keys.clone())
+        self.incarnation = incarnation_at(unix).max(self.incarnation + 1);
+        let Setup { me, peers, config, keys, seed, .. } = &self.setup;
+        let timing = Timing::with_period(Duration::from_millis(config.every_ms));
+        Membership::new(*me, peers.len(), self.incarnation, *seed, config.speaks, timing, keys.clone())
     }
 
     /// Speaks until it is to leave.
-    fn speak(&mut self, post: &Post) {
-        let mut core = self.core();
-        let (begun, clock) = (self.clock.now(), self.clock.clone());
-        let mut read_clock = move || clock.now() - begun;
-        let mut duties = self.circle.config.duties.then(|| self.duties(&core));
-        let bell = post.bell();
-        let mut alarm: Option<(Duration, TimerHandle)> = None;
+    fn run_protocol(&mut self, post: &Post) {
+        let mut membership = self.new_membership();
+        let (started, clock) = (self.clock.now(), self.clock.clone());
+        let mut read_clock = move || clock.now() - started;
+        let mut tasks = self.setup.config.duties.then(|| self.new_fleet_tasks(&membership));
+        let waker = post.bell();
+        let mut timer: Option<(Duration, TimerHandle)> = None;
         // One byte more than the longest, so that a longer one is seen to be longer.
         let mut buffer = [0; juniperdock_membership::MAX_DATAGRAM_BYTES + 1];
         loop {
-            let Actor { circle, counters, log, .. } = &*self;
-            let (bodies, mail) = (Vec::new(), &self.own);
-            let mut hands = Hands { post, peers: &circle.peers, counters, log, bodies, mail };
+            let Actor { setup, counters, log, .. } = &*self;
+            let (bodies, handle) = (Vec::new(), &self.handle);
+            let mut io = MembershipIo { post, peers: &setup.peers, counters, log, bodies, handle };
             let mut read = 0;
-            while read < A_FEW
+            while read < READ_BATCH
                 && let Some((length, from)) = post.receive(&mut buffer)
             {
                 read += 1;
                 counters.fellows_in.add();
                 let now = read_clock();
                 let taken = match self.places.get(&from) {
-                    Some(&place) => core.handle_datagram(now, place, &buffer[..length], &mut hands),
+                    Some(&place) => membership.handle_datagram(now, place, &buffer[..length], &mut io),
                     None => {
-                        core.unknown_sender();
+                        membership.unknown_sender();
                         Err(Refused::WrongSender)
                     }
                 };
@@ -238,52 +249,54 @@
                     counters.fellows_refused.add();
                     slog::debug!(log, "a datagram is refused"; "from" => %from, "why" => why.name());
                 }
-                for (front, body) in std::mem::take(&mut hands.bodies) {
-                    duties.iter_mut().for_each(|d| d.heard(now, front, &body, &mut core, &mut hands));
+                for (front, body) in std::mem::take(&mut io.bodies) {
+                    tasks
+                        .iter_mut()
+                        .for_each(|tasks| tasks.handle_payload(now, front, &body, &mut membership, &mut io));
                 }
             }
-            let (mut leaves, mut other_keys, mut upgrade, mut undone) = (false, None, None, None);
-            while let Ok(mail) = self.mail.try_recv() {
+            let (mut leaving, mut new_keys, mut upgrade, mut failed_upgrade) = (false, None, None, None);
+            while let Ok(message) = self.messages.try_recv() {
                 let now = read_clock();
-                match (mail, &mut duties) {
+                match (message, &mut tasks) {
                     (MembershipMessage::Status(reply), _) => {
-                        drop(reply.try_send(status(&core, &circle.name, now)))
+                        drop(reply.try_send(status(&membership, &setup.name, now)))
                     }
                     (MembershipMessage::SetKeys(keys), _) => {
-                        core.set_keys(keys.clone());
-                        other_keys = Some(keys);
+                        membership.set_keys(keys.clone());
+                        new_keys = Some(keys);
                     }
-                    (MembershipMessage::Leave, _) => leaves = true,
-                    (MembershipMessage::Observations { every, pieces }, Some(duties)) => {
-                        duties.facts(every, pieces, &mut read_clock, &mut core, &mut hands);
+                    (MembershipMessage::Leave, _) => leaving = true,
+                    (MembershipMessage::Observations { every, pieces }, Some(tasks)) => {
+                        tasks.share_observations(every, pieces, &mut read_clock, &mut membership, &mut io);
                     }
-                    (MembershipMessage::ChangeProgress { group, order, step }, Some(duties)) => {
-                        duties.step(now, group, order, step, &mut core, &mut hands);
+                    (MembershipMessage::ChangeProgress { group, order, step }, Some(tasks)) => {
+                        tasks.report_progress(now, group, order, step, &mut membership, &mut io);
                     }
-                    (MembershipMessage::ChangePrimary { group, successor, cancel, reply }, Some(duties)) => {
-                        duties.order(now, circle.me, group, successor, cancel, reply);
+                    (MembershipMessage::ChangePrimary { group, successor, cancel, reply }, Some(tasks)) => {
+                        tasks.order_move(now, setup.me, group, successor, cancel, reply);
                     }
-                    (MembershipMessage::SetUpgrade(call), duties) => {
-                        duties.iter_mut().for_each(|duties| duties.upgraded_by(call.clone()));
+                    (MembershipMessage::SetUpgrade(call), tasks) => {
+                        tasks.iter_mut().for_each(|tasks| tasks.set_upgrade(call.clone()));
                         upgrade = Some(call);
                     }
-                    (MembershipMessage::UpgradeFailed(roll), duties) => {
-                        duties.iter_mut().for_each(|duties| duties.undone(roll));
-                        undone = Some(roll);
+                    (MembershipMessage::UpgradeFailed(number), tasks) => {
+                        tasks.iter_mut().for_each(|tasks| tasks.set_failed_upgrade(number));
+                        failed_upgrade = Some(number);
                     }
-                    (MembershipMessage::RollingUpgrade { program, at_once, cancel, reply }, Some(duties)) => {
-                        let answer = duties.order_roll(
+                    (MembershipMessage::RollingUpgrade { program, at_once, cancel, reply }, Some(tasks)) => {
+                        let answer = tasks.order_upgrade(
                             now,
                             program.as_deref(),
                             at_once,
                             cancel,
-                            &mut core,
-                            &mut hands,
+                            &mut membership,
+                            &mut io,
                         );
                         drop(reply.try_send(answer));
                     }
-                    (MembershipMessage::FleetTasks(reply), Some(duties)) => {
-                        drop(reply.try_send(duties.status(now)))
+                    (MembershipMessage::FleetTasks(reply), Some(tasks)) => {
+                        drop(reply.try_send(tasks.status(now)))
                     }
                     (
                         MembershipMessage::Join
@@ -301,48 +314,56 @@
                     }
                 }
             }
-            if leaves {
-                duties.iter_mut().for_each(|d| d.leave(read_clock(), &mut core, &mut hands));
-                core.leave(read_clock(), &mut hands);
+            if leaving {
+                tasks.iter_mut().for_each(|tasks| tasks.leave(read_clock(), &mut membership, &mut io));
+                membership.leave(read_clock(), &mut io);
                 return;
             }
-            core.handle_timeout(read_clock(), &mut hands);
-            duties.iter_mut().for_each(|d| d.turn(&mut read_clock, &mut core, &mut hands));
+            membership.handle_timeout(read_clock(), &mut io);
+            tasks.iter_mut().for_each(|tasks| tasks.run_due(&mut read_clock, &mut membership, &mut io));
             // One alarm at a time.
-            let next = core
+            let next = membership
                 .next_timeout()
-                .min(duties.as_ref().map_or(Duration::MAX, Duties::next))
-                .saturating_add(begun);
-            drop(hands);
-            if let Some(keys) = other_keys {
-                self.circle.keys = keys;
+                .min(tasks.as_ref().map_or(Duration::MAX, FleetTasks::next_timeout))
+                .saturating_add(started);
+            drop(io);
+            if let Some(keys) = new_keys {
+                self.setup.keys = keys;
             }
             self.upgrade = upgrade.or(self.upgrade.take());
-            self.undone = undone.unwrap_or(self.undone);
-            if alarm.as_ref().is_none_or(|(at, _)| *at != next) {
-                alarm.iter().for_each(|(_, old)| self.clock.cancel(old));
-                let bell = bell.clone();
-                alarm = Some((next, self.clock.run_at(next, move || bell.ring())));
+            self.failed_upgrade = failed_upgrade.unwrap_or(self.failed_upgrade);
+            if timer.as_ref().is_none_or(|(at, _)| *at != next) {
+                timer.iter().for_each(|(_, old)| self.clock.cancel(old));
+                let waker = waker.clone();
+                timer = Some((next, self.clock.run_at(next, move || waker.ring())));
             }
-            if read == A_FEW { give_way() } else { post.wait() }
+            if read == READ_BATCH { give_way() } else { post.wait() }
         }
     }
 
-    fn duties(&self, core: &Membership) -> Duties {
-        let Setup { peers, config, seed, dispatcher, .. } = &self.circle;
+    fn new_fleet_tasks(&self, membership: &Membership) -> FleetTasks {
+        let Setup { peers, config, seed, dispatcher, .. } = &self.setup;
         let period = Duration::from_millis(config.every_ms);
         let (dispatcher, counters, log) = (dispatcher.clone(), self.counters.clone(), self.log.clone());
-        let mut duties =
-            Duties::new(Duration::ZERO, core, peers.len(), *seed, period, dispatcher, counters, log);
-        duties.undone(self.undone);
-        self.upgrade.iter().for_each(|upgrade| duties.upgraded_by(upgrade.clone()));
-        duties
+        let mut tasks = FleetTasks::new(
+            Duration::ZERO,
+            membership,
+            peers.len(),
+            *seed,
+            period,
+            dispatcher,
+            counters,
+            log,
+        );
+        tasks.set_failed_upgrade(self.failed_upgrade);
+        self.upgrade.iter().for_each(|upgrade| tasks.set_upgrade(upgrade.clone()));
+        tasks
     }
 }
 
 /// What `fleet status` tells.
-fn status(core: &Membership, name: &str, now: Duration) -> Value {
-    let (standing, since) = core.connectivity();
+fn status(membership: &Membership, name: &str, now: Duration) -> Value {
+    let (connectivity, since) = membership.connectivity();
     let ago = |at: Duration| now.saturating_sub(at).as_millis() as u64;
     let front = |f: &juniperdock_membership::Peer| {
         json!({ "index": f.index, "state": f.liveness.name(), "incarnation": f.incarnation,
@@ -350,12 +371,12 @@
     };
     let refused: serde_json::Map<String, Value> = Refused::ALL
         .iter()
-        .filter(|why| core.refused[**why as usize] > 0)
-        .map(|why| (why.name().to_owned(), core.refused[*why as usize].into()))
+        .filter(|why| membership.refused[**why as usize] > 0)
+        .map(|why| (why.name().to_owned(), membership.refused[*why as usize].into()))
         .collect();
-    json!({ "me": core.me(), "name": name, "incarnation": core.incarnation(),
-        "standing": standing.name(), "since_ms": ago(since), "view": core.view_version(),
-        "present": core.present(), "fronts": core.peers().iter().map(front).collect::<Vec<_>>(),
-        "datagrams_in": core.datagrams_in, "datagrams_out": core.datagrams_out, "bytes_out": core.bytes_out,
-        "longest": core.longest_datagram, "refused": refused })
+    json!({ "me": membership.me(), "name": name, "incarnation": membership.incarnation(),
+        "standing": connectivity.name(), "since_ms": ago(since), "view": membership.view_version(),
+        "present": membership.present(), "fronts": membership.peers().iter().map(front).collect::<Vec<_>>(),
+        "datagrams_in": membership.datagrams_in, "datagrams_out": membership.datagrams_out, "bytes_out": membership.bytes_out,
+        "longest": membership.longest_datagram, "refused": refused })
 }
