--- a/crates/admission/benches/heavy.rs
+++ b/crates/admission/benches/heavy.rs
@@ -1,7 +1,7 @@
-//! The sketch beside an exact map, callers drawn unevenly; and what each holds.
+//! The sketch beside an exact map, with skewed callers, and the memory of each.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use juniperdock_admission::{Fair, Heavy};
+use juniperdock_admission::{FairShare, HeavyHitters};
 use oorandom::Rand64;
 use std::collections::HashMap;
 use std::hint::black_box;
@@ -20,12 +20,12 @@
         let callers = callers(many);
         let mut at = 0;
         of.bench_function(BenchmarkId::new("sketch of 1024", many), |b| {
-            let mut heavy = Heavy::new(1024, Duration::from_millis(500));
+            let mut sketch = HeavyHitters::new(1024, Duration::from_millis(500));
             b.iter(|| {
                 at += 1;
-                heavy.add(Duration::from_micros(at as u64 * 10), callers[at % callers.len()], 1.0)
+                sketch.add(Duration::from_micros(at as u64 * 10), callers[at % callers.len()], 1.0)
             });
-            println!("{} bytes", heavy.bytes());
+            println!("{} bytes", sketch.bytes());
         });
         of.bench_function(BenchmarkId::new("exact map", many), |b| {
             let mut exact: HashMap<u64, f64> = HashMap::new();
@@ -36,11 +36,11 @@
             println!("{} bytes", exact.capacity() * 17);
         });
         of.bench_function(BenchmarkId::new("fair share, short", many), |b| {
-            let mut fair = Fair::new(1024);
+            let mut fair = FairShare::new(1024);
             b.iter(|| {
                 at += 1;
                 black_box(
-                    fair.asks(
+                    fair.request(
                         Duration::from_micros(at as u64 * 10),
                         callers[at % callers.len()],
                         false,
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,17 +1,16 @@
-//! Who is turned away at a front's own door, and when. No I/O, no clock of its own.
+//! Admission control: which txns a front declines under overload. No I/O, no clock of its own.
 //!
-//! A front that falls behind answers late whatever it has taken in; what it turns away before that costs it
-//! little and its client nothing but the way. [`Entry`] learns from the age of the front's mail how much it can
-//! take, and turns away the rest at once: first what callers ask beyond a fair share, then what is worth least
-//! per work. What was taken in is not touched, and nothing is ever held back. Which member takes a txn, and
-//! whether again, is none of its business.
+//! A front that falls behind answers everything late; declining a txn early costs it little, and costs the client only
+//! a round trip. [`AdmissionControl`] learns the front's capacity from the age of the messages that it handles, and
+//! declines the excess at once: first what callers request beyond a fair share, then the lowest value per work.
+//! Admitted txns are not touched, and nothing is delayed. It does not decide which member runs a txn, nor on retries.
 
-mod entry;
-mod fair;
-mod heavy;
-mod pace;
+mod adaptive_limit;
+mod control;
+mod fair_share;
+mod heavy_hitters;
 
-pub use entry::{Entry, Standing, Verdict};
-pub use fair::Fair;
-pub use heavy::Heavy;
-pub use pace::Pace;
+pub use adaptive_limit::AdaptiveLimit;
+pub use control::{AdmissionControl, AdmissionStatus, Verdict};
+pub use fair_share::FairShare;
+pub use heavy_hitters::HeavyHitters;
--- a/crates/budget/benches/budget.rs
+++ b/crates/budget/benches/budget.rs
@@ -1,4 +1,4 @@
-//! A reservation and its return, with so many callers under one purpose; beside a plain counter under a lock.
+//! A reservation and its return, for various numbers of callers under one purpose; beside a plain counter in a mutex.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use juniperdock_budget::Tree;
@@ -9,15 +9,15 @@
     let mut of = c.benchmark_group("reserve and return");
     for callers in [10, 1_000, 100_000] {
         let tree = Tree::new("process", 1 << 40);
-        let purpose = tree.part(tree.root(), "clients", 1 << 40, 1 << 20).expect("it fits");
-        let parts: Vec<_> =
-            (0..callers).map(|i| tree.part(purpose, &format!("caller {i}"), 1 << 30, 0)).collect();
-        let parts: Vec<_> = parts.into_iter().map(|part| part.expect("it fits")).collect();
+        let purpose = tree.add_budget(tree.root(), "clients", 1 << 40, 1 << 20).expect("it fits");
+        let budgets: Vec<_> =
+            (0..callers).map(|i| tree.add_budget(purpose, &format!("caller {i}"), 1 << 30, 0)).collect();
+        let budgets: Vec<_> = budgets.into_iter().map(|budget| budget.expect("it fits")).collect();
         let mut at = 0;
         of.bench_function(BenchmarkId::new("tree of three", callers), |b| {
             b.iter(|| {
-                at = (at + 7919) % parts.len();
-                black_box(tree.reserve(parts[at], 4096).is_ok())
+                at = (at + 7919) % budgets.len();
+                black_box(tree.reserve(budgets[at], 4096).is_ok())
             });
         });
     }
--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -1,23 +1,22 @@
-//! Budgets by purpose, in a tree: whoever needs something reserves it first, and gives it back by dropping a
-//! guard.
+//! Budgets by purpose, in a tree: a caller reserves what it needs first, and returns it by dropping a guard.
 //!
-//! A budget has a cap, and a least share of what its parent has: what is inside the least share is there when
-//! it is wanted. What one does not use is lent to the others, up to their caps. Who wants its own back and
-//! finds it lent is told so at once, and those who have borrowed get nothing more until it is back; they can
-//! ask what they owe, and close work of their own. A cap that is lowered under the present use lets nothing
-//! new in until use has come down. Nothing here waits, and nothing is taken from anyone by force.
+//! A budget has a cap, and a guaranteed share of its parent's amount. What one budget does not use is lent to the
+//! others, up to their caps. A budget that wants a lent part of its guaranteed share is refused at once, and the
+//! borrowers get nothing more until it is back; they can ask what they owe and close work of their own. A cap that is
+//! lowered below the present use admits nothing new until the use has come down. Nothing here waits, and nothing is
+//! taken back by force.
 //!
 //! ```
 //! use juniperdock_budget::Tree;
 //!
 //! let tree = Tree::new("process", 100);
-//! let clients = tree.part(tree.root(), "clients", 80, 20).unwrap();
-//! let results = tree.part(tree.root(), "results", 90, 50).unwrap();
+//! let clients = tree.add_budget(tree.root(), "clients", 80, 20).unwrap();
+//! let results = tree.add_budget(tree.root(), "results", 90, 50).unwrap();
 //! let lent = tree.reserve(clients, 70).unwrap();
-//! // Its least share is 50, of which 20 are lent.
-//! let short = tree.reserve(results, 40).unwrap_err();
-//! assert_eq!((short.at, short.lacks), (results, 10));
-//! assert_eq!(tree.owes(clients), 10);
+//! // Its guaranteed share is 50, of which 20 are lent.
+//! let shortage = tree.reserve(results, 40).unwrap_err();
+//! assert_eq!((shortage.at, shortage.missing), (results, 10));
+//! assert_eq!(tree.owed(clients), 10);
 //! drop(lent);
 //! assert!(tree.reserve(results, 40).is_ok());
 //! ```
@@ -25,41 +24,41 @@
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// A budget of a tree, by its place there.
+/// A budget of a tree, by its position there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Part(usize);
+pub struct BudgetId(usize);
 
 /// Why nothing was reserved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Short {
-    /// The budget that has not enough: the one asked, or one above it.
-    pub at: Part,
-    /// How much there is too little.
-    pub lacks: u64,
-    /// It will be there once others give back what they have borrowed; else its own cap is in the way.
+pub struct Shortage {
+    /// The budget that is short: the requested one, or one above it.
+    pub at: BudgetId,
+    /// The missing amount.
+    pub missing: u64,
+    /// The amount is lent and will be there once others return it; otherwise a cap is in the way.
     pub lent: bool,
 }
 
-impl fmt::Display for Short {
+impl fmt::Display for Shortage {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let why = if self.lent { "lent to others" } else { "over its cap" };
-        write!(f, "{} too little, {why}", self.lacks)
+        write!(f, "{} missing, {why}", self.missing)
     }
 }
 
-impl std::error::Error for Short {}
+impl std::error::Error for Shortage {}
 
-/// How a budget stands.
+/// The state of a budget.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct BudgetStatus {
     pub name: String,
-    /// How far down in the tree.
+    /// Depth in the tree.
     pub depth: usize,
     pub cap: u64,
-    pub least: u64,
+    pub guaranteed: u64,
     pub used: u64,
-    pub most_used: u64,
-    /// How often it had too little.
+    pub peak_used: u64,
+    /// How often it was short.
     pub refused: u64,
 }
 
@@ -68,124 +67,130 @@
     name: String,
     parent: Option<usize>,
     cap: u64,
-    least: u64,
+    guaranteed: u64,
     used: u64,
-    most_used: u64,
+    peak_used: u64,
     refused: u64,
-    /// How much more of its own it wants than it could have, because it was lent.
-    wants: u64,
-    /// Those below it that want something, and how much in all.
-    wanting: Vec<usize>,
-    wanted: u64,
-    /// Least shares promised below it, and how many there are.
-    promised: u64,
-    below: usize,
+    /// The part of its guaranteed share that it could not have because it was lent.
+    reclaims: u64,
+    /// The children that reclaim something, and how much in all.
+    reclaimers: Vec<usize>,
+    reclaimed: u64,
+    /// The sum of the children's guaranteed shares, and how many children there are.
+    guaranteed_below: u64,
+    children: usize,
     closed: bool,
 }
 
-/// A tree of budgets; clones are the same one.
+/// A tree of budgets; clones share it.
 #[derive(Clone, Debug)]
 pub struct Tree(Arc<Mutex<Vec<Node>>>);
 
 impl Tree {
-    /// A tree whose root holds so much.
+    /// A tree whose root holds this much.
     pub fn new(name: &str, cap: u64) -> Tree {
         Tree(Arc::new(Mutex::new(vec![Node::new(name, None, cap, 0)])))
     }
 
-    pub fn root(&self) -> Part {
-        Part(0)
+    pub fn root(&self) -> BudgetId {
+        BudgetId(0)
     }
 
-    /// Held for a few steps only. A panic elsewhere leaves the numbers as they are: each step is whole.
+    /// Locked for a few steps only. A panic elsewhere leaves the numbers consistent, as each step is complete.
     fn lock(&self) -> MutexGuard<'_, Vec<Node>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A budget under another one. The least shares under one parent may not exceed what it has.
-    pub fn part(&self, parent: Part, name: &str, cap: u64, least: u64) -> Result<Part, String> {
+    /// Adds a budget under another one. The guaranteed shares under one parent may not exceed the parent's cap.
+    pub fn add_budget(
+        &self,
+        parent: BudgetId,
+        name: &str,
+        cap: u64,
+        guaranteed: u64,
+    ) -> Result<BudgetId, String> {
         let mut nodes = self.lock();
         let cap = cap.min(nodes[parent.0].cap);
-        check(&nodes, parent.0, 0, name, cap, least)?;
+        check_guarantees(&nodes, parent.0, 0, name, cap, guaranteed)?;
         let above = &mut nodes[parent.0];
-        (above.promised, above.below) = (above.promised + least, above.below + 1);
-        nodes.push(Node::new(name, Some(parent.0), cap, least));
-        Ok(Part(nodes.len() - 1))
+        (above.guaranteed_below, above.children) = (above.guaranteed_below + guaranteed, above.children + 1);
+        nodes.push(Node::new(name, Some(parent.0), cap, guaranteed));
+        Ok(BudgetId(nodes.len() - 1))
     }
 
-    /// Another cap and least share for one that is there. Nothing is taken away: what is over the new cap
-    /// comes down as it is given back.
-    pub fn reset(&self, part: Part, cap: u64, least: u64) -> Result<(), String> {
+    /// Changes the cap and guaranteed share of a budget. Nothing is taken away: use above the new cap comes down as
+    /// reservations are returned.
+    pub fn set_limits(&self, budget: BudgetId, cap: u64, guaranteed: u64) -> Result<(), String> {
         let mut nodes = self.lock();
-        let Node { parent, promised, least: before, .. } = nodes[part.0];
+        let Node { parent, guaranteed_below, guaranteed: before, .. } = nodes[budget.0];
         if let Some(parent) = parent {
-            check(&nodes, parent, before, &nodes[part.0].name, cap, least)?;
+            check_guarantees(&nodes, parent, before, &nodes[budget.0].name, cap, guaranteed)?;
         }
-        if promised > cap {
+        if guaranteed_below > cap {
             return Err(format!(
-                "{}: the least shares below it are {promised}, over {cap}",
-                nodes[part.0].name
+                "{}: the guaranteed shares below it are {guaranteed_below}, over {cap}",
+                nodes[budget.0].name
             ));
         }
         if let Some(parent) = parent {
-            nodes[parent].promised = nodes[parent].promised - before + least;
+            nodes[parent].guaranteed_below = nodes[parent].guaranteed_below - before + guaranteed;
         }
-        (nodes[part.0].cap, nodes[part.0].least) = (cap, least);
+        (nodes[budget.0].cap, nodes[budget.0].guaranteed) = (cap, guaranteed);
         Ok(())
     }
 
-    /// Reserves so much of a budget and of all above it, or nothing at all.
-    pub fn reserve(&self, part: Part, amount: u64) -> Result<Grant, Short> {
+    /// Reserves an amount of a budget and of all above it, or nothing at all.
+    pub fn reserve(&self, budget: BudgetId, amount: u64) -> Result<Reservation, Shortage> {
         let mut nodes = self.lock();
-        match room(&nodes, part.0, amount) {
+        match check_room(&nodes, budget.0, amount) {
             Ok(()) => {
-                take(&mut nodes, part.0, amount);
+                charge(&mut nodes, budget.0, amount);
                 drop(nodes);
-                Ok(Grant { tree: self.clone(), part: part.0, amount })
+                Ok(Reservation { tree: self.clone(), budget: budget.0, amount })
             }
-            Err(short) => {
-                nodes[part.0].refused += 1;
-                if short.lent {
-                    want(&mut nodes, short.at.0, short.lacks);
+            Err(shortage) => {
+                nodes[budget.0].refused += 1;
+                if shortage.lent {
+                    set_reclaims(&mut nodes, shortage.at.0, shortage.missing);
                 }
-                Err(short)
+                Err(shortage)
             }
         }
     }
 
-    /// What a budget has borrowed that others have asked back.
-    pub fn owes(&self, part: Part) -> u64 {
+    /// What a budget has borrowed and others have reclaimed.
+    pub fn owed(&self, budget: BudgetId) -> u64 {
         let nodes = self.lock();
-        let node = &nodes[part.0];
+        let node = &nodes[budget.0];
         let Some(parent) = node.parent else { return 0 };
-        node.used.saturating_sub(node.least).min(nodes[parent].wanted)
+        node.used.saturating_sub(node.guaranteed).min(nodes[parent].reclaimed)
     }
 
-    pub fn used(&self, part: Part) -> u64 {
-        self.lock()[part.0].used
+    pub fn used(&self, budget: BudgetId) -> u64 {
+        self.lock()[budget.0].used
     }
 
-    /// What of its cap is free, whoever else may want it.
-    pub fn free(&self, part: Part) -> u64 {
+    /// What is left of its cap, whatever other budgets may need.
+    pub fn free(&self, budget: BudgetId) -> u64 {
         let nodes = self.lock();
-        nodes[part.0].cap.saturating_sub(nodes[part.0].used)
+        nodes[budget.0].cap.saturating_sub(nodes[budget.0].used)
     }
 
-    /// Ends a budget of which nothing is used; its least share is free for others.
-    pub fn close(&self, part: Part) -> bool {
+    /// Closes an unused budget; its guaranteed share is free for others.
+    pub fn close(&self, budget: BudgetId) -> bool {
         let mut nodes = self.lock();
-        let Node { parent, used, below, least, closed, .. } = nodes[part.0];
-        let Some(parent) = parent.filter(|_| used == 0 && below == 0 && !closed) else { return false };
-        want(&mut nodes, part.0, 0);
-        (nodes[parent].promised, nodes[parent].below) =
-            (nodes[parent].promised - least, nodes[parent].below - 1);
-        let node = &mut nodes[part.0];
-        (node.closed, node.least, node.cap) = (true, 0, 0);
+        let Node { parent, used, children, guaranteed, closed, .. } = nodes[budget.0];
+        let Some(parent) = parent.filter(|_| used == 0 && children == 0 && !closed) else { return false };
+        set_reclaims(&mut nodes, budget.0, 0);
+        (nodes[parent].guaranteed_below, nodes[parent].children) =
+            (nodes[parent].guaranteed_below - guaranteed, nodes[parent].children - 1);
+        let node = &mut nodes[budget.0];
+        (node.closed, node.guaranteed, node.cap) = (true, 0, 0);
         true
     }
 
-    /// How all stand, parents before their children.
-    pub fn standings(&self) -> Vec<Standing> {
+    /// The state of all budgets, parents before their children.
+    pub fn statuses(&self) -> Vec<BudgetStatus> {
         let nodes = self.lock();
         let depth = |mut at: usize| {
             let mut depth = 0;
@@ -195,13 +200,13 @@
             depth
         };
         let open = nodes.iter().enumerate().filter(|(_, node)| !node.closed);
-        open.map(|(at, node)| Standing {
+        open.map(|(at, node)| BudgetStatus {
             name: node.name.clone(),
             depth: depth(at),
             cap: node.cap,
-            least: node.least,
+            guaranteed: node.guaranteed,
             used: node.used,
-            most_used: node.most_used,
+            peak_used: node.peak_used,
             refused: node.refused,
         })
         .collect()
@@ -209,128 +214,136 @@
 }
 
 impl Node {
-    fn new(name: &str, parent: Option<usize>, cap: u64, least: u64) -> Node {
+    fn new(name: &str, parent: Option<usize>, cap: u64, guaranteed: u64) -> Node {
         let name = name.to_owned();
-        let (used, most_used, refused, wants, wanted, promised, below) = (0, 0, 0, 0, 0, 0, 0);
-        let wanting = Vec::new();
+        let (used, peak_used, refused, reclaims, reclaimed, guaranteed_below, children) =
+            (0, 0, 0, 0, 0, 0, 0);
+        let reclaimers = Vec::new();
         Node {
             name,
             parent,
             cap,
-            least,
+            guaranteed,
             used,
-            most_used,
+            peak_used,
             refused,
-            wants,
-            wanting,
-            wanted,
-            promised,
-            below,
+            reclaims,
+            reclaimers,
+            reclaimed,
+            guaranteed_below,
+            children,
             closed: false,
         }
     }
 }
 
-fn check(nodes: &[Node], parent: usize, before: u64, name: &str, cap: u64, least: u64) -> Result<(), String> {
-    if least > cap {
-        return Err(format!("{name}: its least share of {least} is over its cap of {cap}"));
+fn check_guarantees(
+    nodes: &[Node],
+    parent: usize,
+    before: u64,
+    name: &str,
+    cap: u64,
+    guaranteed: u64,
+) -> Result<(), String> {
+    if guaranteed > cap {
+        return Err(format!("{name}: its guaranteed share of {guaranteed} is over its cap of {cap}"));
     }
     let above = &nodes[parent];
-    let promised = (above.promised - before).saturating_add(least);
-    if promised > above.cap {
+    let guaranteed_below = (above.guaranteed_below - before).saturating_add(guaranteed);
+    if guaranteed_below > above.cap {
         return Err(format!(
-            "{name}: the least shares under {} would be {promised}, over {}",
+            "{name}: the guaranteed shares under {} would be {guaranteed_below}, over {}",
             above.name, above.cap
         ));
     }
     Ok(())
 }
 
-/// Whether a budget and all above it have room for so much more.
-fn room(nodes: &[Node], part: usize, amount: u64) -> Result<(), Short> {
-    let mut at = part;
+/// Whether a budget and all above it have room for this much more.
+fn check_room(nodes: &[Node], budget: usize, amount: u64) -> Result<(), Shortage> {
+    let mut at = budget;
     loop {
         let node = &nodes[at];
         let after = node.used.saturating_add(amount);
         if after > node.cap {
-            return Err(Short { at: Part(at), lacks: after - node.cap, lent: false });
+            return Err(Shortage { at: BudgetId(at), missing: after - node.cap, lent: false });
         }
         let Some(parent) = node.parent else { return Ok(()) };
         let above = &nodes[parent];
         let over = above.used.saturating_add(amount).saturating_sub(above.cap);
-        let own = after <= node.least;
-        // Inside its least share it lacks only what is lent; beyond it, what others have asked back is theirs.
+        let own = after <= node.guaranteed;
+        // Inside its guaranteed share it lacks only what is lent; beyond it, what others have reclaimed is theirs.
         if own && over > 0 {
-            return Err(Short { at: Part(at), lacks: over, lent: true });
+            return Err(Shortage { at: BudgetId(at), missing: over, lent: true });
         }
-        if !own && above.wanted > 0 {
-            let free = above.cap.saturating_sub(above.used).saturating_sub(above.wanted);
+        if !own && above.reclaimed > 0 {
+            let free = above.cap.saturating_sub(above.used).saturating_sub(above.reclaimed);
             if amount > free {
-                return Err(Short { at: Part(parent), lacks: amount - free, lent: false });
+                return Err(Shortage { at: BudgetId(parent), missing: amount - free, lent: false });
             }
         }
         at = parent;
     }
 }
 
-fn take(nodes: &mut [Node], part: usize, amount: u64) {
-    let mut next = Some(part);
+fn charge(nodes: &mut [Node], budget: usize, amount: u64) {
+    let mut next = Some(budget);
     while let Some(at) = next {
         let node = &mut nodes[at];
         node.used += amount;
-        node.most_used = node.most_used.max(node.used);
+        node.peak_used = node.peak_used.max(node.used);
         next = node.parent;
-        if node.wants > 0 {
-            // It has what it wanted, or a part of it.
-            let left = node.wants.saturating_sub(amount);
-            want(nodes, at, left);
+        if node.reclaims > 0 {
+            // It has what it reclaimed, or a part of it.
+            let left = node.reclaims.saturating_sub(amount);
+            set_reclaims(nodes, at, left);
         }
     }
 }
 
-/// Notes how much of its own a budget wants back.
-fn want(nodes: &mut [Node], at: usize, wants: u64) {
-    let before = std::mem::replace(&mut nodes[at].wants, wants);
-    let Some(parent) = nodes[at].parent.filter(|_| before != wants) else { return };
+/// Records how much of its guaranteed share a budget reclaims.
+fn set_reclaims(nodes: &mut [Node], at: usize, reclaims: u64) {
+    let before = std::mem::replace(&mut nodes[at].reclaims, reclaims);
+    let Some(parent) = nodes[at].parent.filter(|_| before != reclaims) else { return };
     let above = &mut nodes[parent];
-    above.wanted = above.wanted - before + wants;
-    match (before, wants) {
-        (0, _) => above.wanting.push(at),
-        (_, 0) => above.wanting.retain(|&other| other != at),
+    above.reclaimed = above.reclaimed - before + reclaims;
+    match (before, reclaims) {
+        (0, _) => above.reclaimers.push(at),
+        (_, 0) => above.reclaimers.retain(|&other| other != at),
         _ => {}
     }
 }
 
-/// Something that was reserved; given back when it is dropped, by a panic too.
+/// A reserved amount; returned when it is dropped, also by a panic.
 #[derive(Debug)]
-pub struct Grant {
+pub struct Reservation {
     tree: Tree,
-    part: usize,
+    budget: usize,
     amount: u64,
 }
 
-impl Grant {
+impl Reservation {
     pub fn amount(&self) -> u64 {
         self.amount
     }
 
-    /// Reserves more to it, or leaves it as it is.
-    pub fn grow(&mut self, by: u64) -> Result<(), Short> {
-        let more = self.tree.reserve(Part(self.part), by)?;
+    /// Reserves more, or leaves it unchanged.
+    pub fn grow(&mut self, by: u64) -> Result<(), Shortage> {
+        let more = self.tree.reserve(BudgetId(self.budget), by)?;
         self.amount += by;
         std::mem::forget(more);
         Ok(())
     }
 
-    /// Gives a part of it back.
+    /// Returns a part of it.
     pub fn shrink(&mut self, by: u64) {
         let by = by.min(self.amount);
         self.amount -= by;
-        self.tree.give(self.part, by);
+        self.tree.refund(self.budget, by);
     }
 
-    /// Grows or shrinks it to so much.
-    pub fn set(&mut self, amount: u64) -> Result<(), Short> {
+    /// Grows or shrinks it to this amount.
+    pub fn set(&mut self, amount: u64) -> Result<(), Shortage> {
         if amount > self.amount {
             return self.grow(amount - self.amount);
         }
@@ -340,21 +353,21 @@
 }
 
 impl Tree {
-    fn give(&self, part: usize, amount: u64) {
+    fn refund(&self, budget: usize, amount: u64) {
         let mut nodes = self.lock();
-        let mut next = Some(part);
+        let mut next = Some(budget);
         while let Some(at) = next {
             nodes[at].used = nodes[at].used.saturating_sub(amount);
             next = nodes[at].parent;
         }
-        // Who asked for its own back, and has all of it in reach again, wants nothing more.
-        let mut next = nodes[part].parent;
+        // A budget whose whole guaranteed share is available again reclaims nothing more.
+        let mut next = nodes[budget].parent;
         while let Some(parent) = next {
             let free = nodes[parent].cap.saturating_sub(nodes[parent].used);
-            let left = |at: &usize| nodes[*at].least.saturating_sub(nodes[*at].used);
-            if nodes[parent].wanted > 0 && free >= nodes[parent].wanting.iter().map(left).sum() {
-                for at in nodes[parent].wanting.clone() {
-                    want(&mut nodes, at, 0);
+            let left = |at: &usize| nodes[*at].guaranteed.saturating_sub(nodes[*at].used);
+            if nodes[parent].reclaimed > 0 && free >= nodes[parent].reclaimers.iter().map(left).sum() {
+                for at in nodes[parent].reclaimers.clone() {
+                    set_reclaims(&mut nodes, at, 0);
                 }
             }
             next = nodes[parent].parent;
@@ -362,8 +375,8 @@
     }
 }
 
-impl Drop for Grant {
+impl Drop for Reservation {
     fn drop(&mut self) {
-        self.tree.give(self.part, self.amount);
+        self.tree.refund(self.budget, self.amount);
     }
 }
