--- a/crates/front/src/fleet_tasks.rs
+++ b/crates/front/src/fleet_tasks.rs
@@ -1,5 +1,5 @@
-//! Work on behalf of all fronts, where the operators' file has it: the rules of `juniperdock_lease` and
-//! `juniperdock_fleet_tasks` meet the fellows' datagrams, the desk, the log and the operators. Nothing is decided here.
+//! Work on behalf of all fronts, where the operators' file enables it. Connects the rules of `juniperdock_lease` and
+//! `juniperdock_fleet_tasks` to the membership's datagrams, the dispatcher, the log and the operators; decides nothing.
 
 use crate::counters::Counters;
 use crate::membership::MembershipIo;
@@ -21,49 +21,50 @@
 use std::sync::mpsc::SyncSender;
 use std::time::Duration;
 
-/// A grant lasts so many of the fellows' periods.
+/// Duration of a lease, in periods of the membership protocol.
 const LEASE_PERIODS: u32 = 6;
-/// An order that has not got its duty after so many grants' time is given up.
+/// Lease durations after which an order that has not got its task is given up.
 const ORDER_TIMEOUT_LEASES: u32 = 2;
-/// Changes that are over and still told.
+/// Changes that have ended and are still shown in the status.
 const MAX_ENDED_MOVES: usize = 16;
-/// Words about a rolling upgrade: its state, a front's turn, an order, and that it is called off.
+/// Payload kinds of a rolling upgrade: its state, the order to a front to upgrade, the start, and the cancellation.
 const STATE: u8 = 1;
 const UPGRADE: u8 = 2;
 const START: u8 = 3;
 const CANCEL: u8 = 4;
-/// An owner that says nothing of a roll for so long may not know of it: whoever does tells it.
+/// An owner that is silent about an upgrade for this long may not know of it; other fronts then send it the state.
 const OWNER_SILENCE: Duration = Duration::from_secs(1);
-/// Until the desk has said how often it wants to be asked.
+/// Interval until the dispatcher has set its own.
 const INITIAL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Who waits for the answer to an order.
+/// Where the answer to an order goes.
 type Reply = SyncSender<Result<String, String>>;
 
-/// What has come in for this front, and is to be looked at.
+/// What has arrived for this front and is to be processed.
 enum Incoming {
     Effect(usize, TaskId, u64, Vec<u8>),
     Report(usize, TaskId, Vec<u8>),
     Announcement(TaskId, Vec<u8>),
 }
 
-/// A change that this front was asked for and does not own yet.
+/// A change that was ordered at this front, which does not own its task yet.
 struct Order {
     successor: Option<String>,
     since: Duration,
     reply: Reply,
 }
 
-/// A change that another front, or this one, has ordered of this one.
+/// A hold that the owner of a change has ordered of this front.
 struct HoldState {
     task: TaskId,
-    /// Which change it is, and the term of whoever ordered it last.
+    /// Identifies the change; and the term under which it was last ordered.
     order: u64,
     term: u64,
     owner: usize,
     step: HoldStep,
 }
 
+/// One front's part in the fleet's tasks.
 pub struct FleetTasks {
     leases: LeaseManager,
     lease_duration: Duration,
@@ -73,26 +74,27 @@
     orders: BTreeMap<u64, Order>,
     moves: BTreeMap<u64, (PrimaryMove, Option<Reply>)>,
     ended_moves: VecDeque<PrimaryMove>,
-    /// By group: what was last ordered here. A hold that comes late or twice is nothing new.
+    /// By group: the hold that was last ordered here. A late or repeated order changes nothing.
     holds: BTreeMap<u64, HoldState>,
     report_interval: Duration,
     next_health_update: Duration,
     incoming: Vec<Incoming>,
-    /// By duty: the term of the effect that was carried out last.
+    /// By task: the term of the last effect that was carried out.
     terms: BTreeMap<TaskId, u64>,
-    /// The newest roll that was heard of, what its owner has seen, and the one in which this process has had its turn.
+    /// The newest known rolling upgrade, its coordinator if this front owns the task, and the last one that upgraded
+    /// this process.
     upgrade_state: UpgradeState,
     coordinator: Option<UpgradeCoordinator>,
     last_upgrade: u64,
     failed_upgrade: u64,
-    /// The end that all were told last.
+    /// Number and step of the last outcome that was sent to all.
     announced_outcome: (u64, u32),
-    /// When the owner last spoke of the roll, or was told of it.
+    /// When the owner last sent the upgrade's state, or was sent it.
     last_state_at: Duration,
     upgrade: Option<UpgradeFn>,
 }
 
-/// The ways out of an office: other fronts by sealed datagrams, the log, and what is looked at after the call.
+/// The host of the lease manager: authenticated datagrams to other fronts, the log, and a queue of what arrived.
 struct LeaseHost<'a, 'b> {
     membership: &'a mut Membership,
     io: &'a mut MembershipIo<'b>,
@@ -139,7 +141,7 @@
     }
 }
 
-/// Lends the parts of a `FleetTasks` to a call of its office.
+/// Borrows the parts of a `FleetTasks` as the host of its lease manager.
 macro_rules! lease_host {
     ($tasks:ident, $membership:ident, $io:ident) => {
         &mut LeaseHost {
@@ -197,13 +199,13 @@
         }
     }
 
-    /// When [`FleetTasks::turn`] is to be called next.
+    /// When [`FleetTasks::run_due`] is to be called next.
     pub fn next_timeout(&self) -> Duration {
         let moves = self.moves.values().filter_map(|(m, _)| m.next()).min();
         self.leases.next_timeout().min(self.next_health_update).min(moves.unwrap_or(Duration::MAX))
     }
 
-    /// A body has come from a front.
+    /// Handles a body from a front.
     pub fn handle_payload(
         &mut self,
         now: Duration,
@@ -213,11 +215,11 @@
         io: &mut MembershipIo,
     ) {
         if let Err(why) = self.leases.handle_message(now, from, body, lease_host!(self, membership, io)) {
-            slog::debug!(self.log, "a body is passed over"; "from" => from, "why" => why);
+            slog::debug!(self.log, "malformed lease message skipped"; "from" => from, "why" => why);
         }
     }
 
-    /// Does what is due. `clock` is read anew right before each effect leaves.
+    /// Does what is due. `clock` is read anew right before each effect is sent.
     pub fn run_due(
         &mut self,
         clock: &mut dyn FnMut() -> Duration,
@@ -234,18 +236,18 @@
         self.start_ordered_moves(now, &present);
         self.continue_moves(clock, &present, membership, io);
         self.continue_upgrade(clock, membership, io);
-        // Effects on this front itself were handed back by the office.
+        // Effects on this front itself were queued by the lease manager.
         self.process_incoming(now, membership, io);
         if now >= self.next_health_update {
             self.next_health_update = now + self.report_interval;
             let me = membership.me();
             let mut shard_roles = [ProbeRole::Receiver; SHARDS as usize];
-            for (shard, roles) in shard_roles.iter_mut().enumerate() {
+            for (shard, role) in shard_roles.iter_mut().enumerate() {
                 let task = health_task(shard as u64);
                 if self.leases.held_term(now, task).is_some() {
-                    *roles = ProbeRole::Owner;
+                    *role = ProbeRole::Owner;
                 } else if preferred_owners(task, &present, 2).contains(&me) {
-                    *roles = ProbeRole::Backup;
+                    *role = ProbeRole::Backup;
                 }
             }
             let _ = self.dispatcher.send(DispatcherMessage::ObserveHealth {
@@ -286,7 +288,7 @@
                     let owns = self.coordinator.is_some() && !payload.is_empty();
                     match payload.first() {
                         Some(&START) if owns && !self.upgrade_state.is_running() => {
-                            // Who ordered it may not have heard of the newest one.
+                            // The front that ordered it may not know the newest upgrade.
                             let ordered = UpgradeState::from_bytes(&payload[1..]);
                             let ordered = ordered.filter(|state| state.number != self.upgrade_state.number);
                             let ordered = ordered.map(|state| state.numbered_after(&self.upgrade_state));
@@ -321,17 +323,17 @@
         }
     }
 
-    /// How this front is upgraded when its turn comes.
+    /// Sets the function that upgrades this front.
     pub fn set_upgrade(&mut self, upgrade: UpgradeFn) {
         self.upgrade = Some(upgrade);
     }
 
-    /// It could not be, in that roll.
+    /// Records that this front could not be upgraded in that rolling upgrade.
     pub fn set_failed_upgrade(&mut self, number: u64) {
         self.failed_upgrade = number;
     }
 
-    /// From the control socket: a rolling upgrade of all fronts, or none any more. Its owner is told.
+    /// From the control socket: starts or cancels a rolling upgrade of all fronts, by a message to its owner.
     pub fn order_upgrade(
         &mut self,
         now: Duration,
@@ -366,10 +368,10 @@
         let mut payload = vec![if cancel { CANCEL } else { START }];
         payload.extend(state.to_bytes());
         self.leases.announce(ROLLING_UPGRADE, &[owner], &payload, lease_host!(self, membership, io));
-        Ok(format!("front {owner} owns it and was told: see fleet duties"))
+        Ok(format!("front {owner} owns it and was notified: see fleet duties"))
     }
 
-    /// The owner of a roll tells how far it is, or that it is this front's turn.
+    /// Handles an effect of the upgrade's owner: the state, or the order to upgrade this front.
     fn handle_upgrade_effect(
         &mut self,
         now: Duration,
@@ -397,7 +399,7 @@
             );
         } else if *what == UPGRADE
             && let Ok((number, incarnation, program)) = postcard::from_bytes::<(u64, u32, Option<String>)>(rest)
-            // A turn that comes late or twice is of a process that is over, or was had.
+            // A late or repeated order is for a process that has ended, or was carried out already.
             && incarnation == membership.incarnation()
             && number != self.last_upgrade
             && let Some(upgrade) = self.upgrade.clone()
@@ -414,7 +416,7 @@
         }
     }
 
-    /// A roll that this front owns goes on by its rules.
+    /// Takes the next steps of a rolling upgrade that this front owns.
     fn continue_upgrade(
         &mut self,
         clock: &mut dyn FnMut() -> Duration,
@@ -424,7 +426,7 @@
         let now = clock();
         let Some(term) = self.leases.held_term(now, ROLLING_UPGRADE) else {
             self.coordinator = None;
-            // The next owner may have started anew and know nothing.
+            // The next owner may have restarted and know nothing.
             let untold = self.upgrade_state.is_running() && now > self.last_state_at + OWNER_SILENCE;
             if let Some(owner) = self.leases.owner(now, ROLLING_UPGRADE).filter(|_| untold) {
                 self.last_state_at = now;
@@ -447,7 +449,7 @@
             let fronts = fronts.collect();
             let before = self.upgrade_state.step;
             let mut steps = coordinator.next_steps(now, me as u16, &mut self.upgrade_state, &fronts);
-            // One that was called off, or ended before this front owned it, is told once more.
+            // An upgrade that was cancelled, or ended before this front owned the task, is sent once more.
             if steps.is_empty() && self.upgrade_state.outcome.is_some() {
                 steps = vec![UpgradeStep::Tell];
             }
@@ -470,14 +472,14 @@
                     }
                     UpgradeStep::Upgrade(front, incarnation) => {
                         if self.upgrade_state.step != before {
-                            slog::info!(self.log, "roll goes on"; "front" => front, "number" => self.upgrade_state.number);
+                            slog::info!(self.log, "roll continues"; "front" => front, "number" => self.upgrade_state.number);
                         }
-                        let turn = postcard::to_allocvec(&(
+                        let order = postcard::to_allocvec(&(
                             self.upgrade_state.number,
                             incarnation,
                             &self.upgrade_state.program,
                         ));
-                        let payload = [&[UPGRADE][..], &turn.unwrap_or_default()].concat();
+                        let payload = [&[UPGRADE][..], &order.unwrap_or_default()].concat();
                         self.leases.send_effect(
                             clock,
                             ROLLING_UPGRADE,
@@ -487,8 +489,8 @@
                             lease_host!(self, membership, io),
                         );
                     }
-                    UpgradeStep::Ended(end) => {
-                        slog::info!(self.log, "roll ended"; "number" => self.upgrade_state.number, "end" => format!("{end:?}"),
+                    UpgradeStep::Ended(outcome) => {
+                        slog::info!(self.log, "roll ended"; "number" => self.upgrade_state.number, "end" => format!("{outcome:?}"),
                             "through" => format!("{:?}", self.upgrade_state.completed));
                     }
                 }
@@ -498,7 +500,7 @@
         self.process_incoming(now, membership, io);
     }
 
-    /// The owner of a change has this front hold, or let go.
+    /// The owner of a change orders this front to hold, or to release its hold.
     fn handle_hold_order(
         &mut self,
         group: u64,
@@ -511,11 +513,12 @@
         membership: &mut Membership,
         io: &mut MembershipIo,
     ) {
-        slog::debug!(self.log, "a change is ordered here"; "group" => group, "holds" => hold, "owner" => owner);
-        if let Some(holds) = self.holds.get_mut(&group).filter(|holds| holds.order == order && hold) {
-            // It came before: only the word may have been lost.
-            (holds.term, holds.owner) = (term, owner);
-            let step = holds.step;
+        slog::debug!(self.log, "hold ordered"; "group" => group, "holds" => hold, "owner" => owner);
+        if let Some(existing) = self.holds.get_mut(&group).filter(|existing| existing.order == order && hold)
+        {
+            // A repeated order: only the report may have been lost.
+            (existing.term, existing.owner) = (term, owner);
+            let step = existing.step;
             return self.leases.report(
                 owner,
                 task,
@@ -530,7 +533,7 @@
         let _ = self.dispatcher.send(DispatcherMessage::PlannedChange { group, order, successor, cancel });
     }
 
-    /// How far this front is with a change that was ordered of it.
+    /// Reports this front's progress with a hold to the owner.
     pub fn report_progress(
         &mut self,
         now: Duration,
@@ -540,15 +543,15 @@
         membership: &mut Membership,
         io: &mut MembershipIo,
     ) {
-        let its = self.holds.get_mut(&group).filter(|holds| holds.order == order);
-        let Some(holds) = its else { return };
-        holds.step = step;
-        let HoldState { task, term, owner, .. } = *holds;
+        let its = self.holds.get_mut(&group).filter(|existing| existing.order == order);
+        let Some(existing) = its else { return };
+        existing.step = step;
+        let HoldState { task, term, owner, .. } = *existing;
         self.leases.report(owner, task, term, &encode_step(order, step), lease_host!(self, membership, io));
         self.process_incoming(now, membership, io);
     }
 
-    /// What the desk has to tell of members.
+    /// Sends the dispatcher's observations of members to the other fronts.
     pub fn share_observations(
         &mut self,
         report_interval: Duration,
@@ -579,7 +582,7 @@
         }
     }
 
-    /// From the control socket: a change of a group's primary at all fronts, or none.
+    /// From the control socket: starts or cancels a change of a group's primary at all fronts.
     pub fn order_move(
         &mut self,
         now: Duration,
@@ -611,7 +614,7 @@
         let _ = reply.try_send(answer);
     }
 
-    /// Orders whose duty this front has got begin; those that wait in vain end.
+    /// Starts the ordered changes whose task this front owns now, and ends those that have waited too long.
     fn start_ordered_moves(&mut self, now: Duration, present: &[usize]) {
         let groups: Vec<u64> = self.orders.keys().copied().collect();
         for group in groups {
@@ -627,13 +630,13 @@
                 self.moves.insert(group, (m, Some(reply)));
             } else {
                 self.leases.set_wanted(now, move_task(group), false);
-                let why = "no majority of the fronts lets this one own the change: see fleet status";
+                let why = "no majority of the fronts grants this one the change: see fleet status";
                 let _ = reply.try_send(Err(why.to_owned()));
             }
         }
     }
 
-    /// Changes under way go on by their rules.
+    /// Takes the next actions of the changes under way.
     fn continue_moves(
         &mut self,
         clock: &mut dyn FnMut() -> Duration,
@@ -647,16 +650,16 @@
             let Some((mut m, mut reply)) = self.moves.remove(&group) else { continue };
             loop {
                 let now = clock();
-                let acts = m.next_actions(now, self.leases.held_term(now, task), present);
-                if acts.is_empty() {
+                let actions = m.next_actions(now, self.leases.held_term(now, task), present);
+                if actions.is_empty() {
                     break;
                 }
-                for act in acts {
-                    let payload = match act {
+                for action in actions {
+                    let payload = match action {
                         MoveAction::Hold(_) => encode_hold(m.order, m.successor.as_deref()),
                         _ => encode_release(m.order),
                     };
-                    match act {
+                    match action {
                         MoveAction::Hold(front) | MoveAction::Release(front) => {
                             self.counters.effects_out.add();
                             self.leases.send_effect(
@@ -687,7 +690,7 @@
                         }
                     }
                 }
-                // Words to oneself are there already.
+                // Messages to this front itself have arrived already.
                 self.process_incoming(now, membership, io);
             }
             if m.outcome.is_some() {
@@ -702,7 +705,7 @@
         }
     }
 
-    /// Gives all back: this process goes.
+    /// Releases all leases, as this process leaves.
     pub fn leave(&mut self, now: Duration, membership: &mut Membership, io: &mut MembershipIo) {
         let present = membership.present();
         self.leases.leave(
@@ -712,7 +715,7 @@
         );
     }
 
-    /// What `fleet tasks` tells.
+    /// The answer to `fleet duties`.
     pub fn status(&self, now: Duration) -> Value {
         let tasks = self.leases.statuses(now).into_iter().map(|status| {
             let until = status.until.map(|until| until.saturating_sub(now).as_millis() as u64);
@@ -738,7 +741,7 @@
     }
 }
 
-/// A change front by front.
+/// The progress of a change, front by front.
 fn fronts(m: &PrimaryMove) -> Value {
     m.fronts
         .iter()
--- a/crates/front/src/membership.rs
+++ b/crates/front/src/membership.rs
@@ -1,5 +1,5 @@
-//! The actor that speaks with the other fronts, over one socket for datagrams. Who is there is found out by
-//! `juniperdock_membership`; here it meets the socket, the clock, the log and the operators.
+//! The actor that exchanges datagrams with the other fronts over one socket. It connects `juniperdock_membership` to
+//! the socket, the clock, the log and the operators.
 
 use crate::clock::{Clock, TimerHandle};
 use crate::counters::Counters;
@@ -17,14 +17,14 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, SystemTime};
 
-/// Datagrams read before others get their turn.
+/// Datagrams read before other coroutines get to run.
 const READ_BATCH: usize = 32;
-/// Why there are no duties.
-pub const TASKS_OFF: &str = "duties are off: see fellows.duties in the operators' file";
-/// How often an address that is taken is tried again.
+/// The answer while fleet tasks are off.
+pub const TASKS_OFF: &str = "fleet tasks are off: see fellows.duties in the operators' file";
+/// How often binding an address that is in use is tried again.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Reads the keys' files.
+/// Reads the key files.
 pub fn read_keys(paths: &[PathBuf]) -> Result<Keys, String> {
     let text = |path: &PathBuf| {
         std::fs::read_to_string(path).map_err(|e| format!("fellows.keys: {}: {e}", path.display()))
@@ -33,7 +33,7 @@
     Keys::parse(&texts).map_err(|why| format!("fellows.keys: {why}"))
 }
 
-/// Posts to the actor; before it has a socket its mail waits.
+/// Sends messages to the actor; they wait until it has a socket.
 #[derive(Clone)]
 pub struct Handle(Sender<MembershipMessage>, Arc<Mutex<Option<Bell>>>);
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// What the actor needs to speak; where each place of the tier is, unless its name is not known.
+/// What the actor needs to start; a peer has no address if its name is not known.
 pub struct Setup {
     pub me: usize,
     pub name: String,
@@ -65,27 +65,27 @@
     log: slog::Logger,
     messages: Receiver<MembershipMessage>,
     waker: Arc<Mutex<Option<Bell>>>,
-    /// Lives of this process so far.
+    /// The incarnation that this process last took.
     incarnation: u32,
     handle: Handle,
     upgrade: Option<UpgradeFn>,
-    /// The roll in which this front could not be upgraded.
+    /// The rolling upgrade in which this front could not be upgraded.
     failed_upgrade: u64,
 }
 
-/// Carries out what the membership wants done.
+/// Carries out what the membership asks for.
 pub struct MembershipIo<'a> {
     post: &'a Post,
     peers: &'a [Option<SocketAddr>],
     counters: &'a Counters,
     log: &'a slog::Logger,
-    /// Bodies for the duties, from which front.
+    /// Bodies for the fleet tasks, each with its sender.
     bodies: Vec<(usize, Vec<u8>)>,
     handle: &'a Handle,
 }
 
 impl MembershipIo<'_> {
-    /// Posts to this actor.
+    /// A handle to this actor.
     pub fn handle(&self) -> Handle {
         self.handle.clone()
     }
@@ -113,8 +113,8 @@
                 self.counters.fellow_downs.add();
                 slog::warn!(self.log, "fellow down"; "front" => front);
             }
-            Event::Restarted(front) => slog::info!(self.log, "fellow back in a later life"; "front" => front),
-            Event::Rejoined => slog::warn!(self.log, "fellows took this front for dead"),
+            Event::Restarted(front) => slog::info!(self.log, "peer restarted"; "front" => front),
+            Event::Rejoined => slog::warn!(self.log, "peers declared this front dead, it rejoined"),
             Event::ConnectivityChanged(connectivity) => {
                 slog::info!(self.log, "standing"; "standing" => connectivity.name())
             }
@@ -163,9 +163,9 @@
             let post = match Post::open(self.setup.listen) {
                 Ok(post) => post,
                 Err(why) => {
-                    // The process before this one may still have it.
+                    // The previous process may still have the address.
                     if !std::mem::replace(&mut bind_failure_logged, true) {
-                        slog::error!(self.log, "fellows can't be heard, tried again"; "why" => why);
+                        slog::error!(self.log, "the peer address can't be bound, retrying"; "why" => why);
                     }
                     let (wake, woken) = channel();
                     self.clock.run_at(self.clock.now() + BIND_RETRY_INTERVAL, move || {
@@ -181,7 +181,7 @@
             *self.waker.lock().unwrap_or_else(PoisonError::into_inner) = None;
             drop(post);
             match done {
-                // Has left: until it is asked in again, or for good.
+                // It has left: until it is told to join again, or for good.
                 Ok(()) => loop {
                     match self.messages.recv() {
                         Ok(MembershipMessage::Join) => break,
@@ -194,7 +194,7 @@
                             MembershipMessage::ChangePrimary { reply, .. }
                             | MembershipMessage::RollingUpgrade { reply, .. },
                         ) => {
-                            drop(reply.try_send(Err("this front has left its fellows".to_owned())));
+                            drop(reply.try_send(Err("this front has left the fleet".to_owned())));
                         }
                         Ok(
                             MembershipMessage::Leave
@@ -217,7 +217,7 @@
         Membership::new(*me, peers.len(), self.incarnation, *seed, config.speaks, timing, keys.clone())
     }
 
-    /// Speaks until it is to leave.
+    /// Runs the protocol until the front is to leave.
     fn run_protocol(&mut self, post: &Post) {
         let mut membership = self.new_membership();
         let (started, clock) = (self.clock.now(), self.clock.clone());
@@ -225,7 +225,7 @@
         let mut tasks = self.setup.config.duties.then(|| self.new_fleet_tasks(&membership));
         let waker = post.bell();
         let mut timer: Option<(Duration, TimerHandle)> = None;
-        // One byte more than the longest, so that a longer one is seen to be longer.
+        // One byte more than the longest datagram, so that a longer one is detected.
         let mut buffer = [0; juniperdock_membership::MAX_DATAGRAM_BYTES + 1];
         loop {
             let Actor { setup, counters, log, .. } = &*self;
@@ -247,7 +247,7 @@
                 };
                 if let Err(why) = taken {
                     counters.fellows_refused.add();
-                    slog::debug!(log, "a datagram is refused"; "from" => %from, "why" => why.name());
+                    slog::debug!(log, "datagram refused"; "from" => %from, "why" => why.name());
                 }
                 for (front, body) in std::mem::take(&mut io.bodies) {
                     tasks
@@ -321,7 +321,7 @@
             }
             membership.handle_timeout(read_clock(), &mut io);
             tasks.iter_mut().for_each(|tasks| tasks.run_due(&mut read_clock, &mut membership, &mut io));
-            // One alarm at a time.
+            // One timer at a time.
             let next = membership
                 .next_timeout()
                 .min(tasks.as_ref().map_or(Duration::MAX, FleetTasks::next_timeout))
@@ -361,7 +361,7 @@
     }
 }
 
-/// What `fleet status` tells.
+/// The answer to `fleet status`.
 fn status(membership: &Membership, name: &str, now: Duration) -> Value {
     let (connectivity, since) = membership.connectivity();
     let ago = |at: Duration| now.saturating_sub(at).as_millis() as u64;
