--- a/crates/front/src/fleet_tasks.rs
+++ b/crates/front/src/fleet_tasks.rs
@@ -405,11 +405,11 @@
             && let Some(upgrade) = self.upgrade.clone()
         {
             self.last_upgrade = number;
-            slog::info!(self.log, "this front's turn in a roll"; "number" => number);
+            slog::info!(self.log, "this front is upgraded in a roll"; "number" => number);
             let (log, handle) = (self.log.clone(), io.handle());
             std::thread::spawn(move || {
                 if let Err(why) = upgrade(program.as_deref()) {
-                    slog::error!(log, "this front could not be rolled"; "why" => why);
+                    slog::error!(log, "this front could not be upgraded"; "why" => why);
                     handle.send(crate::messages::MembershipMessage::UpgradeFailed(number));
                 }
             });
--- a/crates/front/src/membership.rs
+++ b/crates/front/src/membership.rs
@@ -120,7 +120,7 @@
             }
             Event::Stalled(span) => {
                 self.counters.standstills.add();
-                slog::warn!(self.log, "this front stood still"; "ms" => span.as_millis() as u64);
+                slog::warn!(self.log, "this front stalled"; "ms" => span.as_millis() as u64);
             }
         }
     }
--- a/crates/front/tests/owners.rs
+++ b/crates/front/tests/owners.rs
@@ -1,5 +1,5 @@
-//! Several processes that share work, with faults between them: one owner at a time, and no harm by an owner that
-//! wakes up late. All are judged by the history alone; times bound nothing but how long a story waits.
+//! Several processes that share fleet tasks, with faults between them: one owner at a time, and no harm by a late
+//! owner. Judged by the recorded history alone; times only bound how long a scenario waits.
 
 use juniperdock_lab::fleet::history::{Line, read};
 use juniperdock_lab::fleet::owners::{Figures, changes, probes};
@@ -10,24 +10,24 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_juniperdock");
 
-/// Who asks for the duty of rolls among four, by rendezvous hashing.
-const ROLL_OWNER_OF_FOUR: usize = 0;
+/// The preferred owner of rolling upgrades among four fronts, by rendezvous hashing.
+const UPGRADE_OWNER_OF_FOUR: usize = 0;
 
-fn mishap(what: Harm, at_s: f64, lasts_s: f64) -> Mishap {
+fn fault(what: Harm, at_s: f64, lasts_s: f64) -> Mishap {
     let (front, other, side, number, share, by) = (None, None, Vec::new(), 0, None, None);
     Mishap { at_s, lasts_s, what, front, other, side, number, share, by }
 }
 
-fn of(front: usize, what: Harm, at_s: f64, lasts_s: f64) -> Mishap {
-    Mishap { front: Some(front), ..mishap(what, at_s, lasts_s) }
+fn front_fault(front: usize, what: Harm, at_s: f64, lasts_s: f64) -> Mishap {
+    Mishap { front: Some(front), ..fault(what, at_s, lasts_s) }
 }
 
-/// Plays mishaps over so many fronts that share work.
-fn played(name: &str, fronts: usize, lasts_s: f64, mishaps: Vec<Mishap>) -> (Vec<Line>, Figures) {
-    played_at(name, 40.0, fronts, lasts_s, mishaps, true, None)
+/// Runs faults over several fronts that share tasks.
+fn run_faults(name: &str, fronts: usize, lasts_s: f64, mishaps: Vec<Mishap>) -> (Vec<Line>, Figures) {
+    run_faults_at(name, 40.0, fronts, lasts_s, mishaps, true, None)
 }
 
-fn played_at(
+fn run_faults_at(
     name: &str,
     per_second: f64,
     fronts: usize,
@@ -38,16 +38,16 @@
 ) -> (Vec<Line>, Figures) {
     let title = name.to_owned();
     let schedule = Schedule { title, fronts, per_second, lasts_s, duties, mishaps, ..shared_work() };
-    played_schedule(&schedule, bend)
+    run_schedule(&schedule, bend)
 }
 
-/// What all stories here have in common.
+/// The schedule that all scenarios here start from.
 fn shared_work() -> Schedule {
     Schedule { every_ms: 250, ..Schedule::default() }
 }
 
-/// Plays a schedule, and judges its history by all rules.
-fn played_schedule(schedule: &Schedule, bend: Option<Bend>) -> (Vec<Line>, Figures) {
+/// Runs a schedule, and checks its history against all rules.
+fn run_schedule(schedule: &Schedule, bend: Option<Bend>) -> (Vec<Line>, Figures) {
     let name = &schedule.title;
     let path = std::env::temp_dir().join(format!("jd-{name}-{}.jsonl", std::process::id()));
     play(schedule, 11, PROGRAM, &path, bend).unwrap_or_else(|why| panic!("{name}: {why}"));
@@ -66,7 +66,7 @@
     Duration::from_secs_f64(s)
 }
 
-/// What a front's log says, with when.
+/// The entries of all fronts' logs with a message, with front and time.
 fn logs<'a>(lines: &'a [Line], what: &'a str) -> impl Iterator<Item = (usize, Duration, &'a Value)> {
     lines
         .iter()
@@ -74,39 +74,39 @@
         .map(|line| (line.number("front").unwrap_or_default() as usize, line.at, &line.more["log"]))
 }
 
-/// Whether a front says at some time in a span that a duty is its own.
+/// Whether a front reports at some time in a span that it owns a task.
 fn owns(lines: &[Line], front: usize, from: f64, to: f64) -> bool {
     let asked = lines.iter().filter(|l| l.what == "duties" && l.number("front") == Some(front as u64));
-    let told =
+    let entries =
         asked.filter(|l| l.at >= secs(from) && l.at <= secs(to)).flat_map(|l| l.more["duties"].as_array());
-    told.flatten().any(|duty| duty["mine"] == true)
+    entries.flatten().any(|duty| duty["mine"] == true)
 }
 
-/// Owners are stopped past their leases, what they had sent lies on its way meanwhile, and they go on.
+/// Owners are stopped past their leases while their earlier messages are delayed, and then continue.
 #[test]
-fn an_owner_that_wakes_up_late_does_no_harm() {
+fn a_stopped_owner_that_continues_late_does_no_harm() {
     let mut mishaps = Vec::new();
     for (front, at_s) in [(0, 5.0), (1, 9.0), (2, 13.0)] {
-        mishaps.push(Mishap { by: Some(4500.0), ..of(front, Harm::Late, at_s, 1.0) });
-        mishaps.push(of(front, Harm::FrontStopped, at_s + 0.9, 2.6));
+        mishaps.push(Mishap { by: Some(4500.0), ..front_fault(front, Harm::Late, at_s, 1.0) });
+        mishaps.push(front_fault(front, Harm::FrontStopped, at_s + 0.9, 2.6));
     }
-    // So many txns that members are asked for all: owners have something to say.
-    let (lines, seen) = played_at("wakes", 240.0, 5, 18.0, mishaps, true, None);
+    // A rate at which members are probed for all, so that owners have something to send.
+    let (lines, seen) = run_faults_at("wakes", 240.0, 5, 18.0, mishaps, true, None);
     assert!(seen.stale_sent > 0, "nothing came late: {seen}");
     assert!(seen.two_at_once + seen.stale_applied == 0 && seen.changes >= 3, "{seen}");
-    // Whoever took over had a higher term.
+    // The new owner had a higher term.
     let (_, _, stale) = logs(&lines, "stale effect refused").next().expect("one was refused");
     let later = logs(&lines, "duty taken").filter(|(.., log)| log["duty"] == stale["duty"]);
     assert!(later.filter_map(|(.., log)| log["term"].as_u64()).max() > stale["term"].as_u64());
 }
 
-/// A cut leaves a minority without duties, and the others take them over.
+/// A partition leaves a minority without tasks, and the others take them over.
 #[test]
 fn a_minority_owns_nothing_and_the_majority_takes_over() {
-    let apart = Mishap { side: vec![2, 3], ..mishap(Harm::Apart, 5.0, 5.0) };
-    let (lines, seen) = played("cut", 5, 14.0, vec![apart]);
+    let partition = Mishap { side: vec![2, 3], ..fault(Harm::Apart, 5.0, 5.0) };
+    let (lines, seen) = run_faults("cut", 5, 14.0, vec![partition]);
     assert!(owns(&lines, 2, 2.5, 5.0) && owns(&lines, 3, 2.5, 5.0), "they owned something before");
-    // A grant lasts 1.5 s; they have found out, or it has run out.
+    // A lease lasts 1.5 s; by then they have noticed, or it has expired.
     assert!(!owns(&lines, 2, 7.5, 10.0) && !owns(&lines, 3, 7.5, 10.0));
     let owned = (0..8).filter(|shard| {
         let name = format!("care {shard}");
@@ -114,15 +114,15 @@
             .filter(|(front, at, log)| log["duty"] == name && ![2, 3].contains(front) && *at < secs(10.0));
         its.count() > 0
     });
-    assert_eq!(owned.count(), 8, "each part is cared for on the larger side");
+    assert_eq!(owned.count(), 8, "each shard has an owner on the larger side");
     assert_eq!(seen.two_at_once, 0);
 }
 
-/// All are killed at once and know nothing: nobody owns anything for as long as a grant may last, terms rise.
+/// All fronts are killed at once and remember nothing: no task has an owner while an old lease may run, terms rise.
 #[test]
-fn all_killed_at_once_come_back_with_higher_terms() {
-    let mishaps = (0..3).map(|front| of(front, Harm::FrontKilled, 5.0, 0.6)).collect();
-    let (lines, seen) = played("all", 3, 11.0, mishaps);
+fn fronts_that_are_all_killed_at_once_come_back_with_higher_terms() {
+    let mishaps = (0..3).map(|front| front_fault(front, Harm::FrontKilled, 5.0, 0.6)).collect();
+    let (lines, seen) = run_faults("all", 3, 11.0, mishaps);
     let term = |before: bool| {
         let its = logs(&lines, "duty taken").filter(|(_, at, _)| (*at < secs(5.0)) == before);
         let terms =
@@ -139,28 +139,28 @@
     );
 }
 
-/// A majority is gone: no duty has an owner, and the others serve on as before.
+/// A majority is gone: no task has an owner, and the others keep serving.
 #[test]
-fn without_a_majority_nobody_owns_anything_and_all_serve_on() {
-    let mishaps = (2..5).map(|front| of(front, Harm::FrontKilled, 5.0, 6.0)).collect();
-    let (lines, _) = played("few", 5, 14.0, mishaps);
+fn without_a_majority_nobody_owns_anything_and_all_keep_serving() {
+    let mishaps = (2..5).map(|front| front_fault(front, Harm::FrontKilled, 5.0, 6.0)).collect();
+    let (lines, _) = run_faults("few", 5, 14.0, mishaps);
     assert!(!owns(&lines, 0, 7.5, 11.0) && !owns(&lines, 1, 7.5, 11.0));
     let served = |from: f64, to: f64| {
-        let told = lines.iter().filter(|l| l.what == "answered" && l.at >= secs(from) && l.at < secs(to));
-        let all: Vec<&Line> = told.filter(|l| l.number("front").is_some_and(|front| front < 2)).collect();
+        let entries = lines.iter().filter(|l| l.what == "answered" && l.at >= secs(from) && l.at < secs(to));
+        let all: Vec<&Line> = entries.filter(|l| l.number("front").is_some_and(|front| front < 2)).collect();
         (all.iter().filter(|l| l.text("told") == "committed").count(), all.len())
     };
     let (committed, all) = served(8.0, 11.0);
     assert!(all > 20 && committed * 10 > all * 9, "{committed} of {all}");
 }
 
-/// A change that is ordered at one front is held by all, and each tells what became of it; a second order for the
-/// same group at another front is refused meanwhile.
+/// A change ordered at one front makes all fronts hold, and each reports the outcome; a second order for the same
+/// group at another front is refused meanwhile.
 #[test]
-fn a_planned_change_is_held_by_all_fronts() {
-    let order = |front, number, at_s| Mishap { number, ..of(front, Harm::MoveOrdered, at_s, 0.0) };
+fn all_fronts_hold_for_a_planned_change() {
+    let order = |front, number, at_s| Mishap { number, ..front_fault(front, Harm::MoveOrdered, at_s, 0.0) };
     let mishaps = vec![order(1, 0, 4.5), order(3, 0, 4.52), order(2, 1, 7.5)];
-    let (lines, seen) = played("moves", 4, 13.0, mishaps);
+    let (lines, seen) = run_faults("moves", 4, 13.0, mishaps);
     let done: Vec<&Value> =
         logs(&lines, "move ended").map(|(.., log)| log).filter(|log| log["outcome"] == "Done").collect();
     assert!(done.len() >= 2 && seen.held_past_limit == 0, "{seen}");
@@ -170,7 +170,7 @@
         fronts.as_object().is_some_and(|f| f.len() == 4 && f.values().all(|step| step == "done")),
         "{fronts}"
     );
-    // Every front held on its own.
+    // Every front held by a plan of its own.
     let held = |group: u64| {
         let its = logs(&lines, "primary").filter(move |(.., log)| log["group"] == group);
         let begins =
@@ -180,25 +180,29 @@
     assert!(held(0).len() == 4 && held(1).len() == 4);
     let answers: Vec<&Line> = lines.iter().filter(|line| line.what == "move answered").collect();
     assert_eq!(answers.len(), 3);
-    // While both are held at once the one is refused; if the first was over by then both were done.
+    // While both orders are under way one is refused; if the first had ended by then both were done.
     let refused = answers.iter().filter(|line| line.more["answer"]["ok"] == false).count();
     assert!(refused == 1 || done.len() == 3, "{answers:?}");
 }
 
-/// The owner of a change dies while all hold: each hold ends by itself.
+/// The owner of a change dies while all fronts hold: each hold ends by itself.
 #[test]
 fn holds_end_by_themselves_when_their_owner_dies() {
-    // One front's words do not come to the owner, so that the change does not go on before it dies.
-    let mute = Mishap { other: Some(1), ..of(3, Harm::OneWay, 4.9, 3.0) };
-    let mishaps = vec![mute, of(1, Harm::MoveOrdered, 5.0, 0.0), of(1, Harm::FrontKilled, 5.8, 3.0)];
-    let (lines, seen) = played("dies", 4, 15.5, mishaps);
+    // One front's reports do not reach the owner, so that the change does not proceed before the owner dies.
+    let one_way = Mishap { other: Some(1), ..front_fault(3, Harm::OneWay, 4.9, 3.0) };
+    let mishaps = vec![
+        one_way,
+        front_fault(1, Harm::MoveOrdered, 5.0, 0.0),
+        front_fault(1, Harm::FrontKilled, 5.8, 3.0),
+    ];
+    let (lines, seen) = run_faults("dies", 4, 15.5, mishaps);
     let began: Vec<usize> = logs(&lines, "primary")
         .filter(|(front, _, log)| {
             *front != 1 && log["plan"].as_str().is_some_and(|plan| plan.contains("Emptying"))
         })
         .map(|(front, ..)| front)
         .collect();
-    assert!(!began.is_empty(), "nobody had heard of it");
+    assert!(!began.is_empty(), "no front held");
     assert_eq!(seen.held_past_limit, 0);
     let ended = |front: usize| {
         let its = logs(&lines, "primary").filter(move |(by, ..)| *by == front);
@@ -210,21 +214,21 @@
     assert!(began.iter().all(|&front| ended(front) > 0), "{seen}");
 }
 
-/// The owner of a roll as it last told, and how it ended.
-fn rolls(lines: &[Line]) -> (Vec<(usize, String)>, std::collections::BTreeSet<u64>) {
+/// How rolling upgrades ended, with the owner that logged it, and the fronts that were upgraded.
+fn upgrade_log(lines: &[Line]) -> (Vec<(usize, String)>, std::collections::BTreeSet<u64>) {
     let ended = logs(lines, "roll ended");
     let ended =
         ended.map(|(front, _, log)| (front, log["end"].as_str().unwrap_or_default().to_owned())).collect();
-    let turns = logs(lines, "this front's turn in a roll").map(|(front, ..)| front as u64).collect();
-    (ended, turns)
+    let upgrading = logs(lines, "this front is upgraded in a roll").map(|(front, ..)| front as u64).collect();
+    (ended, upgrading)
 }
 
-/// All fronts are rolled under load, the owner's own last, by whoever owns the duty then; nothing is lost.
+/// All fronts are upgraded under load, the owner last, under the next owner; nothing is lost.
 #[test]
-fn a_roll_takes_every_front_and_ends_under_another_owner() {
-    let (lines, seen) = played("rolls", 3, 18.0, vec![of(0, Harm::RollOrdered, 5.0, 0.0)]);
-    let (ended, turns) = rolls(&lines);
-    assert!(turns.len() == 3 && seen.fleet.lost == 0, "{turns:?} {seen}");
+fn a_rolling_upgrade_covers_every_front_and_ends_under_another_owner() {
+    let (lines, seen) = run_faults("rolls", 3, 18.0, vec![front_fault(0, Harm::RollOrdered, 5.0, 0.0)]);
+    let (ended, upgrading) = upgrade_log(&lines);
+    assert!(upgrading.len() == 3 && seen.fleet.lost == 0, "{upgrading:?} {seen}");
     assert!(ended.iter().any(|(_, end)| end == "Done"), "{ended:?}");
     let owners: std::collections::BTreeSet<usize> = logs(&lines, "duty taken")
         .filter(|(.., log)| log["duty"] == "roll")
@@ -233,57 +237,59 @@
     assert!(owners.len() > 1, "{owners:?}");
 }
 
-/// A program that does not come up: the roll stops at the first front, which serves on, as do the others.
+/// The new program does not start: the upgrade stops at the first front, which keeps serving, as do the others.
 #[test]
-fn a_roll_stops_at_the_first_front_that_cannot_be_upgraded() {
+fn a_rolling_upgrade_stops_at_the_first_front_that_cannot_be_upgraded() {
     let bend = |_: usize, _: &mut Value, charter: &mut Value| {
         charter["upgrade"] = serde_json::json!({ "program": "/bin/false", "ready_ms": 1500 });
     };
-    let order = vec![of(1, Harm::RollOrdered, 5.0, 0.0)];
-    let (lines, seen) = played_at("stops", 40.0, 3, 12.0, order, true, Some(&bend));
-    let (ended, turns) = rolls(&lines);
-    assert!(turns.len() == 1 && seen.fleet.lost == 0, "{turns:?} {seen}");
+    let order = vec![front_fault(1, Harm::RollOrdered, 5.0, 0.0)];
+    let (lines, seen) = run_faults_at("stops", 40.0, 3, 12.0, order, true, Some(&bend));
+    let (ended, upgrading) = upgrade_log(&lines);
+    assert!(upgrading.len() == 1 && seen.fleet.lost == 0, "{upgrading:?} {seen}");
     assert!(ended.iter().any(|(_, end)| end.starts_with("Failed")), "{ended:?}");
-    assert_eq!(logs(&lines, "this front could not be rolled").count(), 1);
+    assert_eq!(logs(&lines, "this front could not be upgraded").count(), 1);
 }
 
-/// A roll that is ordered after the wall clocks went back an hour follows the one before, at all fronts.
+/// An upgrade ordered after the wall clocks went back an hour follows the previous one, at all fronts.
 #[test]
-fn a_roll_that_is_ordered_after_a_step_back_begins_and_ends() {
+fn a_rolling_upgrade_ordered_after_the_clock_stepped_back_runs() {
     let bend = |_: usize, _: &mut Value, charter: &mut Value| {
         charter["upgrade"] = serde_json::json!({ "program": "/bin/false", "ready_ms": 1500 });
     };
     let back =
-        Mishap { number: 1, share: Some(1.0), by: Some(3_600_000.0), ..mishap(Harm::ClockStepped, 8.0, 8.0) };
-    let order = |front, at_s| of(front, Harm::RollOrdered, at_s, 0.0);
+        Mishap { number: 1, share: Some(1.0), by: Some(3_600_000.0), ..fault(Harm::ClockStepped, 8.0, 8.0) };
+    let order = |front, at_s| front_fault(front, Harm::RollOrdered, at_s, 0.0);
     let mishaps = vec![order(1, 5.0), back, order(0, 10.0)];
-    let (lines, _) = played_at("two-rolls", 40.0, 3, 16.0, mishaps, true, Some(&bend));
+    let (lines, _) = run_faults_at("two-rolls", 40.0, 3, 16.0, mishaps, true, Some(&bend));
     let ended: Vec<u64> = logs(&lines, "roll ended").filter_map(|(.., log)| log["number"].as_u64()).collect();
     assert!(ended.len() >= 2 && ended[0] < ended[ended.len() - 1], "{ended:?}");
 }
 
-/// The owner of a roll is killed in the middle: the next one goes on from what was told.
+/// The owner of an upgrade is killed in the middle: the next one continues from the shared state.
 #[test]
-fn the_next_owner_goes_on_with_a_roll() {
-    let owner = of(ROLL_OWNER_OF_FOUR, Harm::FrontKilled, 7.0, 4.0);
-    let (lines, seen) = played("resumes", 4, 26.0, vec![of(1, Harm::RollOrdered, 5.0, 0.0), owner]);
-    let (ended, turns) = rolls(&lines);
+fn the_next_owner_continues_a_rolling_upgrade() {
+    let owner = front_fault(UPGRADE_OWNER_OF_FOUR, Harm::FrontKilled, 7.0, 4.0);
+    let (lines, seen) =
+        run_faults("resumes", 4, 26.0, vec![front_fault(1, Harm::RollOrdered, 5.0, 0.0), owner]);
+    let (ended, upgrading) = upgrade_log(&lines);
     assert!(ended.iter().any(|(_, end)| end == "Done"), "{ended:?} {seen}");
-    assert_eq!(turns.len(), 4, "{turns:?}");
-    let next = logs(&lines, "duty taken")
-        .filter(|(front, at, log)| log["duty"] == "roll" && *front != ROLL_OWNER_OF_FOUR && *at > secs(7.0));
+    assert_eq!(upgrading.len(), 4, "{upgrading:?}");
+    let next = logs(&lines, "duty taken").filter(|(front, at, log)| {
+        log["duty"] == "roll" && *front != UPGRADE_OWNER_OF_FOUR && *at > secs(7.0)
+    });
     assert!(next.count() > 0);
 }
 
-/// Members are asked by a few for all: the same load takes far fewer probes, and no read is stale. Few members and few
-/// txns at each front: on a busy machine reads that come meanwhile share the probe that one of them waits for, and where
-/// there are many the fronts that ask by themselves seem to need no more probes than those that share.
+/// Members are probed by a few fronts for all: the same load takes far fewer probes, and no read is stale. There are
+/// few members, and few txns at each front. On a busy machine concurrent reads share one probe, and with many txns the
+/// fronts that probe by themselves seem to need no more probes than those that share.
 #[test]
-fn members_are_asked_by_a_few_for_all() {
+fn members_are_probed_by_a_few_fronts_for_all() {
     let probes_a_txn = |title: &str, duties: bool| {
         let load =
             Schedule { fronts: 9, groups: 1, members: 3, per_second: 140.0, lasts_s: 9.0, ..shared_work() };
-        let (lines, _) = played_schedule(&Schedule { title: title.to_owned(), duties, ..load }, None);
+        let (lines, _) = run_schedule(&Schedule { title: title.to_owned(), duties, ..load }, None);
         let [sent, spared, txns] = probes(&lines);
         (sent as f64 / txns as f64, spared)
     };
--- a/crates/front/tests/roll.rs
+++ b/crates/front/tests/roll.rs
@@ -1,4 +1,4 @@
-//! Which program a rolling upgrade may start.
+//! Which programs a rolling upgrade may start.
 
 use juniperdock_front::messages;
 use juniperdock_front::serve::{in_known_folder, upgrade_for_roll};
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 #[test]
-fn a_roll_starts_nothing_but_what_lies_beside_the_program() {
+fn a_rolling_upgrade_starts_only_programs_beside_the_running_one() {
     let own = std::env::current_exe().ok();
     let path = own.clone().expect("its own path");
     let known = [own, None];
@@ -15,7 +15,7 @@
     let detour = path.parent().expect("a folder").join("../../../../../../../../../bin/sh");
     assert!(!in_known_folder(&detour, &known) && !in_known_folder(Path::new("nowhere"), &known));
     assert!(in_known_folder(Path::new("/bin/sh"), &[Some(PathBuf::from("/bin/ls"))]));
-    let begun: messages::UpgradeFn = Arc::new(|_| Ok(7));
-    let upgrade_for_roll = upgrade_for_roll(&begun, &Upgrade::default());
+    let upgrade: messages::UpgradeFn = Arc::new(|_| Ok(7));
+    let upgrade_for_roll = upgrade_for_roll(&upgrade, &Upgrade::default());
     assert!(upgrade_for_roll(Some("/bin/sh")).is_err() && upgrade_for_roll(None) == Ok(7));
 }
