--- a/crates/admission/src/adaptive_limit.rs
+++ b/crates/admission/src/adaptive_limit.rs
@@ -17,6 +17,7 @@
 /// Txns per second that are always admitted: with fewer, too little can be learned.
 const MIN_TXNS_PER_SECOND: f64 = 20.0;
 
+/// A limit on admitted txns that adapts to the age of messages.
 #[derive(Clone, Debug)]
 pub struct AdaptiveLimit {
     /// A message older than this is late.
@@ -34,6 +35,7 @@
 }
 
 impl AdaptiveLimit {
+    /// Without a limit at first; messages older than `late_after` are late.
     pub fn new(late_after: Duration) -> AdaptiveLimit {
         let ring = SlidingSum::new(AGE_WINDOW * 5, 10);
         let oldest = [(Duration::ZERO, Duration::ZERO); 2];
--- a/crates/admission/src/control.rs
+++ b/crates/admission/src/control.rs
@@ -42,6 +42,7 @@
     arrivals: SlidingSum,
 }
 
+/// Decides which txns a front admits.
 #[derive(Clone, Debug)]
 pub struct AdmissionControl {
     late_after: Duration,
@@ -119,6 +120,7 @@
         declined.then(|| self.kinds[kind].sla.mul_f64(RETRY_SLA_SHARE * (1.0 + self.rng.rand_float())))
     }
 
+    /// The current state.
     pub fn status(&mut self, now: Duration) -> AdmissionStatus {
         AdmissionStatus {
             offered: self.fair.rate(now),
--- a/crates/admission/src/fair_share.rs
+++ b/crates/admission/src/fair_share.rs
@@ -24,7 +24,7 @@
     /// Txns that it may have now.
     tokens: f64,
     at: Duration,
-    /// When it was told to retry.
+    /// When its declined txn may be retried.
     retry_at: Duration,
 }
 
--- a/crates/admission/src/heavy_hitters.rs
+++ b/crates/admission/src/heavy_hitters.rs
@@ -34,6 +34,7 @@
     heap_index: u32,
 }
 
+/// A space-saving sketch with decaying counts.
 #[derive(Clone, Debug)]
 pub struct HeavyHitters {
     half_life: Duration,
--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -92,6 +92,7 @@
         Tree(Arc::new(Mutex::new(vec![Node::new(name, None, cap, 0)])))
     }
 
+    /// The budget at the root.
     pub fn root(&self) -> BudgetId {
         BudgetId(0)
     }
@@ -166,6 +167,7 @@
         node.used.saturating_sub(node.guaranteed).min(nodes[parent].reclaimed)
     }
 
+    /// The amount reserved now.
     pub fn used(&self, budget: BudgetId) -> u64 {
         self.lock()[budget.0].used
     }
@@ -323,6 +325,7 @@
 }
 
 impl Reservation {
+    /// The reserved amount.
     pub fn amount(&self) -> u64 {
         self.amount
     }
--- a/crates/fleet-tasks/src/health.rs
+++ b/crates/fleet-tasks/src/health.rs
@@ -1,5 +1,5 @@
 //! Shared health observation: each member is probed by the owner of its shard and by one backup, which tell the other
-//! fronts. A front probes by itself as soon as it is told nothing, hears no majority, or has had trouble with a member.
+//! fronts. A front probes by itself once it receives nothing, hears no majority, or has had trouble with a member.
 
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
@@ -100,6 +100,7 @@
         }
     }
 
+    /// Removes a member that has left the server list.
     pub fn remove_member(&mut self, member: usize) {
         if let Some(known) = self.members.get_mut(member) {
             *known = MemberState::default();
--- a/crates/fleet-tasks/src/primary_move.rs
+++ b/crates/fleet-tasks/src/primary_move.rs
@@ -39,6 +39,7 @@
         HoldStep::Refused,
     ];
 
+    /// The printed name.
     pub fn name(self) -> &'static str {
         match self {
             HoldStep::Asked => "asked",
@@ -167,6 +168,7 @@
         }
     }
 
+    /// Cancels the change, unless a front has completed it.
     pub fn call_off(&mut self) {
         self.called_off = true;
     }
--- a/crates/fleet-tasks/src/rolling_upgrade.rs
+++ b/crates/fleet-tasks/src/rolling_upgrade.rs
@@ -11,8 +11,9 @@
 const OBSERVATION_TIME: Duration = Duration::from_secs(2);
 /// How often the state is sent again.
 const RESEND_INTERVAL: Duration = Duration::from_millis(300);
-/// Limits on concurrent upgrades and on the program's path, so that the state fits into one datagram.
+/// Most concurrent upgrades. With this and the path's limit, the state fits into one datagram.
 pub const MAX_CONCURRENT: usize = 4;
+/// Longest path of a program, in bytes.
 pub const MAX_PATH_BYTES: usize = 48;
 
 /// How a rolling upgrade ended.
@@ -84,6 +85,7 @@
     pub failed_upgrade: u64,
 }
 
+/// What the owner is to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpgradeStep {
     /// Send the state to all fronts.
@@ -94,6 +96,7 @@
 }
 
 impl UpgradeState {
+    /// A new upgrade; fails if the path or the number of concurrent upgrades is out of bounds.
     pub fn new(number: u64, program: Option<&str>, max_concurrent: usize) -> Result<UpgradeState, String> {
         if program.is_some_and(|program| program.len() > MAX_PATH_BYTES) {
             return Err(format!("expected a program's path of at most {MAX_PATH_BYTES} bytes"));
@@ -122,6 +125,7 @@
         (self.number, self.step) > (other.number, other.step)
     }
 
+    /// Whether it has begun and not ended.
     pub fn is_running(&self) -> bool {
         self.number > 0 && self.outcome.is_none()
     }
@@ -147,6 +151,7 @@
         .unwrap_or_default()
     }
 
+    /// Decodes a state; none if it is malformed.
     pub fn from_bytes(bytes: &[u8]) -> Option<UpgradeState> {
         type Encoded = (u64, u32, u8, Option<String>, Vec<u8>, Vec<(u16, u32)>, (u8, u16));
         let ((number, step, max_concurrent, program, bits, upgrading, outcome), _) =
@@ -179,6 +184,7 @@
 }
 
 impl UpgradeCoordinator {
+    /// Records a front's report of itself.
     pub fn record_report(&mut self, front: u16, report: FrontReport) {
         self.reports.insert(front, report);
     }
--- a/crates/front/src/fleet_tasks.rs
+++ b/crates/front/src/fleet_tasks.rs
@@ -155,6 +155,7 @@
 }
 
 impl FleetTasks {
+    /// `period`: the period of the membership protocol.
     pub fn new(
         now: Duration,
         membership: &Membership,
--- a/crates/front/src/membership.rs
+++ b/crates/front/src/membership.rs
@@ -38,6 +38,7 @@
 pub struct Handle(Sender<MembershipMessage>, Arc<Mutex<Option<Bell>>>);
 
 impl Handle {
+    /// Sends a message and wakes the actor.
     pub fn send(&self, message: MembershipMessage) {
         let _ = self.0.send(message);
         let waker = self.1.lock().unwrap_or_else(PoisonError::into_inner).clone();
--- a/crates/lease/src/fence.rs
+++ b/crates/lease/src/fence.rs
@@ -40,6 +40,7 @@
         Err(newest)
     }
 
+    /// The highest term of which an effect was admitted; 0 if none was.
     pub fn newest_term(&self, task: TaskId) -> u64 {
         self.newest.get(&task).copied().unwrap_or(0)
     }
--- a/crates/lease/src/grants.rs
+++ b/crates/lease/src/grants.rs
@@ -107,6 +107,7 @@
         self.by_task.keys().copied()
     }
 
+    /// Whether this front started too recently to grant anything.
     pub fn is_quiet(&self, now: Duration) -> bool {
         now < self.quiet_until
     }
--- a/crates/lease/src/messages.rs
+++ b/crates/lease/src/messages.rs
@@ -35,6 +35,7 @@
 }
 
 impl MessageBatch {
+    /// An empty batch of a sender's incarnation.
     pub fn new(incarnation: u32) -> MessageBatch {
         MessageBatch { incarnation, full_bodies: Vec::new(), body: Vec::new() }
     }
--- a/crates/membership/src/datagram.rs
+++ b/crates/membership/src/datagram.rs
@@ -65,6 +65,7 @@
 }
 
 impl Refused {
+    /// All reasons, in the order of their counters.
     pub const ALL: [Refused; 12] = [
         Refused::Malformed,
         Refused::Forged,
@@ -80,6 +81,7 @@
         Refused::RateLimited,
     ];
 
+    /// The printed name.
     pub fn name(self) -> &'static str {
         match self {
             Refused::Malformed => "malformed",
--- a/crates/membership/src/foca_rng.rs
+++ b/crates/membership/src/foca_rng.rs
@@ -4,6 +4,7 @@
 use rand_core::TryRng;
 use std::convert::Infallible;
 
+/// Implements `TryRng` over the project's generator.
 #[derive(Debug)]
 pub struct FocaRng(pub Rand64);
 
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -58,6 +58,7 @@
 }
 
 impl Connectivity {
+    /// The printed name.
     pub fn name(self) -> &'static str {
         match self {
             Connectivity::Isolated => "alone",
@@ -73,6 +74,7 @@
     }
 }
 
+/// The state of a front, as this one sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Liveness {
     Alive,
@@ -83,6 +85,7 @@
 }
 
 impl Liveness {
+    /// The printed name.
     pub fn name(self) -> &'static str {
         match self {
             Liveness::Alive => "alive",
@@ -475,10 +478,12 @@
         self.keys = keys;
     }
 
+    /// This front's place in the cluster.
     pub fn me(&self) -> usize {
         self.me
     }
 
+    /// This front's current incarnation.
     pub fn incarnation(&self) -> u32 {
         self.swim.identity().incarnation
     }
@@ -850,7 +855,7 @@
         }
         peer.tokens -= 1.0;
         if outdated {
-            // Its clock may have been set back: it is told the remembered incarnation, and nothing else is done.
+            // Its clock may have been set back: reply with the remembered incarnation, and do nothing else.
             if head.kind == kind::HELLO {
                 self.answer_hello(&head, host);
             }
