--- a/crates/lab/src/fleet/audit.rs
+++ b/crates/lab/src/fleet/audit.rs
@@ -10,22 +10,22 @@
 use std::time::Duration;
 
 /// After the last mishap all have to hold the same for there within this time.
-pub const AGREE: Duration = Duration::from_secs(5);
+pub const AGREEMENT_DEADLINE: Duration = Duration::from_secs(5);
 /// A side that is cut off may take itself for the whole for so long at most.
-const FOUND_OUT: Duration = Duration::from_secs(8);
+const ISOLATION_DETECTION: Duration = Duration::from_secs(8);
 /// No datagram is longer.
-const LONGEST: u64 = 256;
+const MAX_DATAGRAM_BYTES: u64 = 256;
 /// What one front sends shortly after another has is no news to it yet, and what it is told counts as known
 /// after this.
-const KNOWN: Duration = Duration::from_millis(100);
+const PROPAGATION_DELAY: Duration = Duration::from_millis(100);
 /// A front that is met by something is excused for so long after it.
-const AFTER: Duration = Duration::from_millis(2500);
+const RECOVERY_TIME: Duration = Duration::from_millis(2500);
 /// A life that is so much later than any that a front was in is a forger's.
-const FORGED: u64 = 1000;
+const FORGED_INCARNATION_GAP: u64 = 1000;
 
 /// One fault that an auditor has found.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Found {
+pub struct Finding {
     pub auditor: &'static str,
     pub at_s: f64,
     pub what: String,
@@ -33,53 +33,58 @@
 
 /// All auditors, with a fault planted on purpose that each has to catch.
 pub const AUDITORS: [Auditor; 14] = [
-    Auditor { name: "answers", look: answers, plant: drop_answer },
-    Auditor { name: "effects", look: effects, plant: plant_effect },
-    Auditor { name: "truth", look: truth, plant: |lines| plant_decline(lines) },
-    Auditor { name: "one at a time", look: one_at_a_time, plant: plant_copy },
-    Auditor { name: "drains", look: drains, plant: plant_drain },
-    Auditor { name: "cold", look: cold, plant: plant_pressure },
-    Auditor { name: "stale", look: stale, plant: |lines| plant_age(lines) },
-    Auditor { name: "forged", look: forged, plant: |lines| plant_life(lines) },
-    Auditor { name: "size", look: size, plant: |lines| plant_length(lines) },
-    Auditor { name: "views", look: views, plant: |lines| plant_view(lines) },
-    Auditor { name: "majority", look: majority, plant: plant_majority },
-    Auditor { name: "owners", look: owners::two_at_once, plant: owners::plant_owner },
-    Auditor { name: "terms", look: owners::went_back, plant: owners::plant_term },
-    Auditor { name: "holds", look: owners::held_too_long, plant: owners::plant_hold },
+    Auditor { name: "answers", check: check_answers, inject: inject_missing_answer },
+    Auditor { name: "effects", check: check_effects, inject: inject_double_effect },
+    Auditor { name: "truth", check: check_outcomes, inject: |lines| inject_false_decline(lines) },
+    Auditor { name: "one at a time", check: check_single_submission, inject: inject_double_submission },
+    Auditor { name: "drains", check: check_drains, inject: inject_submission_to_draining },
+    Auditor { name: "cold", check: check_cold_load, inject: inject_cold_overload },
+    Auditor { name: "stale", check: check_stale_reads, inject: |lines| inject_stale_read(lines) },
+    Auditor {
+        name: "forged",
+        check: check_forged_incarnations,
+        inject: |lines| inject_forged_incarnation(lines),
+    },
+    Auditor { name: "size", check: check_datagram_size, inject: |lines| inject_long_datagram(lines) },
+    Auditor { name: "views", check: check_membership_views, inject: |lines| inject_incomplete_view(lines) },
+    Auditor { name: "majority", check: check_majority, inject: inject_false_majority },
+    Auditor { name: "owners", check: owners::check_single_owner, inject: owners::inject_second_owner },
+    Auditor { name: "terms", check: owners::check_term_order, inject: owners::inject_older_term },
+    Auditor { name: "holds", check: owners::check_hold_duration, inject: owners::inject_endless_hold },
 ];
 
 pub struct Auditor {
     pub name: &'static str,
-    look: fn(&Town) -> Vec<(Duration, String)>,
+    check: fn(&HistoryView) -> Vec<(Duration, String)>,
     /// Puts a fault into a sound history; false where nothing in it can be spoilt so.
-    plant: fn(&mut Vec<Line>) -> bool,
+    inject: fn(&mut Vec<Line>) -> bool,
 }
 
 impl Auditor {
-    pub fn finds(&self, lines: &[Line]) -> Vec<Found> {
-        let found = (self.look)(&Town::of(lines));
-        let one = |(at, what): (Duration, String)| Found { auditor: self.name, at_s: at.as_secs_f64(), what };
+    pub fn findings(&self, lines: &[Line]) -> Vec<Finding> {
+        let found = (self.check)(&HistoryView::new(lines));
+        let one =
+            |(at, what): (Duration, String)| Finding { auditor: self.name, at_s: at.as_secs_f64(), what };
         found.into_iter().map(one).collect()
     }
 
     /// Whether a fault that was planted is caught that is not there without it.
-    pub fn catches(&self, lines: &[Line]) -> bool {
-        let before = self.finds(lines).len();
-        let mut spoilt = lines.to_vec();
-        (self.plant)(&mut spoilt) && self.finds(&spoilt).len() > before
+    pub fn detects_injected_violation(&self, lines: &[Line]) -> bool {
+        let before = self.findings(lines).len();
+        let mut modified = lines.to_vec();
+        (self.inject)(&mut modified) && self.findings(&modified).len() > before
     }
 }
 
 /// What the history says of the circumstances.
-pub(super) struct Town<'a> {
+pub(super) struct HistoryView<'a> {
     pub(super) lines: &'a [Line],
-    setting: &'a Value,
+    settings: &'a Value,
     pub(super) fronts: usize,
     /// By front: when its process was met by something, its time to come round counted in.
-    met: Vec<Vec<(Duration, Duration)>>,
+    disturbances: Vec<Vec<(Duration, Duration)>>,
     /// Mishaps by their numbers: what, from when to when.
-    pub(super) mishaps: Vec<(Value, Duration, Duration)>,
+    pub(super) faults: Vec<(Value, Duration, Duration)>,
     /// Txns: kind.
     kinds: HashMap<u64, usize>,
 }
@@ -88,21 +93,21 @@
     Duration::from_micros(value.as_u64().unwrap_or_default())
 }
 
-impl<'a> Town<'a> {
-    pub(super) fn of(lines: &'a [Line]) -> Town<'a> {
+impl<'a> HistoryView<'a> {
+    pub(super) fn new(lines: &'a [Line]) -> HistoryView<'a> {
         static NONE: Value = Value::Null;
-        let setting = lines.iter().find(|line| line.what == "setting").map_or(&NONE, |line| &line.more);
-        let fronts = setting["fronts"].as_u64().unwrap_or_default() as usize;
-        let mut mishaps: BTreeMap<u64, (Value, Duration, Duration)> = BTreeMap::new();
+        let settings = lines.iter().find(|line| line.what == "setting").map_or(&NONE, |line| &line.more);
+        let fronts = settings["fronts"].as_u64().unwrap_or_default() as usize;
+        let mut faults: BTreeMap<u64, (Value, Duration, Duration)> = BTreeMap::new();
         let mut kinds = HashMap::new();
         for line in lines {
             let number = line.number("number").unwrap_or_default();
             match line.what.as_str() {
                 "mishap" => {
-                    mishaps.insert(number, (line.more["mishap"].clone(), line.at, Duration::MAX));
+                    faults.insert(number, (line.more["mishap"].clone(), line.at, Duration::MAX));
                 }
                 "healed" => {
-                    mishaps.entry(number).and_modify(|m| m.2 = line.at);
+                    faults.entry(number).and_modify(|m| m.2 = line.at);
                 }
                 "txn" => {
                     let kind = line.number("kind").unwrap_or_default() as usize;
@@ -111,44 +116,46 @@
                 _ => {}
             }
         }
-        let mishaps: Vec<_> = mishaps.into_values().collect();
-        let mut met = vec![Vec::new(); fronts];
-        for (mishap, from, to) in &mishaps {
+        let faults: Vec<_> = faults.into_values().collect();
+        let mut disturbances = vec![Vec::new(); fronts];
+        for (fault, from, to) in &faults {
             let process = ["front_killed", "front_ended", "front_stopped", "front_slow", "upgraded"];
-            let front = mishap["front"].as_u64().map(|front| front as usize).filter(|&front| front < fronts);
+            let front = fault["front"].as_u64().map(|front| front as usize).filter(|&front| front < fronts);
             if let Some(front) =
-                front.filter(|_| process.contains(&mishap["what"].as_str().unwrap_or_default()))
+                front.filter(|_| process.contains(&fault["what"].as_str().unwrap_or_default()))
             {
-                met[front].push((*from, to.saturating_add(AFTER)));
+                disturbances[front].push((*from, to.saturating_add(RECOVERY_TIME)));
             }
         }
         // A process that is not up yet, or has been told to end, answers for nothing.
         for line in lines.iter().filter(|line| line.what == "start" || line.what == "told to end") {
             let front = line.number("front").unwrap_or_default() as usize;
             if front < fronts {
-                met[front].push((line.at, line.at + AFTER));
+                disturbances[front].push((line.at, line.at + RECOVERY_TIME));
             }
         }
-        Town { lines, setting, fronts, met, mishaps, kinds }
+        HistoryView { lines, settings, fronts, disturbances, faults, kinds }
     }
 
-    pub(super) fn each(&self, what: &'a str) -> impl Iterator<Item = &'a Line> {
+    pub(super) fn lines_of(&self, what: &'a str) -> impl Iterator<Item = &'a Line> {
         self.lines.iter().filter(move |line| line.what == what)
     }
 
     pub(super) fn kind(&self, txn: u64) -> &Value {
         let kind = self.kinds.get(&txn).copied().unwrap_or(usize::MAX);
-        self.setting["kinds"].get(kind).unwrap_or(&Value::Null)
+        self.settings["kinds"].get(kind).unwrap_or(&Value::Null)
     }
 
     /// Whether something met a front's process in that time.
     pub(super) fn excused(&self, front: usize, from: Duration, to: Duration) -> bool {
-        self.met.get(front).is_some_and(|met| met.iter().any(|&(a, b)| a <= to && from <= b))
+        self.disturbances
+            .get(front)
+            .is_some_and(|intervals| intervals.iter().any(|&(a, b)| a <= to && from <= b))
     }
 
     /// Ends of a history that are not over yet.
     pub(super) fn end(&self) -> Duration {
-        self.each("over")
+        self.lines_of("over")
             .map(|line| line.at)
             .next()
             .unwrap_or_else(|| self.lines.last().map_or(Duration::ZERO, |l| l.at))
@@ -164,30 +171,30 @@
 }
 
 /// Rule 1: who has asked is answered once, unless its front's process was met by something meanwhile.
-pub(super) fn answers(town: &Town) -> Vec<(Duration, String)> {
+pub(super) fn check_answers(view: &HistoryView) -> Vec<(Duration, String)> {
     let mut asked: HashMap<u64, (Duration, usize, Duration)> = HashMap::new();
     let mut answered: HashMap<u64, (Duration, bool, u32)> = HashMap::new();
-    for line in town.lines {
+    for line in view.lines {
         match line.what.as_str() {
             "asked" => {
                 asked.insert(txn(line), (line.at, front(line), micros(&line.more["left"])));
             }
             "answered" => {
-                let told = line.text("told") != "nothing";
-                let entry = answered.entry(txn(line)).or_insert((line.at, told, 0));
+                let has_outcome = line.text("told") != "nothing";
+                let entry = answered.entry(txn(line)).or_insert((line.at, has_outcome, 0));
                 entry.2 += 1;
-                entry.1 |= told;
+                entry.1 |= has_outcome;
             }
             _ => {}
         }
     }
-    let (slack, end) = (micros(&town.setting["slack"]), town.end());
+    let (slack, end) = (micros(&view.settings["slack"]), view.end());
     let mut found = Vec::new();
     let mut all: Vec<_> = asked.into_iter().collect();
     all.sort_unstable();
     for (txn, (at, front, left)) in all {
         let due = at + left + slack;
-        if due > end || town.excused(front, at, due) {
+        if due > end || view.excused(front, at, due) {
             continue;
         }
         match answered.get(&txn) {
@@ -202,10 +209,10 @@
 }
 
 /// Rule 2: no txn takes effect twice.
-fn effects(town: &Town) -> Vec<(Duration, String)> {
+fn check_effects(view: &HistoryView) -> Vec<(Duration, String)> {
     let mut ran: HashMap<u64, i64> = HashMap::new();
     let mut found = Vec::new();
-    for line in town.lines {
+    for line in view.lines {
         let by = match line.what.as_str() {
             "ran" => 1,
             "undone" => -1,
@@ -221,9 +228,9 @@
 }
 
 /// Rule 2: what is told declined has not run and does not run later, and what is told committed has run.
-fn truth(town: &Town) -> Vec<(Duration, String)> {
+fn check_outcomes(view: &HistoryView) -> Vec<(Duration, String)> {
     let mut ran: HashMap<u64, i64> = HashMap::new();
-    for line in town.lines {
+    for line in view.lines {
         match line.what.as_str() {
             "ran" => *ran.entry(txn(line)).or_default() += 1,
             "undone" => *ran.entry(txn(line)).or_default() -= 1,
@@ -231,8 +238,8 @@
         }
     }
     let mut found = Vec::new();
-    for line in town.each("answered") {
-        let kind = town.kind(txn(line));
+    for line in view.lines_of("answered") {
+        let kind = view.kind(txn(line));
         if kind["write"].as_bool() != Some(true) {
             continue;
         }
@@ -258,16 +265,16 @@
 
 /// Rules 1 and 2: one submission of a txn at a time, and none after its answer. A member hears of a front that has
 /// given one up a moment after the next has come.
-fn one_at_a_time(town: &Town) -> Vec<(Duration, String)> {
+fn check_single_submission(view: &HistoryView) -> Vec<(Duration, String)> {
     let mut spans: BTreeMap<u64, Vec<(Duration, Duration, u64)>> = BTreeMap::new();
     let mut answered: HashMap<u64, Duration> = HashMap::new();
     let mut found = Vec::new();
-    for line in town.lines {
+    for line in view.lines {
         let (txn, member) = (txn(line), line.number("member").unwrap_or_default());
         match line.what.as_str() {
             "submitted" => {
                 spans.entry(txn).or_default().push((line.at, Duration::MAX, member));
-                if answered.get(&txn).is_some_and(|&at| line.at > at + KNOWN) {
+                if answered.get(&txn).is_some_and(|&at| line.at > at + PROPAGATION_DELAY) {
                     found.push((line.at, format!("front {} sends txn {txn} after its answer", front(line))));
                 }
             }
@@ -283,7 +290,7 @@
         }
     }
     for (txn, spans) in spans {
-        for pair in spans.windows(2).filter(|pair| pair[0].1 > pair[1].0 + KNOWN) {
+        for pair in spans.windows(2).filter(|pair| pair[0].1 > pair[1].0 + PROPAGATION_DELAY) {
             found.push((pair[1].0, format!("txn {txn} is out twice")));
         }
     }
@@ -291,26 +298,26 @@
 }
 
 /// Rule 3: nothing new to what drains or is gone, past the grace, by what each process was told.
-fn drains(town: &Town) -> Vec<(Duration, String)> {
-    let grace = micros(&town.setting["drain_grace"]) + KNOWN;
-    let mut told: HashMap<(usize, u64), Duration> = HashMap::new();
+fn check_drains(view: &HistoryView) -> Vec<(Duration, String)> {
+    let grace = micros(&view.settings["drain_grace"]) + PROPAGATION_DELAY;
+    let mut drained: HashMap<(usize, u64), Duration> = HashMap::new();
     let mut found = Vec::new();
-    for line in town.lines {
+    for line in view.lines {
         let key = (front(line), line.number("member").unwrap_or_default());
         match line.what.as_str() {
             "listed" if line.text("state") == "up" => {
-                told.remove(&key);
+                drained.remove(&key);
             }
             "listed" => {
-                told.entry(key).or_insert(line.at);
+                drained.entry(key).or_insert(line.at);
             }
             // One that stood still may not have read it; what it had written before still arrives.
             "submitted"
-                if told.get(&key).is_some_and(|&at| line.at > at + grace)
-                    && !town.excused(key.0, line.at.saturating_sub(grace), line.at) =>
+                if drained.get(&key).is_some_and(|&at| line.at > at + grace)
+                    && !view.excused(key.0, line.at.saturating_sub(grace), line.at) =>
             {
-                let told = format!("front {} sends to member {}, which is to get none", key.0, key.1);
-                found.push((line.at, told));
+                let what = format!("front {} sends to member {}, which is to get none", key.0, key.1);
+                found.push((line.at, what));
             }
             _ => {}
         }
@@ -319,16 +326,16 @@
 }
 
 /// Rule 4: no cold member is sent more than it bears, all processes together.
-fn cold(town: &Town) -> Vec<(Duration, String)> {
+fn check_cold_load(view: &HistoryView) -> Vec<(Duration, String)> {
     let (window, multiple) =
-        (micros(&town.setting["window"]), town.setting["multiple"].as_f64().unwrap_or(f64::MAX));
-    let mut came: HashMap<u64, Vec<(Duration, f64)>> = HashMap::new();
+        (micros(&view.settings["window"]), view.settings["multiple"].as_f64().unwrap_or(f64::MAX));
+    let mut received: HashMap<u64, Vec<(Duration, f64)>> = HashMap::new();
     let mut found = Vec::new();
-    for line in town.each("pressed") {
+    for line in view.lines_of("pressed") {
         let member = line.number("member").unwrap_or_default();
         let work = line.more["work"].as_f64().unwrap_or_default();
         let can = line.more["can"].as_f64().unwrap_or_default();
-        let all = came.entry(member).or_default();
+        let all = received.entry(member).or_default();
         all.push((line.at, work));
         all.retain(|&(at, _)| at + window >= line.at);
         let sum: f64 = all.iter().map(|w| w.1).sum();
@@ -343,27 +350,29 @@
 }
 
 /// Rule 5: no read of data older than its bound, unless its member has not yet told that it is a replica.
-fn stale(town: &Town) -> Vec<(Duration, String)> {
+fn check_stale_reads(view: &HistoryView) -> Vec<(Duration, String)> {
     let mut replica: HashMap<(usize, u64), (Duration, u64)> = HashMap::new();
     let mut found = Vec::new();
-    for line in town.lines {
+    for line in view.lines {
         let key = (front(line), line.number("member").unwrap_or_default());
         match line.what.as_str() {
             "replica" => {
                 replica.insert(key, (line.at, line.number("epoch").unwrap_or_default()));
             }
             "submitted" => {
-                let (Some(bound), Some(age)) = (town.kind(txn(line))["bound"].as_u64(), line.number("age"))
+                let (Some(bound), Some(age)) = (view.kind(txn(line))["bound"].as_u64(), line.number("age"))
                 else {
                     continue;
                 };
                 let leads = line.more["leads"].as_bool() == Some(true);
                 let epoch = line.number("epoch");
-                let told =
-                    replica.get(&key).is_some_and(|&(at, of)| Some(of) == epoch && line.at > at + KNOWN);
+                let known_replica = replica
+                    .get(&key)
+                    .is_some_and(|&(at, of)| Some(of) == epoch && line.at > at + PROPAGATION_DELAY);
                 // What lay in a socket while its front stood still was written in time.
-                let excused = leads || epoch.is_some() && !told || town.excused(key.0, line.at, line.at);
-                if age > bound + KNOWN.as_micros() as u64 && !excused {
+                let excused =
+                    leads || epoch.is_some() && !known_replica || view.excused(key.0, line.at, line.at);
+                if age > bound + PROPAGATION_DELAY.as_micros() as u64 && !excused {
                     found.push((
                         line.at,
                         format!("front {} reads data {} ms old at member {}", key.0, age / 1000, key.1),
@@ -377,9 +386,9 @@
 }
 
 /// Nobody believes in a life that no process was in.
-fn forged(town: &Town) -> Vec<(Duration, String)> {
-    let mut latest = vec![0u64; town.fronts];
-    let statuses: Vec<&Line> = town.each("status").collect();
+fn check_forged_incarnations(view: &HistoryView) -> Vec<(Duration, String)> {
+    let mut latest = vec![0u64; view.fronts];
+    let statuses: Vec<&Line> = view.lines_of("status").collect();
     for line in &statuses {
         let own = line.more["status"]["incarnation"].as_u64().unwrap_or_default();
         if let Some(latest) = latest.get_mut(front(line)) {
@@ -388,13 +397,16 @@
     }
     let mut found = Vec::new();
     for line in statuses {
-        for fellow in line.more["status"]["fronts"].as_array().into_iter().flatten() {
-            let index = fellow["index"].as_u64().unwrap_or_default() as usize;
-            let life = fellow["incarnation"].as_u64().unwrap_or_default();
-            if latest.get(index).is_some_and(|&latest| latest > 0 && life > latest + FORGED) {
+        for peer in line.more["status"]["fronts"].as_array().into_iter().flatten() {
+            let index = peer["index"].as_u64().unwrap_or_default() as usize;
+            let incarnation = peer["incarnation"].as_u64().unwrap_or_default();
+            if latest
+                .get(index)
+                .is_some_and(|&latest| latest > 0 && incarnation > latest + FORGED_INCARNATION_GAP)
+            {
                 found.push((
                     line.at,
-                    format!("front {} believes in life {life} of front {index}", front(line)),
+                    format!("front {} believes in life {incarnation} of front {index}", front(line)),
                 ));
             }
         }
@@ -403,20 +415,20 @@
 }
 
 /// No datagram is longer than the platform allows.
-fn size(town: &Town) -> Vec<(Duration, String)> {
-    let longest = |line: &&Line| line.number("longest").is_some_and(|longest| longest > LONGEST);
-    let too_long = town.each("over").filter(longest);
+fn check_datagram_size(view: &HistoryView) -> Vec<(Duration, String)> {
+    let longest = |line: &&Line| line.number("longest").is_some_and(|longest| longest > MAX_DATAGRAM_BYTES);
+    let too_long = view.lines_of("over").filter(longest);
     too_long.map(|line| (line.at, format!("a datagram of {} bytes", line.more["longest"]))).collect()
 }
 
 /// When all fronts last began to hold the same for there: all of them, each whole. By the statuses; none if
 /// they do not to the end.
-fn agreed_from(town: &Town) -> Option<Duration> {
-    let healed = micros(&town.setting["healed"]);
-    let all: Vec<u64> = (0..town.fronts as u64).collect();
-    let mut good: Vec<Option<Duration>> = vec![None; town.fronts];
-    let ends = town.each("told to end").map(|line| line.at).min().unwrap_or(Duration::MAX);
-    for line in town.each("status") {
+fn agreement_time(view: &HistoryView) -> Option<Duration> {
+    let healed = micros(&view.settings["healed"]);
+    let all: Vec<u64> = (0..view.fronts as u64).collect();
+    let mut agreed_since: Vec<Option<Duration>> = vec![None; view.fronts];
+    let ends = view.lines_of("told to end").map(|line| line.at).min().unwrap_or(Duration::MAX);
+    for line in view.lines_of("status") {
         let asked = micros(&line.more["asked"]);
         if asked < healed || line.at > ends {
             continue;
@@ -425,20 +437,20 @@
         let present: Vec<u64> =
             status["present"].as_array().into_iter().flatten().filter_map(Value::as_u64).collect();
         let well = status["standing"] == "whole" && present == all;
-        if let Some(good) = good.get_mut(front(line)) {
-            *good = if well { good.or(Some(line.at)) } else { None };
+        if let Some(agreed_since) = agreed_since.get_mut(front(line)) {
+            *agreed_since = if well { agreed_since.or(Some(line.at)) } else { None };
         }
     }
-    good.into_iter().try_fold(Duration::ZERO, |latest, at| Some(latest.max(at?)))
+    agreed_since.into_iter().try_fold(Duration::ZERO, |latest, at| Some(latest.max(at?)))
 }
 
-fn views(town: &Town) -> Vec<(Duration, String)> {
-    if town.setting["fellows"].as_bool() != Some(true) {
+fn check_membership_views(view: &HistoryView) -> Vec<(Duration, String)> {
+    if view.settings["fellows"].as_bool() != Some(true) {
         return Vec::new();
     }
-    let healed = micros(&town.setting["healed"]);
-    match agreed_from(town) {
-        Some(at) if at <= healed + AGREE => Vec::new(),
+    let healed = micros(&view.settings["healed"]);
+    match agreement_time(view) {
+        Some(at) if at <= healed + AGREEMENT_DEADLINE => Vec::new(),
         Some(at) => {
             vec![(at, format!("all agree only {:.1} s after the last mishap", (at - healed).as_secs_f64()))]
         }
@@ -447,21 +459,21 @@
 }
 
 /// No minority takes itself for the whole once it has had the time to find out.
-fn majority(town: &Town) -> Vec<(Duration, String)> {
+fn check_majority(view: &HistoryView) -> Vec<(Duration, String)> {
     let mut found = Vec::new();
-    for line in town.each("status").filter(|line| line.more["status"]["standing"] == "whole") {
+    for line in view.lines_of("status").filter(|line| line.more["status"]["standing"] == "whole") {
         let asked = micros(&line.more["asked"]);
-        for (mishap, from, to) in &town.mishaps {
-            let side: BTreeSet<usize> = mishap["side"]
+        for (fault, from, to) in &view.faults {
+            let side: BTreeSet<usize> = fault["side"]
                 .as_array()
                 .into_iter()
                 .flatten()
                 .filter_map(Value::as_u64)
                 .map(|f| f as usize)
                 .collect();
-            let cut = mishap["what"] == "apart" && asked > *from + FOUND_OUT && line.at < *to;
-            let mine = if side.contains(&front(line)) { side.len() } else { town.fronts - side.len() };
-            if cut && 2 * mine <= town.fronts && !town.excused(front(line), *from, line.at) {
+            let cut = fault["what"] == "apart" && asked > *from + ISOLATION_DETECTION && line.at < *to;
+            let mine = if side.contains(&front(line)) { side.len() } else { view.fronts - side.len() };
+            if cut && 2 * mine <= view.fronts && !view.excused(front(line), *from, line.at) {
                 found.push((
                     line.at,
                     format!("front {} is one of {mine} and takes itself for the whole", front(line)),
@@ -497,19 +509,19 @@
     pub auditors: usize,
     /// Auditors that did not catch what was planted for them.
     pub blind: Vec<&'static str>,
-    pub found: Vec<Found>,
+    pub found: Vec<Finding>,
     /// Of the last second or so: what all fronts together have refused, by why.
     pub why_refused: BTreeMap<String, u64>,
 }
 
 pub fn figures(lines: &[Line]) -> Figures {
-    let town = Town::of(lines);
-    let mut seen = Figures { processes: town.fronts, faults: town.mishaps.len(), ..Figures::default() };
-    let kinds: BTreeSet<&str> = town.mishaps.iter().filter_map(|m| m.0["what"].as_str()).collect();
-    (seen.kinds, seen.txns) = (kinds.len(), town.each("asked").count());
-    seen.committed = town.each("answered").filter(|line| line.text("told") == "committed").count();
+    let view = HistoryView::new(lines);
+    let mut seen = Figures { processes: view.fronts, faults: view.faults.len(), ..Figures::default() };
+    let kinds: BTreeSet<&str> = view.faults.iter().filter_map(|m| m.0["what"].as_str()).collect();
+    (seen.kinds, seen.txns) = (kinds.len(), view.lines_of("asked").count());
+    seen.committed = view.lines_of("answered").filter(|line| line.text("told") == "committed").count();
     for auditor in &AUDITORS {
-        let found = auditor.finds(lines);
+        let found = auditor.findings(lines);
         match auditor.name {
             "answers" => seen.lost = found.len(),
             "effects" | "one at a time" => seen.doubled += found.len(),
@@ -519,7 +531,7 @@
         }
         let rules = ["answers", "effects", "truth", "one at a time", "drains", "cold", "stale"];
         seen.rules_broken += if rules.contains(&auditor.name) { found.len() } else { 0 };
-        if auditor.catches(lines) {
+        if auditor.detects_injected_violation(lines) {
             seen.auditors += 1
         } else {
             seen.blind.push(auditor.name)
@@ -528,22 +540,22 @@
     }
     // Deaths: from when nobody could hear a front until each other took it for dead.
     let mut times = Histogram::<u64>::new_with_bounds(1, 600_000, 3).expect("good bounds");
-    for line in town.each("log").filter(|line| line.more["log"]["msg"] == "fellow down") {
+    for line in view.lines_of("log").filter(|line| line.more["log"]["msg"] == "fellow down") {
         let (by, whom) = (front(line), line.more["log"]["front"].as_u64().unwrap_or_default() as usize);
-        let gone = town.mishaps.iter().find(|(mishap, from, to)| {
-            let what = mishap["what"].as_str().unwrap_or_default();
-            let met = ["front_killed", "front_stopped", "unheard"].contains(&what)
-                && mishap["front"] == json!(whom)
-                || what == "apart" && sides(mishap, whom) != sides(mishap, by);
-            met && line.at >= *from && line.at <= to.saturating_add(AFTER)
+        let gone = view.faults.iter().find(|(fault, from, to)| {
+            let what = fault["what"].as_str().unwrap_or_default();
+            let expected = ["front_killed", "front_stopped", "unheard"].contains(&what)
+                && fault["front"] == json!(whom)
+                || what == "apart" && on_side(fault, whom) != on_side(fault, by);
+            expected && line.at >= *from && line.at <= to.saturating_add(RECOVERY_TIME)
         });
         match gone {
-            Some((mishap, from, _)) if mishap["what"] != "apart" => {
+            Some((fault, from, _)) if fault["what"] != "apart" => {
                 times.saturating_record((line.at - *from).as_millis().max(1) as u64);
             }
             Some(_) => {}
             // Whoever leaves is gone at once; who was met by something else, or is met by loss, was not dead.
-            None if town.excused(whom, line.at, line.at) || town.excused(by, line.at, line.at) => {}
+            None if view.excused(whom, line.at, line.at) || view.excused(by, line.at, line.at) => {}
             None => seen.false_suspicions += 1,
         }
     }
@@ -552,23 +564,24 @@
         seen.detect_p50_ms = times.value_at_percentile(50.0) as f64;
         seen.detect_p99_ms = times.value_at_percentile(99.0) as f64;
     }
-    let healed = micros(&town.setting["healed"]);
-    seen.settle_ms = agreed_from(&town).map(|at| at.saturating_sub(healed).as_millis() as u64);
-    seen.datagram_max = town.each("over").filter_map(|line| line.number("longest")).max().unwrap_or_default();
+    let healed = micros(&view.settings["healed"]);
+    seen.settle_ms = agreement_time(&view).map(|at| at.saturating_sub(healed).as_millis() as u64);
+    seen.datagram_max =
+        view.lines_of("over").filter_map(|line| line.number("longest")).max().unwrap_or_default();
     let mut last: BTreeMap<usize, &Value> = BTreeMap::new();
-    for line in town.each("status") {
+    for line in view.lines_of("status") {
         last.insert(front(line), &line.more["status"]["refused"]);
     }
     for (why, count) in last.values().filter_map(|refused| refused.as_object()).flatten() {
         *seen.why_refused.entry(why.clone()).or_default() += count.as_u64().unwrap_or_default();
     }
-    seen.cpu_ms = town.each("told to end").filter_map(|line| line.number("cpu_ms")).sum();
+    seen.cpu_ms = view.lines_of("told to end").filter_map(|line| line.number("cpu_ms")).sum();
     seen.refused = seen.why_refused.values().sum();
     seen
 }
 
-fn sides(mishap: &Value, front: usize) -> bool {
-    mishap["side"].as_array().is_some_and(|side| side.contains(&json!(front)))
+fn on_side(fault: &Value, front: usize) -> bool {
+    fault["side"].as_array().is_some_and(|side| side.contains(&json!(front)))
 }
 
 impl Figures {
@@ -610,30 +623,34 @@
 // Faults planted on purpose.
 
 /// The line that is left out is one whose lack can be told: of a calm front, in the middle of the day.
-fn middle(lines: &[Line], what: &str, fits: impl Fn(&Town, &Line) -> bool) -> Option<usize> {
-    let town = Town::of(lines);
-    let fit: Vec<usize> =
-        (0..lines.len()).filter(|&i| lines[i].what == what && fits(&town, &lines[i])).collect();
-    fit.get(fit.len() / 2).copied()
+fn middle_line(lines: &[Line], what: &str, matches: impl Fn(&HistoryView, &Line) -> bool) -> Option<usize> {
+    let view = HistoryView::new(lines);
+    let matching: Vec<usize> =
+        (0..lines.len()).filter(|&i| lines[i].what == what && matches(&view, &lines[i])).collect();
+    matching.get(matching.len() / 2).copied()
 }
 
-fn drop_answer(lines: &mut Vec<Line>) -> bool {
-    let at = middle(lines, "answered", |town, line| {
+fn inject_missing_answer(lines: &mut Vec<Line>) -> bool {
+    let at = middle_line(lines, "answered", |view, line| {
         line.text("told") == "committed"
-            && !town.excused(front(line), line.at.saturating_sub(2 * AFTER), line.at + 2 * AFTER)
-            && line.at + 2 * AFTER < town.end()
+            && !view.excused(
+                front(line),
+                line.at.saturating_sub(2 * RECOVERY_TIME),
+                line.at + 2 * RECOVERY_TIME,
+            )
+            && line.at + 2 * RECOVERY_TIME < view.end()
     });
     at.map(|at| lines.remove(at)).is_some()
 }
 
 /// A submission comes twice, and the first is out for long.
-fn plant_copy(lines: &mut Vec<Line>) -> bool {
-    let Some(at) = middle(lines, "submitted", |_, _| true) else { return false };
+fn inject_double_submission(lines: &mut Vec<Line>) -> bool {
+    let Some(at) = middle_line(lines, "submitted", |_, _| true) else { return false };
     let copy = lines[at].clone();
-    let its = |line: &Line| line.what == "ended" && txn(line) == txn(&copy) && line.at >= copy.at;
-    if let Some(end) = lines.iter().position(its) {
+    let ends_it = |line: &Line| line.what == "ended" && txn(line) == txn(&copy) && line.at >= copy.at;
+    if let Some(end) = lines.iter().position(ends_it) {
         let mut end = lines.remove(end);
-        end.at += 3 * KNOWN;
+        end.at += 3 * PROPAGATION_DELAY;
         let place = lines.partition_point(|line| line.at <= end.at);
         lines.insert(place, end);
     }
@@ -641,20 +658,21 @@
     true
 }
 
-fn plant_effect(lines: &mut Vec<Line>) -> bool {
-    let at = middle(lines, "ran", |_, _| true);
+fn inject_double_effect(lines: &mut Vec<Line>) -> bool {
+    let at = middle_line(lines, "ran", |_, _| true);
     if let Some(at) = at {
-        let again = lines[at].clone();
-        lines.insert(at + 1, again);
+        let duplicate = lines[at].clone();
+        lines.insert(at + 1, duplicate);
     }
     at.is_some()
 }
 
 /// A write that has run is told declined.
-fn plant_decline(lines: &mut [Line]) -> bool {
+fn inject_false_decline(lines: &mut [Line]) -> bool {
     let ran: BTreeSet<u64> = lines.iter().filter(|line| line.what == "ran").map(txn).collect();
-    let at =
-        middle(lines, "answered", |_, line| line.text("told") == "committed" && ran.contains(&txn(line)));
+    let at = middle_line(lines, "answered", |_, line| {
+        line.text("told") == "committed" && ran.contains(&txn(line))
+    });
     if let Some(at) = at {
         lines[at].more["told"] = "declined".into();
     }
@@ -662,27 +680,28 @@
 }
 
 /// A front was told long before that a member drains.
-fn plant_drain(lines: &mut Vec<Line>) -> bool {
+fn inject_submission_to_draining(lines: &mut Vec<Line>) -> bool {
     let grace = Duration::from_secs(2);
-    let Some(at) = middle(lines, "submitted", |town, line| {
-        !town.excused(front(line), line.at.saturating_sub(2 * grace), line.at)
+    let Some(at) = middle_line(lines, "submitted", |view, line| {
+        !view.excused(front(line), line.at.saturating_sub(2 * grace), line.at)
     }) else {
         return false;
     };
-    let told = lines[at].at.saturating_sub(grace);
+    let listed_at = lines[at].at.saturating_sub(grace);
     let more =
         json!({ "front": lines[at].more["front"], "member": lines[at].more["member"], "state": "stopped" });
-    let (from, until) = (front(&lines[at]), lines[at].number("member"));
+    let (from, member) = (front(&lines[at]), lines[at].number("member"));
     // What the list said of it meanwhile is left out.
-    let said = |line: &Line| line.what == "listed" && front(line) == from && line.number("member") == until;
-    lines.retain(|line| !said(line));
-    let place = lines.partition_point(|line| line.at <= told);
-    lines.insert(place, Line { at: told, what: "listed".to_owned(), more });
+    let listed =
+        |line: &Line| line.what == "listed" && front(line) == from && line.number("member") == member;
+    lines.retain(|line| !listed(line));
+    let place = lines.partition_point(|line| line.at <= listed_at);
+    lines.insert(place, Line { at: listed_at, what: "listed".to_owned(), more });
     true
 }
 
 /// Far more work comes to a member that has just started than it bears.
-fn plant_pressure(lines: &mut Vec<Line>) -> bool {
+fn inject_cold_overload(lines: &mut Vec<Line>) -> bool {
     let place = lines.len() / 2;
     let at = lines.get(place).map_or(Duration::ZERO, |line| line.at);
     let more = json!({ "member": 0, "work": 1e9, "can": 0.1 });
@@ -690,10 +709,10 @@
     true
 }
 
-fn plant_age(lines: &mut [Line]) -> bool {
-    let at = middle(lines, "submitted", |town, line| {
-        let bounded = town.kind(txn(line))["bound"].as_u64().is_some();
-        let calm = !town.excused(front(line), line.at, line.at);
+fn inject_stale_read(lines: &mut [Line]) -> bool {
+    let at = middle_line(lines, "submitted", |view, line| {
+        let bounded = view.kind(txn(line))["bound"].as_u64().is_some();
+        let calm = !view.excused(front(line), line.at, line.at);
         bounded && calm && line.more["leads"] == false && line.more["epoch"].is_null()
     });
     if let Some(at) = at {
@@ -702,8 +721,8 @@
     at.is_some()
 }
 
-fn plant_life(lines: &mut [Line]) -> bool {
-    let at = middle(lines, "status", |_, line| {
+fn inject_forged_incarnation(lines: &mut [Line]) -> bool {
+    let at = middle_line(lines, "status", |_, line| {
         line.more["status"]["fronts"].as_array().is_some_and(|f| f.len() > 1)
     });
     if let Some(at) = at {
@@ -711,24 +730,25 @@
             (front(&lines[at]) + 1) % lines[at].more["status"]["fronts"].as_array().map_or(1, Vec::len);
         // Above all lives that it was in: it may have started under a clock that was ahead.
         let own = |line: &Line| line.more["status"]["incarnation"].as_u64().filter(|_| front(line) == index);
-        let latest = Town::of(lines).each("status").filter_map(own).max().unwrap_or_default();
-        lines[at].more["status"]["fronts"][index]["incarnation"] = (latest.max(1 << 20) + 5 * FORGED).into();
-        let latest = Town::of(lines).each("status").filter(|line| front(line) == index).count();
+        let latest = HistoryView::new(lines).lines_of("status").filter_map(own).max().unwrap_or_default();
+        lines[at].more["status"]["fronts"][index]["incarnation"] =
+            (latest.max(1 << 20) + 5 * FORGED_INCARNATION_GAP).into();
+        let latest = HistoryView::new(lines).lines_of("status").filter(|line| front(line) == index).count();
         return latest > 0;
     }
     false
 }
 
-fn plant_length(lines: &mut [Line]) -> bool {
+fn inject_long_datagram(lines: &mut [Line]) -> bool {
     let at = lines.iter().position(|line| line.what == "over");
     if let Some(at) = at {
-        lines[at].more["longest"] = (LONGEST + 1).into();
+        lines[at].more["longest"] = (MAX_DATAGRAM_BYTES + 1).into();
     }
     at.is_some()
 }
 
 /// One front lacks another to the end.
-fn plant_view(lines: &mut [Line]) -> bool {
+fn inject_incomplete_view(lines: &mut [Line]) -> bool {
     let mut any = false;
     for line in lines.iter_mut().filter(|line| line.what == "status" && front(line) == 0) {
         if let Some(present) = line.more["status"]["present"].as_array_mut() {
@@ -739,19 +759,19 @@
 }
 
 /// A front that is alone on its side of a long cut says that it is whole.
-fn plant_majority(lines: &mut Vec<Line>) -> bool {
-    let Some(at) = middle(lines, "status", |_, line| line.more["status"]["standing"] == "whole") else {
+fn inject_false_majority(lines: &mut Vec<Line>) -> bool {
+    let Some(at) = middle_line(lines, "status", |_, line| line.more["status"]["standing"] == "whole") else {
         return false;
     };
     let (front, when) = (lines[at].more["front"].clone(), micros(&lines[at].more["asked"]));
-    let from = when.saturating_sub(2 * FOUND_OUT);
-    let mishap = json!({ "what": "apart", "side": [front] });
+    let from = when.saturating_sub(2 * ISOLATION_DETECTION);
+    let fault = json!({ "what": "apart", "side": [front] });
     let line = |at, what: &str| Line {
         at,
         what: what.to_owned(),
-        more: json!({ "number": u64::MAX, "mishap": mishap }),
+        more: json!({ "number": u64::MAX, "mishap": fault }),
     };
-    let (begins, ends) = (line(from, "mishap"), line(lines[at].at + FOUND_OUT, "healed"));
+    let (begins, ends) = (line(from, "mishap"), line(lines[at].at + ISOLATION_DETECTION, "healed"));
     // Nothing else met it meanwhile.
     lines.retain(|line| !(line.what == "start" && line.more["front"] == front));
     lines.retain(|line| !(line.what == "mishap" && line.more["mishap"]["front"] == front));
--- a/crates/lab/src/fleet/owners.rs
+++ b/crates/lab/src/fleet/owners.rs
@@ -2,7 +2,7 @@
 //! effect of an older term was carried out after one of a newer, whether writes were held too long. Like the other
 //! auditors it reads the history alone.
 
-use super::audit::{Town, front, micros};
+use super::audit::{HistoryView, front, micros};
 use super::history::Line;
 use super::{Figures as Fleet, figures};
 use hdrhistogram::Histogram;
@@ -12,10 +12,10 @@
 use std::time::Duration;
 
 /// Times in logs are whole milliseconds, and a process looks at its clock a moment before it writes.
-const ROUNDED: Duration = Duration::from_millis(5);
+const LOG_TIME_TOLERANCE: Duration = Duration::from_millis(5);
 /// A planned change is over at each front after this, whoever has died: 2 s for what is out, 5 s for a successor, and
 /// the time until a busy machine has written it down.
-const HELD: Duration = Duration::from_millis(9000);
+const MAX_HOLD: Duration = Duration::from_millis(9000);
 
 /// One front's time as the owner of a duty under a term.
 #[derive(Clone, Debug, PartialEq)]
@@ -33,10 +33,10 @@
 
 /// From when to when each front owned a duty, for certain: from the moment it said so, until the last time that it
 /// told it would, it gave it back or lost it, or its process ended.
-fn spans(town: &Town) -> Vec<Span> {
+fn spans(view: &HistoryView) -> Vec<Span> {
     let mut all: Vec<Span> = Vec::new();
     let mut open: BTreeMap<(usize, String), usize> = BTreeMap::new();
-    for line in town.lines {
+    for line in view.lines {
         let at = line.at;
         let by = front(line);
         if let Some(log) = log(line, "duty taken") {
@@ -57,13 +57,13 @@
             }
         }
         if line.what == "duties" {
-            for told in line.more["duties"].as_array().into_iter().flatten() {
-                let key = (by, told["duty"].as_str().unwrap_or_default().to_owned());
+            for status in line.more["duties"].as_array().into_iter().flatten() {
+                let key = (by, status["duty"].as_str().unwrap_or_default().to_owned());
                 let until = micros(&line.more["asked"])
-                    + Duration::from_millis(told["until_ms"].as_u64().unwrap_or(0));
-                if told["mine"] == true
+                    + Duration::from_millis(status["until_ms"].as_u64().unwrap_or(0));
+                if status["mine"] == true
                     && let Some(&span) = open.get(&key)
-                    && told["term"].as_u64() == Some(all[span].term)
+                    && status["term"].as_u64() == Some(all[span].term)
                 {
                     all[span].to = all[span].to.max(until);
                 }
@@ -74,8 +74,8 @@
         if killed || line.what == "start" {
             let whom =
                 if killed { line.more["mishap"]["front"].as_u64().unwrap_or_default() as usize } else { by };
-            let its: Vec<_> = open.keys().filter(|key| key.0 == whom).cloned().collect();
-            for key in its {
+            let owned: Vec<_> = open.keys().filter(|key| key.0 == whom).cloned().collect();
+            for key in owned {
                 if let Some(span) = open.remove(&key) {
                     all[span].to = all[span].to.min(at);
                 }
@@ -87,12 +87,14 @@
 }
 
 /// No duty has two owners at once.
-pub(super) fn two_at_once(town: &Town) -> Vec<(Duration, String)> {
-    let spans = spans(town);
+pub(super) fn check_single_owner(view: &HistoryView) -> Vec<(Duration, String)> {
+    let spans = spans(view);
     let mut found = Vec::new();
     for (i, one) in spans.iter().enumerate() {
-        let its = spans[i + 1..].iter().take_while(|other| other.duty == one.duty);
-        for other in its.filter(|other| other.front != one.front && other.from + ROUNDED < one.to) {
+        let others = spans[i + 1..].iter().take_while(|other| other.duty == one.duty);
+        for other in
+            others.filter(|other| other.front != one.front && other.from + LOG_TIME_TOLERANCE < one.to)
+        {
             let (a, b, ms) = (one.front, other.front, (one.to - other.from).as_millis());
             found.push((other.from, format!("fronts {a} and {b} both own {}, for {ms} ms", one.duty)));
         }
@@ -101,33 +103,33 @@
 }
 
 /// At no front an effect of an older term is carried out after one of a newer.
-pub(super) fn went_back(town: &Town) -> Vec<(Duration, String)> {
+pub(super) fn check_term_order(view: &HistoryView) -> Vec<(Duration, String)> {
     let mut newest: BTreeMap<(usize, String), u64> = BTreeMap::new();
     let mut found = Vec::new();
-    for line in town.lines {
+    for line in view.lines {
         let Some(log) = log(line, "effects of a term") else { continue };
         let duty = log["duty"].as_str().unwrap_or_default().to_owned();
         let term = log["term"].as_u64().unwrap_or_default();
-        let its = newest.entry((front(line), duty.clone())).or_default();
-        if term < *its {
+        let newest_term = newest.entry((front(line), duty.clone())).or_default();
+        if term < *newest_term {
             found.push((line.at, format!("front {} carries out {duty} of an older term", front(line))));
         }
-        *its = term.max(*its);
+        *newest_term = term.max(*newest_term);
     }
     found
 }
 
 /// A hold ends by itself at each front, whoever has died.
-pub(super) fn held_too_long(town: &Town) -> Vec<(Duration, String)> {
+pub(super) fn check_hold_duration(view: &HistoryView) -> Vec<(Duration, String)> {
     let mut since: BTreeMap<(usize, u64), Duration> = BTreeMap::new();
     let mut found = Vec::new();
     let mut ended = |at: Duration, key: (usize, u64), from: Duration| {
-        if at > from + HELD && !town.excused(key.0, from, at) {
+        if at > from + MAX_HOLD && !view.excused(key.0, from, at) {
             let span = (at - from).as_secs_f64();
             found.push((at, format!("front {} held the writes of group {} for {span:.1} s", key.0, key.1)));
         }
     };
-    for line in town.lines {
+    for line in view.lines {
         if line.what == "start" || line.what == "told to end" {
             since.retain(|key, _| key.0 != front(line));
         }
@@ -143,7 +145,7 @@
         }
     }
     for (key, from) in since {
-        ended(town.end(), key, from);
+        ended(view.end(), key, from);
     }
     found
 }
@@ -151,8 +153,8 @@
 // Faults planted on purpose.
 
 /// Another front says that it has taken a duty that is owned.
-pub(super) fn plant_owner(lines: &mut Vec<Line>) -> bool {
-    let spans = spans(&Town::of(lines));
+pub(super) fn inject_second_owner(lines: &mut Vec<Line>) -> bool {
+    let spans = spans(&HistoryView::new(lines));
     let long = spans.iter().max_by_key(|span| span.to.saturating_sub(span.from)).cloned();
     let Some(span) = long.or_else(|| {
         // Nobody owned anything there: two are planted.
@@ -166,17 +168,17 @@
         let log = json!({ "msg": "duty taken", "duty": span.duty, "term": span.term });
         Line { at, what: "log".to_owned(), more: json!({ "front": front, "log": log }) }
     };
-    let told = |front: usize, at: Duration, left: Duration| {
+    let status = |front: usize, at: Duration, left: Duration| {
         let duty = json!({ "duty": span.duty, "term": span.term, "mine": true, "until_ms": left.as_millis() as u64 });
         let more = json!({ "front": front, "asked": at.as_micros() as u64, "duties": [duty] });
         Line { at, what: "duties".to_owned(), more }
     };
     let middle = span.from + (span.to - span.from) / 2;
-    let mut planted = vec![taken(span.front + 1, middle), told(span.front + 1, middle, span.to - middle)];
+    let mut injected = vec![taken(span.front + 1, middle), status(span.front + 1, middle, span.to - middle)];
     if !spans.contains(&span) {
-        planted.extend([taken(span.front, span.from), told(span.front, span.from, span.to - span.from)]);
+        injected.extend([taken(span.front, span.from), status(span.front, span.from, span.to - span.from)]);
     }
-    for line in planted {
+    for line in injected {
         let place = lines.partition_point(|other| other.at <= line.at);
         lines.insert(place, line);
     }
@@ -184,7 +186,7 @@
 }
 
 /// An effect of a very old term is carried out at the end, after one of a newer.
-pub(super) fn plant_term(lines: &mut Vec<Line>) -> bool {
+pub(super) fn inject_older_term(lines: &mut Vec<Line>) -> bool {
     let at = lines.last().map_or(Duration::ZERO, |line| line.at);
     for term in [9u64, 1] {
         let log = json!({ "msg": "effects of a term", "duty": "move 999", "term": term });
@@ -194,12 +196,14 @@
 }
 
 /// A hold that begins early on never ends.
-pub(super) fn plant_hold(lines: &mut Vec<Line>) -> bool {
-    let town = Town::of(lines);
-    let calm = |at: Duration| (0..town.fronts).find(|&f| !town.excused(f, at, at + 2 * HELD));
-    let place = (0..lines.len()).step_by(97).find_map(|i| calm(lines[i].at).map(|front| (i, front)));
+pub(super) fn inject_endless_hold(lines: &mut Vec<Line>) -> bool {
+    let view = HistoryView::new(lines);
+    let undisturbed_front =
+        |at: Duration| (0..view.fronts).find(|&f| !view.excused(f, at, at + 2 * MAX_HOLD));
+    let place =
+        (0..lines.len()).step_by(97).find_map(|i| undisturbed_front(lines[i].at).map(|front| (i, front)));
     // Where each front was met by something, one that is not in the tier holds.
-    let (place, front) = place.unwrap_or((0, town.fronts));
+    let (place, front) = place.unwrap_or((0, view.fronts));
     let at = lines.get(place).map_or(Duration::ZERO, |line| line.at);
     let log = |plan: &str| json!({ "msg": "primary", "why": "Planned", "group": 999, "plan": plan });
     let line = |at, plan: &str| Line {
@@ -207,7 +211,7 @@
         what: "log".to_owned(),
         more: json!({ "front": front, "log": log(plan) }),
     };
-    let (begins, ends) = (line(at, "Order Emptying"), line(at + 2 * HELD, "Order Done"));
+    let (begins, ends) = (line(at, "Order Emptying"), line(at + 2 * MAX_HOLD, "Order Done"));
     lines.insert(place, begins);
     let place = lines.partition_point(|other| other.at <= ends.at);
     lines.insert(place, ends);
@@ -219,7 +223,8 @@
     let mut sums = [0; 3];
     for line in lines.iter().filter(|line| line.what == "said") {
         for (name, count) in line.text("text").split_whitespace().filter_map(|word| word.split_once('=')) {
-            if let Some(at) = ["probes", "probes_spared", "txns"].iter().position(|its| *its == name) {
+            if let Some(at) = ["probes", "probes_spared", "txns"].iter().position(|counter| *counter == name)
+            {
                 sums[at] += count.parse().unwrap_or(0);
             }
         }
@@ -244,10 +249,10 @@
 }
 
 pub fn changes(lines: &[Line]) -> Figures {
-    let town = Town::of(lines);
+    let view = HistoryView::new(lines);
     let fleet = figures(lines);
     let count = |name: &str| fleet.found.iter().filter(|found| found.auditor == name).count();
-    let spans = spans(&town);
+    let spans = spans(&view);
     let mut gaps = Histogram::<u64>::new_with_bounds(1, 600_000, 3).expect("good bounds");
     let mut changes = 0;
     for pair in
@@ -255,20 +260,20 @@
     {
         changes += 1;
         // From when the owner before was stopped or killed, if it was, else from when it let go.
-        let lost = town.mishaps.iter().filter(|(mishap, ..)| {
-            let what = mishap["what"].as_str().unwrap_or_default();
-            ["front_stopped", "front_killed"].contains(&what) && mishap["front"] == json!(pair[0].front)
+        let lost = view.faults.iter().filter(|(fault, ..)| {
+            let what = fault["what"].as_str().unwrap_or_default();
+            ["front_stopped", "front_killed"].contains(&what) && fault["front"] == json!(pair[0].front)
         });
         let lost =
             lost.map(|(_, from, _)| *from).filter(|&at| at >= pair[0].from && at <= pair[1].from).min();
         let from = lost.unwrap_or(pair[0].to);
         gaps.saturating_record(pair[1].from.saturating_sub(from).as_millis().max(1) as u64);
     }
-    let logs = |what: &'static str| lines.iter().filter_map(move |line| log(line, what));
-    let ended: Vec<&str> = logs("move ended").filter_map(|log| log["outcome"].as_str()).collect();
+    let messages = |what: &'static str| lines.iter().filter_map(move |line| log(line, what));
+    let ended: Vec<&str> = messages("move ended").filter_map(|log| log["outcome"].as_str()).collect();
     Figures {
         changes,
-        stale_sent: logs("stale effect refused").count(),
+        stale_sent: messages("stale effect refused").count(),
         stale_applied: count("terms"),
         two_at_once: count("owners"),
         moves: ended.len(),
--- a/crates/lab/src/fleet/play.rs
+++ b/crates/lab/src/fleet/play.rs
@@ -4,10 +4,10 @@
 use super::crowd::Crowd;
 use super::history::History;
 use super::ledger::Clients;
-use super::machine::Machine;
-use super::process::{PATIENCE, Process, STEP};
+use super::machine::MachineFaults;
+use super::process::{POLL_INTERVAL, PROCESS_TIMEOUT, Process};
 use super::relay::Relay;
-use super::schedule::{Harm, Mishap, Schedule};
+use super::schedule::{FaultKind, InjectedFault, Schedule};
 use crate::scenario::{Befallen, Befalls, Fleet, Load, Of, OfKind, Reads, Runs, Scenario};
 use crate::sockets::{State, Town, client, list, settings};
 use juniperdock_emulator::{Entry, Note, Out, World};
@@ -22,11 +22,11 @@
 use std::time::{Duration, Instant};
 
 /// How often each front is asked how it stands.
-const ASKED: Duration = Duration::from_millis(150);
+const STATUS_INTERVAL: Duration = Duration::from_millis(150);
 /// Clients wait for so long beyond their time: a busy machine loses nobody's answer.
-const SLACK: Duration = Duration::from_millis(1500);
+const ANSWER_SLACK: Duration = Duration::from_millis(1500);
 /// A slow front is stopped for the first and runs for the second.
-const TURNS: (Duration, Duration) = (Duration::from_millis(70), Duration::from_millis(50));
+const SLOW_CYCLE: (Duration, Duration) = (Duration::from_millis(70), Duration::from_millis(50));
 
 /// Before and behind the signal that ends a process.
 const SIGNALS_IN_SERIES: &[&str] = &["-HUP", "-USR1", "-HUP"];
@@ -50,18 +50,18 @@
         kind("mark", 2.0, Reads::Write, Runs::Referenced),
         kind("order", 2.0, Reads::Write, Runs::OnceOnly),
     ];
-    let trouble = |m: &Mishap| {
+    let world_fault = |m: &InjectedFault| {
         let (what, of) = match m.what {
-            Harm::PrimaryKilled => (Befalls::Killed, Of::Primary),
-            Harm::PrimaryHung => (Befalls::Hung, Of::Primary),
-            Harm::PrimaryCut => (Befalls::CutFromFronts, Of::Primary),
-            Harm::PrimaryApart => (Befalls::CutFromPeers, Of::Primary),
-            Harm::PrimaryDrained => (Befalls::Drained, Of::Primary),
-            Harm::PrimaryMoved => (Befalls::Moved, Of::Primary),
-            Harm::MemberDrained => (Befalls::Drained, Of::Member),
+            FaultKind::PrimaryKilled => (Befalls::Killed, Of::Primary),
+            FaultKind::PrimaryHung => (Befalls::Hung, Of::Primary),
+            FaultKind::PrimaryCut => (Befalls::CutFromFronts, Of::Primary),
+            FaultKind::PrimaryApart => (Befalls::CutFromPeers, Of::Primary),
+            FaultKind::PrimaryDrained => (Befalls::Drained, Of::Primary),
+            FaultKind::PrimaryMoved => (Befalls::Moved, Of::Primary),
+            FaultKind::MemberDrained => (Befalls::Drained, Of::Member),
             _ => return None,
         };
-        let Mishap { at_s, lasts_s, number, .. } = *m;
+        let InjectedFault { at_s, lasts_s, number, .. } = *m;
         Some(Befallen { at_s, lasts_s, what, of: Some(of), number, share: None, by: None })
     };
     Scenario {
@@ -77,13 +77,13 @@
             ..Fleet::default()
         },
         load: Load { per_second: schedule.per_second, retries: schedule.retries, kinds, ..Load::default() },
-        troubles: schedule.mishaps.iter().filter_map(trouble).collect(),
+        troubles: schedule.mishaps.iter().filter_map(world_fault).collect(),
         ..Scenario::default()
     }
 }
 
 /// Of which member, its state, and the list's own line.
-type Unsaid = (usize, &'static str, String);
+type WithheldEntry = (usize, &'static str, String);
 
 struct Rig<'a> {
     schedule: &'a Schedule,
@@ -95,14 +95,14 @@
     environments: Vec<Vec<(&'static str, String)>>,
     agents: Vec<Agent>,
     /// What the list has for a front that does not hear it.
-    unsaid: Vec<Option<Vec<Unsaid>>>,
+    withheld: Vec<Option<Vec<WithheldEntry>>>,
     listen: Vec<SocketAddr>,
     /// Where each front reaches the members.
     at: Vec<Vec<SocketAddr>>,
     members: usize,
     slow: Vec<Option<Instant>>,
     /// When each front's process was last told to end.
-    told_to_end: Vec<Option<Instant>>,
+    terminated_at: Vec<Option<Instant>>,
     /// Upgrades under way: of which front, and the new process once it serves.
     upgrades: Vec<(usize, Receiver<Option<u64>>)>,
     /// Planned changes that were ordered: at which front, of which group, and the answer.
@@ -110,12 +110,12 @@
     /// The fleet rolls itself: which process is a front's is to be asked.
     rolled: bool,
     /// What each front's process meets in the machine's calls.
-    machines: Vec<Machine>,
+    machine_faults: Vec<MachineFaults>,
     crowds: Vec<Option<Crowd>>,
 }
 
 /// Changes a front's configuration or operators' file before the start, by a front's number.
-pub type Bend<'a> = &'a dyn Fn(usize, &mut Value, &mut Value);
+pub type ConfigEdit<'a> = &'a dyn Fn(usize, &mut Value, &mut Value);
 
 /// Plays a schedule with the program; everything lies in the history's file afterwards.
 pub fn play(
@@ -123,7 +123,7 @@
     seed: u64,
     program: &str,
     into: &Path,
-    bend: Option<Bend>,
+    edit_config: Option<ConfigEdit>,
 ) -> Result<(), String> {
     std::fs::metadata(program).map_err(|e| format!("{program}: {e}"))?;
     let scenario = scenario(schedule);
@@ -132,11 +132,13 @@
     let history = History::create(into)?;
     let mut world = World::new(shape);
     world.noting();
-    let mut born: Vec<Vec<Entry>> = Vec::new();
-    while let Some(Out::Born { known, .. }) = (born.len() < n).then(|| world.next(Duration::ZERO)).flatten() {
-        born.push(known);
+    let mut initial_lists: Vec<Vec<Entry>> = Vec::new();
+    while let Some(Out::Born { known, .. }) =
+        (initial_lists.len() < n).then(|| world.next(Duration::ZERO)).flatten()
+    {
+        initial_lists.push(known);
     }
-    let town = Town::new(State::new(world, n, Some(Box::new(Clients(history.clone())))), SLACK);
+    let town = Town::new(State::new(world, n, Some(Box::new(Clients(history.clone())))), ANSWER_SLACK);
     let kind = |kind: &OfKind| {
         json!({ "name": kind.name, "write": kind.reads == Reads::Write, "repeatable": kind.runs == Runs::Repeatable,
             "bound": (kind.reads == Reads::Bounded).then_some(kind.bound_ms * 1000) })
@@ -148,16 +150,16 @@
         json!({ "title": schedule.title, "seed": seed, "fronts": n, "fellows": schedule.fellows, "duties": schedule.duties,
             "every": schedule.every_ms * 1000, "lasts": (schedule.lasts_s * 1e6) as u64,
             "healed": (schedule.healed_s() * 1e6) as u64, "kinds": scenario.load.kinds.iter().map(kind).collect::<Vec<_>>(),
-            "drain_grace": 1_000_000, "slack": SLACK.as_micros() as u64, "window": fleet.falls_after_ms * 1000,
+            "drain_grace": 1_000_000, "slack": ANSWER_SLACK.as_micros() as u64, "window": fleet.falls_after_ms * 1000,
             "multiple": fleet.falls_at }),
     );
-    let home =
+    let work_dir =
         std::env::temp_dir().join(format!("jd-fleet-{}-{seed}-{}", std::process::id(), address().ip()));
     let listen: Vec<SocketAddr> = (0..n).map(|_| address()).collect();
     let peers: Vec<SocketAddr> = listen.iter().map(|at| SocketAddr::new(at.ip(), 7946)).collect();
     let relay = Relay::open(address().ip(), &peers, seed)?;
-    std::fs::create_dir_all(&home).map_err(|e| e.to_string())?;
-    std::fs::write(home.join("key"), format!("{seed:064x}\n")).map_err(|e| e.to_string())?;
+    std::fs::create_dir_all(&work_dir).map_err(|e| e.to_string())?;
+    std::fs::write(work_dir.join("key"), format!("{seed:064x}\n")).map_err(|e| e.to_string())?;
     let mut rig = Rig {
         schedule,
         program,
@@ -167,53 +169,53 @@
         processes: Vec::new(),
         environments: Vec::new(),
         agents: Vec::new(),
-        unsaid: (0..n).map(|_| None).collect(),
+        withheld: (0..n).map(|_| None).collect(),
         listen: listen.clone(),
         at: Vec::new(),
         members,
         slow: vec![None; n],
-        told_to_end: vec![None; n],
+        terminated_at: vec![None; n],
         upgrades: Vec::new(),
         moves: Vec::new(),
         rolled: false,
-        machines: Vec::new(),
+        machine_faults: Vec::new(),
         crowds: (0..n).map(|_| None).collect(),
     };
     town.leaving.lock().unwrap_or_else(PoisonError::into_inner).share = schedule.leaves;
-    let preloads = schedule.mishaps.iter().any(Mishap::machine);
-    let keeps = schedule.mishaps.iter().any(|mishap| mishap.what == Harm::DiskFails);
+    let preloads = schedule.mishaps.iter().any(InjectedFault::targets_machine_calls);
+    let writes_snapshot = schedule.mishaps.iter().any(|fault| fault.what == FaultKind::DiskFails);
     for front in 0..n {
         let at = town.members(front, members)?;
         let agent = Agent::start(WATCH);
-        let known = list(&town, 1, true, &born[front], &at);
+        let known = list(&town, 1, true, &initial_lists[front], &at);
         let mut config = settings(&scenario, seed, front, &known);
         config["name"] = format!("n{front}").into();
         config["peer_listen"] = peers[front].to_string().into();
         config["peers"] = rig.relay.at[front].iter().map(ToString::to_string).collect::<Vec<_>>().into();
         config["settings"]["Bounds"]["Peers"] = true.into();
         config["limits"]["sockets"] = schedule.sockets.into();
-        let dir = home.join(format!("{front}"));
+        let dir = work_dir.join(format!("{front}"));
         std::fs::create_dir_all(&dir).map_err(|e| e.to_string())?;
-        let speaks = if schedule.older.contains(&front) { 1 } else { 2 };
+        let version = if schedule.older.contains(&front) { 1 } else { 2 };
         let mut charter = json!({ "log": { "form": "json" }, "control": { "path": dir.join("control") } });
         if schedule.fellows {
-            charter["fellows"] = json!({ "keys": [home.join("key")], "every_ms": schedule.every_ms, "speaks": speaks,
+            charter["fellows"] = json!({ "keys": [work_dir.join("key")], "every_ms": schedule.every_ms, "speaks": version,
                     "duties": schedule.duties });
         }
-        if keeps {
+        if writes_snapshot {
             charter["snapshot"] = json!({ "path": dir.join("snapshot"), "every_s": 1 });
         }
-        if let Some(bend) = bend {
-            bend(front, &mut config, &mut charter);
+        if let Some(edit_config) = edit_config {
+            edit_config(front, &mut config, &mut charter);
         }
         let write = |name: &str, value: &Value| {
             std::fs::write(dir.join(name), value.to_string()).map_err(|e| e.to_string())
         };
         write("config.json", &config)?;
         write("charter.json5", &charter)?;
-        let machine = Machine::new(&dir, seed, front);
+        let machine = MachineFaults::new(&dir, seed, front);
         let mut environment = if preloads { machine.environment()? } else { Vec::new() };
-        rig.machines.push(machine);
+        rig.machine_faults.push(machine);
         environment.extend([
             ("GW_NAME", format!("n{front}")),
             ("GW_LISTEN", listen[front].to_string()),
@@ -251,15 +253,15 @@
                 }
                 let asked = town.now().as_micros() as u64;
                 let wait = Duration::from_millis(600);
-                let told = duties.then(|| ask(&socket, &json!({ "do": "duties" }), wait)).flatten();
-                if let Some(told) = told {
+                let duties_status = duties.then(|| ask(&socket, &json!({ "do": "duties" }), wait)).flatten();
+                if let Some(duties_status) = duties_status {
                     history.note(
                         town.now(),
                         "duties",
-                        json!({ "front": front, "asked": asked, "duties": told }),
+                        json!({ "front": front, "asked": asked, "duties": duties_status }),
                     );
                 }
-                std::thread::sleep(ASKED);
+                std::thread::sleep(STATUS_INTERVAL);
             }
         });
     }
@@ -270,15 +272,15 @@
     let logs: Vec<PathBuf> = rig.processes.iter().map(|process| process.dir.join("log")).collect();
     drop(rig);
     for (front, log) in logs.iter().enumerate() {
-        take_in(&history, &town, front, log);
+        import_log(&history, &town, front, log);
     }
     history.flush()?;
-    let _ = std::fs::remove_dir_all(&home);
+    let _ = std::fs::remove_dir_all(&work_dir);
     done
 }
 
 /// A front's own log goes into the history.
-fn take_in(history: &History, town: &Town, front: usize, log: &Path) {
+fn import_log(history: &History, town: &Town, front: usize, log: &Path) {
     let text = std::fs::read_to_string(log).unwrap_or_default();
     for line in text.lines() {
         let Ok(log) = serde_json::from_str::<Value>(line) else {
@@ -315,18 +317,18 @@
         loop {
             let now = self.town.now();
             while let Some((_, begins, i)) = steps.next_if(|step| step.0 <= now) {
-                let mishap = self.schedule.mishaps[i].clone();
-                let more = json!({ "number": i, "mishap": mishap });
+                let fault = self.schedule.mishaps[i].clone();
+                let more = json!({ "number": i, "mishap": fault });
                 let at = self.town.now();
                 if begins {
                     self.history.note(at, "mishap", more);
-                    self.begin(&mishap);
+                    self.begin(&fault);
                 } else {
                     self.history.note(at, "healed", more);
-                    self.end(&mishap)?;
+                    self.end(&fault)?;
                 }
             }
-            self.turns();
+            self.cycle_slow_fronts();
             self.upgrades();
             self.moves();
             let town = self.town.clone();
@@ -345,13 +347,13 @@
                         version += 1;
                         let text = list(&self.town, version, false, &[entry], &self.at[front]);
                         let at = state.world.now();
-                        self.tell(at, front, &entry, text);
+                        self.announce(at, front, &entry, text);
                     }
                     _ => {}
                 }
             }
             for (at, note) in state.world.take_notes() {
-                self.jot(at, note);
+                self.record_note(at, note);
             }
             self.town.asked.notify_all();
             let open = (0..self.schedule.fronts).any(|front| state.world.open(front) > 0);
@@ -359,10 +361,10 @@
             if now > lasts && !open || now > lasts + Duration::from_secs(5) {
                 break;
             }
-            std::thread::sleep(STEP);
+            std::thread::sleep(POLL_INTERVAL);
         }
         // All go in order, and say what they counted.
-        self.find();
+        self.refresh_pids();
         for front in 0..self.processes.len() {
             let cpu = self.processes[front].cpu_ms();
             if !self.processes[front].runs() {
@@ -373,8 +375,8 @@
         }
         let begun = Instant::now();
         for front in 0..self.processes.len() {
-            while self.processes[front].runs() && begun.elapsed() < PATIENCE {
-                std::thread::sleep(STEP);
+            while self.processes[front].runs() && begun.elapsed() < PROCESS_TIMEOUT {
+                std::thread::sleep(POLL_INTERVAL);
             }
             if self.processes[front].runs() {
                 self.history.note(self.town.now(), "does not end", json!({ "front": front }));
@@ -384,20 +386,20 @@
         Ok(())
     }
 
-    fn tell(&mut self, at: Duration, front: usize, entry: &Entry, text: String) {
+    fn announce(&mut self, at: Duration, front: usize, entry: &Entry, text: String) {
         let state = if entry.state == ListedState::Up { "up" } else { "stopped" };
-        match &mut self.unsaid[front] {
-            Some(unsaid) => unsaid.push((entry.member, state, text)),
-            None => self.say(at, front, entry.member, state, text),
+        match &mut self.withheld[front] {
+            Some(withheld) => withheld.push((entry.member, state, text)),
+            None => self.send_entry(at, front, entry.member, state, text),
         }
     }
 
-    fn say(&self, at: Duration, front: usize, member: usize, state: &str, text: String) {
+    fn send_entry(&self, at: Duration, front: usize, member: usize, state: &str, text: String) {
         self.history.note(at, "listed", json!({ "front": front, "member": member, "state": state }));
         self.agents[front].tell(text);
     }
 
-    fn jot(&self, at: Duration, note: Note) {
+    fn record_note(&self, at: Duration, note: Note) {
         let micros = |span: Duration| span.as_micros() as u64;
         let (what, more) = match note {
             Note::Submitted { front, txn, member, group, age, leads, epoch } => (
@@ -430,89 +432,91 @@
     }
 
     /// The ways that a mishap meets.
-    fn ways(&self, m: &Mishap) -> Vec<(usize, usize)> {
+    fn affected_links(&self, m: &InjectedFault) -> Vec<(usize, usize)> {
         let n = self.schedule.fronts;
         let all = (0..n).flat_map(|i| (0..n).map(move |j| (i, j))).filter(|(i, j)| i != j);
         let met = |&(i, j): &(usize, usize)| match m.what {
-            Harm::Apart => m.side.contains(&i) != m.side.contains(&j),
-            Harm::OneWay => (Some(i), Some(j)) == (m.front, m.other),
-            Harm::Unheard => Some(i) == m.front,
-            Harm::Replayed | Harm::Forged => m.front.is_none_or(|front| j == front),
-            Harm::Flooded => Some(j) == m.front && i == (j + 1) % n,
+            FaultKind::Apart => m.side.contains(&i) != m.side.contains(&j),
+            FaultKind::OneWay => (Some(i), Some(j)) == (m.front, m.other),
+            FaultKind::Unheard => Some(i) == m.front,
+            FaultKind::Replayed | FaultKind::Forged => m.front.is_none_or(|front| j == front),
+            FaultKind::Flooded => Some(j) == m.front && i == (j + 1) % n,
             _ => m.front.is_none_or(|front| i == front || j == front),
         };
         all.filter(met).collect()
     }
 
     /// Asks each front which process serves now, where they may have changed by themselves.
-    fn find(&mut self) {
+    fn refresh_pids(&mut self) {
         for process in self.processes.iter_mut().filter(|_| self.rolled) {
-            let told = ask(&process.dir.join("control"), &json!({ "do": "status" }), Duration::from_secs(1));
-            if let Some(pid) = told.and_then(|told| told["pid"].as_u64()) {
+            let status =
+                ask(&process.dir.join("control"), &json!({ "do": "status" }), Duration::from_secs(1));
+            if let Some(pid) = status.and_then(|status| status["pid"].as_u64()) {
                 process.pid = pid as u32;
             }
         }
     }
 
-    fn begin(&mut self, m: &Mishap) {
+    fn begin(&mut self, m: &InjectedFault) {
         let front = m.front.unwrap_or(0);
-        self.find();
+        self.refresh_pids();
         match m.what {
-            Harm::FrontKilled => self.processes[front].kill(),
-            Harm::FrontEnded => self.tell_to_end(front),
-            Harm::FrontStopped => {
+            FaultKind::FrontKilled => self.processes[front].kill(),
+            FaultKind::FrontEnded => self.terminate(front),
+            FaultKind::FrontStopped => {
                 self.processes[front].signal("-STOP");
                 self.processes[front].stopped = true;
             }
-            Harm::FrontSlow => self.slow[front] = Some(Instant::now()),
-            Harm::Upgraded => {
+            FaultKind::FrontSlow => self.slow[front] = Some(Instant::now()),
+            FaultKind::Upgraded => {
                 let socket = self.processes[front].dir.join("control");
-                let (tell, told) = channel();
-                self.upgrades.push((front, told));
+                let (sender, receiver) = channel();
+                self.upgrades.push((front, receiver));
                 std::thread::spawn(move || {
-                    let answer = ask(&socket, &json!({ "do": "upgrade" }), PATIENCE);
-                    let _ = tell.send(answer.and_then(|answer| answer["pid"].as_u64()));
+                    let answer = ask(&socket, &json!({ "do": "upgrade" }), PROCESS_TIMEOUT);
+                    let _ = sender.send(answer.and_then(|answer| answer["pid"].as_u64()));
                 });
             }
-            Harm::RollOrdered => {
+            FaultKind::RollOrdered => {
                 self.rolled = true;
                 let asked = json!({ "do": "roll", "at_once": m.number.max(1) });
-                let said = answer(&self.processes[front].dir.join("control"), &asked, Duration::from_secs(2));
+                let reply =
+                    answer(&self.processes[front].dir.join("control"), &asked, Duration::from_secs(2));
                 self.history.note(
                     self.town.now(),
                     "roll answered",
-                    json!({ "front": front, "answer": said }),
+                    json!({ "front": front, "answer": reply }),
                 );
             }
-            Harm::MoveOrdered => {
+            FaultKind::MoveOrdered => {
                 let (socket, group) = (self.processes[front].dir.join("control"), m.number);
-                let (tell, told) = channel();
-                self.moves.push((front, group, told));
+                let (sender, receiver) = channel();
+                self.moves.push((front, group, receiver));
                 std::thread::spawn(move || {
                     let asked = json!({ "do": "move", "group": group });
-                    let _ = tell.send(answer(&socket, &asked, Duration::from_secs(6)));
+                    let _ = sender.send(answer(&socket, &asked, Duration::from_secs(6)));
                 });
             }
-            Harm::MembersCut => self.part(front, true),
-            Harm::ListCut => self.unsaid[front] = Some(Vec::new()),
-            Harm::Crowd => {
+            FaultKind::MembersCut => self.set_partitioned(front, true),
+            FaultKind::ListCut => self.withheld[front] = Some(Vec::new()),
+            FaultKind::Crowd => {
                 self.crowds[front] = Some(Crowd::start(self.listen[front], m.by.unwrap_or(0.0)));
             }
-            _ if m.world() => {}
-            _ if m.machine() => self.meet(m, true),
-            _ => self.bend(m, true),
+            _ if m.targets_members() => {}
+            _ if m.targets_machine_calls() => self.set_machine_faults(m, true),
+            _ => self.change_links(m, true),
         }
     }
 
-    fn end(&mut self, m: &Mishap) -> Result<(), String> {
+    fn end(&mut self, m: &InjectedFault) -> Result<(), String> {
         let front = m.front.unwrap_or(0);
         match m.what {
-            Harm::FrontKilled => self.start(front)?,
-            Harm::FrontEnded => {
+            FaultKind::FrontKilled => self.start(front)?,
+            FaultKind::FrontEnded => {
                 if self.schedule.kills_the_ending {
                     // Never earlier than that, though this rig was late to tell it.
-                    let told = self.told_to_end[front].map_or(Duration::MAX, |told| told.elapsed());
-                    std::thread::sleep(Duration::from_secs_f64(m.lasts_s).saturating_sub(told));
+                    let elapsed = self.terminated_at[front].map_or(Duration::MAX, |at| at.elapsed());
+                    std::thread::sleep(Duration::from_secs_f64(m.lasts_s).saturating_sub(elapsed));
                     self.processes[front].kill();
                 } else if self.processes[front].runs() {
                     self.history.note(self.town.now(), "does not end", json!({ "front": front }));
@@ -520,71 +524,71 @@
                 }
                 self.start(front)?;
             }
-            Harm::FrontStopped => {
+            FaultKind::FrontStopped => {
                 self.processes[front].stopped = false;
                 self.processes[front].signal("-CONT");
             }
-            Harm::FrontSlow => {
+            FaultKind::FrontSlow => {
                 self.slow[front] = None;
                 self.processes[front].stopped = false;
                 self.processes[front].signal("-CONT");
             }
-            Harm::MembersCut => self.part(front, false),
-            Harm::ListCut => {
-                for (member, state, text) in self.unsaid[front].take().unwrap_or_default() {
-                    self.say(self.town.now(), front, member, state, text);
+            FaultKind::MembersCut => self.set_partitioned(front, false),
+            FaultKind::ListCut => {
+                for (member, state, text) in self.withheld[front].take().unwrap_or_default() {
+                    self.send_entry(self.town.now(), front, member, state, text);
                 }
             }
-            Harm::Crowd => self.crowds[front] = None,
-            Harm::Upgraded | Harm::MoveOrdered | Harm::RollOrdered => {}
-            _ if m.world() => {}
-            _ if m.machine() => self.meet(m, false),
-            _ => self.bend(m, false),
+            FaultKind::Crowd => self.crowds[front] = None,
+            FaultKind::Upgraded | FaultKind::MoveOrdered | FaultKind::RollOrdered => {}
+            _ if m.targets_members() => {}
+            _ if m.targets_machine_calls() => self.set_machine_faults(m, false),
+            _ => self.change_links(m, false),
         }
         Ok(())
     }
 
     /// SIGTERM; where processes are killed as they end, among signals that change nothing about it.
-    fn tell_to_end(&mut self, front: usize) {
+    fn terminate(&mut self, front: usize) {
         let around = if self.schedule.kills_the_ending { SIGNALS_IN_SERIES } else { &[] };
         let process = &self.processes[front];
         around.iter().for_each(|name| process.signal(name));
         process.signal("-TERM");
-        self.told_to_end[front] = Some(Instant::now());
+        self.terminated_at[front] = Some(Instant::now());
         around.iter().rev().for_each(|name| process.signal(name));
     }
 
     /// The machine's calls begin to fail as a mishap says, or no longer do, at one front or all.
-    fn meet(&mut self, m: &Mishap, begins: bool) {
-        for (front, machine) in self.machines.iter_mut().enumerate() {
+    fn set_machine_faults(&mut self, m: &InjectedFault, begins: bool) {
+        for (front, machine) in self.machine_faults.iter_mut().enumerate() {
             if m.front.is_none_or(|its| its == front) {
                 machine.change(m, begins);
             }
         }
     }
 
-    fn part(&self, front: usize, parted: bool) {
+    fn set_partitioned(&self, front: usize, partitioned: bool) {
         let mut state = self.town.present();
-        (0..self.members).for_each(|member| state.world.part(front, member, parted));
+        (0..self.members).for_each(|member| state.world.part(front, member, partitioned));
     }
 
     /// Ways get worse by a mishap, or better again.
-    fn bend(&self, m: &Mishap, begins: bool) {
+    fn change_links(&self, m: &InjectedFault, begins: bool) {
         let sign = if begins { 1.0 } else { -1.0 };
         let (share, by) = (sign * m.share.unwrap_or(0.0), sign * m.by.unwrap_or(0.0));
         let add = |to: &mut f64, by: f64| *to = if (*to + by).abs() < 1e-9 { 0.0 } else { *to + by };
-        for (from, to) in self.ways(m) {
+        for (from, to) in self.affected_links(m) {
             self.relay.change(from, to, |way| match m.what {
-                Harm::Apart | Harm::OneWay | Harm::Unheard if begins => way.cut += 1,
-                Harm::Apart | Harm::OneWay | Harm::Unheard => way.cut -= 1,
-                Harm::Lost => add(&mut way.lost, share),
-                Harm::Doubled => add(&mut way.doubled, share),
-                Harm::Bent => add(&mut way.bent, share),
-                Harm::Late => {
+                FaultKind::Apart | FaultKind::OneWay | FaultKind::Unheard if begins => way.cut += 1,
+                FaultKind::Apart | FaultKind::OneWay | FaultKind::Unheard => way.cut -= 1,
+                FaultKind::Lost => add(&mut way.lost, share),
+                FaultKind::Doubled => add(&mut way.doubled, share),
+                FaultKind::Bent => add(&mut way.bent, share),
+                FaultKind::Late => {
                     let span = Duration::from_secs_f64(by.abs() / 1000.0);
                     way.late = if begins { way.late + span } else { way.late.saturating_sub(span) };
                 }
-                Harm::Replayed => add(&mut way.replayed, by),
+                FaultKind::Replayed => add(&mut way.replayed, by),
                 _ => add(&mut way.forged, by),
             });
         }
@@ -593,7 +597,7 @@
     /// Upgrades that are over: the new process is the front's now, the old one ends by itself.
     fn upgrades(&mut self) {
         let (history, town, processes) = (&self.history, &self.town, &mut self.processes);
-        self.upgrades.retain(|(front, told)| match told.try_recv() {
+        self.upgrades.retain(|(front, receiver)| match receiver.try_recv() {
             Ok(pid) => {
                 history.note(town.now(), "upgraded", json!({ "front": front, "pid": pid }));
                 if let Some(pid) = pid {
@@ -609,7 +613,7 @@
     /// Once all fronts hold a group's writes its primary hands over.
     fn moves(&mut self) {
         let (history, town) = (&self.history, &self.town);
-        self.moves.retain(|(front, group, told)| match told.try_recv() {
+        self.moves.retain(|(front, group, receiver)| match receiver.try_recv() {
             Ok(answer) => {
                 let more = json!({ "front": front, "group": group, "answer": answer });
                 history.note(town.now(), "move answered", more);
@@ -624,10 +628,10 @@
     }
 
     /// Slow fronts are stopped and continued in turns.
-    fn turns(&mut self) {
+    fn cycle_slow_fronts(&mut self) {
         for front in 0..self.slow.len() {
             let Some(since) = self.slow[front] else { continue };
-            let (still, runs) = TURNS;
+            let (still, runs) = SLOW_CYCLE;
             let in_turn =
                 Duration::from_nanos((since.elapsed().as_nanos() % (still + runs).as_nanos()) as u64);
             let stop = in_turn < still;
--- a/crates/lab/src/fleet/primaries.rs
+++ b/crates/lab/src/fleet/primaries.rs
@@ -1,17 +1,17 @@
 //! What a history of changing primaries shows: what each change cost, and whether all that clients were told was
 //! true. Like the auditors it reads the history alone.
 
-use super::audit::{Town, front, micros, txn};
+use super::audit::{HistoryView, front, micros, txn};
 use super::history::Line;
-use super::{Figures as Fleet, Harm, figures};
+use super::{FaultKind, Figures as Fleet, figures};
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 use std::time::Duration;
 
 /// Fewer changes than this prove too little.
-const CHANGES: usize = 8;
+const MIN_CHANGES: usize = 8;
 /// A txn outlasts a change if so much of its time is left when another has been elected.
-const LEFT: Duration = Duration::from_millis(300);
+const MIN_TIME_LEFT: Duration = Duration::from_millis(300);
 
 #[derive(Debug, Default)]
 pub struct Figures {
@@ -29,12 +29,12 @@
     pub changes: usize,
     reads: usize,
     reads_served: usize,
-    kinds: BTreeMap<String, OfKind>,
+    kinds: BTreeMap<String, KindFigures>,
     fleet: Fleet,
 }
 
 #[derive(Debug, Default)]
-struct OfKind {
+struct KindFigures {
     struck: usize,
     writes: usize,
     committed: usize,
@@ -42,7 +42,7 @@
     /// Of the writes, those whose time outlasted the change, and how many of these were committed.
     outlasted: usize,
     outlasted_committed: usize,
-    vacant: Vec<Duration>,
+    leaderless: Vec<Duration>,
 }
 
 fn median(spans: &[Duration]) -> u128 {
@@ -52,7 +52,7 @@
 }
 
 /// One loss of a primary: of which group, in which way, from when, and when another was elected.
-struct Turn<'a> {
+struct PrimaryLoss<'a> {
     group: u64,
     kind: &'a str,
     lost: Duration,
@@ -61,41 +61,46 @@
 
 /// Reads a history in which no client asks again.
 pub fn changes(lines: &[Line]) -> Figures {
-    let (town, fleet) = (Town::of(lines), figures(lines));
-    let mut seen =
+    let (view, fleet) = (HistoryView::new(lines), figures(lines));
+    let mut summary =
         Figures { stale: fleet.stale, doubled: fleet.doubled, lost: fleet.lost, ..Figures::default() };
-    seen.untruthful = fleet.found.iter().filter(|found| found.auditor == "truth").count();
-    let elections: Vec<(u64, Duration)> = town
-        .each("primary")
+    summary.untruthful = fleet.found.iter().filter(|found| found.auditor == "truth").count();
+    let elections: Vec<(u64, Duration)> = view
+        .lines_of("primary")
         .map(|line| (line.number("group").unwrap_or_default(), line.at))
         .filter(|(_, at)| *at > Duration::ZERO)
         .collect();
-    seen.changes = elections.len();
-    let turn = |(mishap, from, to): &'_ (serde_json::Value, Duration, Duration)| {
-        let group = mishap["number"].as_u64().unwrap_or_default();
+    summary.changes = elections.len();
+    let loss_of = |(fault, from, to): &'_ (serde_json::Value, Duration, Duration)| {
+        let group = fault["number"].as_u64().unwrap_or_default();
         let its = |&&(g, at): &&(u64, Duration)| g == group && at >= *from && at <= *to;
         let elected = elections.iter().find(its).map(|e| e.1);
-        (group, mishap["what"].as_str().unwrap_or_default().to_owned(), *from, elected)
+        (group, fault["what"].as_str().unwrap_or_default().to_owned(), *from, elected)
     };
     // Only those that meet a group: others have another number.
-    let of_group = |mishap: &serde_json::Value| {
-        serde_json::from_value(mishap["what"].clone()).is_ok_and(|what| Harm::PRIMARY.contains(&what))
+    let of_group = |fault: &serde_json::Value| {
+        serde_json::from_value(fault["what"].clone()).is_ok_and(|what| FaultKind::PRIMARY.contains(&what))
     };
-    let turns = town.mishaps.iter().filter(|(mishap, ..)| of_group(mishap));
-    let turns: Vec<_> = turns.map(turn).collect();
-    let turns: Vec<Turn> = turns
+    let losses = view.faults.iter().filter(|(fault, ..)| of_group(fault));
+    let losses: Vec<_> = losses.map(loss_of).collect();
+    let losses: Vec<PrimaryLoss> = losses
         .iter()
-        .map(|(group, kind, lost, elected)| Turn { group: *group, kind, lost: *lost, elected: *elected })
+        .map(|(group, kind, lost, elected)| PrimaryLoss {
+            group: *group,
+            kind,
+            lost: *lost,
+            elected: *elected,
+        })
         .collect();
-    for turn in &turns {
-        let of = seen.kinds.entry(turn.kind.to_owned()).or_default();
+    for loss in &losses {
+        let of = summary.kinds.entry(loss.kind.to_owned()).or_default();
         of.struck += 1;
-        of.vacant.extend(turn.elected.map(|elected| elected.saturating_sub(turn.lost)));
+        of.leaderless.extend(loss.elected.map(|elected| elected.saturating_sub(loss.lost)));
     }
     let groups: HashMap<u64, u64> =
-        town.each("txn").map(|line| (txn(line), line.number("group").unwrap_or_default())).collect();
+        view.lines_of("txn").map(|line| (txn(line), line.number("group").unwrap_or_default())).collect();
     let asked: HashMap<u64, (Duration, Duration)> =
-        town.each("asked").map(|line| (txn(line), (line.at, micros(&line.more["left"])))).collect();
+        view.lines_of("asked").map(|line| (txn(line), (line.at, micros(&line.more["left"])))).collect();
     let mut ran: HashMap<u64, i64> = HashMap::new();
     for line in lines {
         match line.what.as_str() {
@@ -104,52 +109,52 @@
             _ => {}
         }
     }
-    for line in town.each("answered").filter(|line| front(line) == 0) {
-        let told = line.text("told");
-        if town.kind(txn(line))["write"].as_bool() != Some(true) {
-            seen.reads += 1;
-            seen.reads_served += usize::from(told == "committed");
+    for line in view.lines_of("answered").filter(|line| front(line) == 0) {
+        let outcome = line.text("told");
+        if view.kind(txn(line))["write"].as_bool() != Some(true) {
+            summary.reads += 1;
+            summary.reads_served += usize::from(outcome == "committed");
             continue;
         }
-        seen.writes += 1;
-        match told {
+        summary.writes += 1;
+        match outcome {
             "committed" => {
-                seen.committed += 1;
+                summary.committed += 1;
                 // Once-only ones are the auditor's: those with a mark are looked at here, as nobody asks again.
-                let marked = town.kind(txn(line))["name"] == "mark";
-                seen.lost += usize::from(marked && ran.get(&txn(line)).copied().unwrap_or(0) < 1);
+                let marked = view.kind(txn(line))["name"] == "mark";
+                summary.lost += usize::from(marked && ran.get(&txn(line)).copied().unwrap_or(0) < 1);
             }
-            "declined" => seen.declined += 1,
-            "unknown" => seen.unknown += 1,
+            "declined" => summary.declined += 1,
+            "unknown" => summary.unknown += 1,
             _ => {}
         }
         let Some(&(from, left)) = asked.get(&txn(line)) else { continue };
         let group = groups.get(&txn(line)).copied().unwrap_or(u64::MAX);
-        let met = turns.iter().rev().find(|turn| {
-            let over = turn.elected.unwrap_or(turn.lost + Duration::from_millis(500));
-            turn.group == group && turn.lost < line.at && from < over
+        let met = losses.iter().rev().find(|loss| {
+            let over = loss.elected.unwrap_or(loss.lost + Duration::from_millis(500));
+            loss.group == group && loss.lost < line.at && from < over
         });
-        if let Some(turn) = met
-            && let Some(of) = seen.kinds.get_mut(turn.kind)
+        if let Some(loss) = met
+            && let Some(of) = summary.kinds.get_mut(loss.kind)
         {
             of.writes += 1;
-            of.committed += usize::from(told == "committed");
-            of.unknown += usize::from(told == "unknown");
-            if turn.elected.is_some_and(|elected| elected + LEFT < from + left) {
+            of.committed += usize::from(outcome == "committed");
+            of.unknown += usize::from(outcome == "unknown");
+            if loss.elected.is_some_and(|elected| elected + MIN_TIME_LEFT < from + left) {
                 of.outlasted += 1;
-                of.outlasted_committed += usize::from(told == "committed");
+                of.outlasted_committed += usize::from(outcome == "committed");
             }
         }
     }
-    seen.fleet = fleet;
-    seen
+    summary.fleet = fleet;
+    summary
 }
 
 impl Figures {
     pub fn holds(&self) -> bool {
         self.lost + self.doubled + self.untruthful + self.stale == 0
             && self.fleet.found.is_empty()
-            && self.changes >= CHANGES
+            && self.changes >= MIN_CHANGES
     }
 }
 
@@ -172,7 +177,7 @@
                 f,
                 "{kind:<16} {struck:>6} {writes:>7} {committed:>9} {:>8} {outlasting:>16} {:>9}",
                 of.unknown,
-                median(&of.vacant)
+                median(&of.leaderless)
             )?;
         }
         write!(
--- a/crates/lab/src/fleet/process.rs
+++ b/crates/lab/src/fleet/process.rs
@@ -6,9 +6,9 @@
 use std::time::{Duration, Instant};
 
 /// How often the world, or the end of a process, is looked at.
-pub(super) const STEP: Duration = Duration::from_millis(1);
+pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(1);
 /// How long a process may take to be there, or to end.
-pub(super) const PATIENCE: Duration = Duration::from_secs(20);
+pub(super) const PROCESS_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// One front's process.
 pub(super) struct Process {
@@ -66,8 +66,8 @@
     pub fn kill(&mut self) {
         self.signal("-KILL");
         let begun = Instant::now();
-        while self.runs() && begun.elapsed() < PATIENCE {
-            std::thread::sleep(STEP);
+        while self.runs() && begun.elapsed() < PROCESS_TIMEOUT {
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 }
--- a/crates/lab/src/fleet/soak.rs
+++ b/crates/lab/src/fleet/soak.rs
@@ -1,9 +1,9 @@
 //! A soak: many processes, faults of all kinds that overlap in time, and the invariants as the oracle. Drawn from a seed;
 //! judged by the history alone.
 
-use super::audit::{self, Found, Town, front, txn};
+use super::audit::{self, Finding, HistoryView, front, txn};
 use super::history::Line;
-use super::schedule::{Harm, Mishap, Schedule};
+use super::schedule::{FaultKind, InjectedFault, Schedule};
 use super::{Figures, figures};
 use juniperdock_emulator::Stream;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -13,33 +13,33 @@
 /// An attempt may still begin so long after its client has left, and is seen a moment later at a busy server.
 const AFTER_LEAVING: Duration = Duration::from_millis(200);
 /// A process that was stopped, or held up, learns later that its client has left.
-const NOTICED: Duration = Duration::from_millis(500);
+const DISTURBED_AFTER_LEAVING: Duration = Duration::from_millis(500);
 
 /// The operators' page (`PROTOCOL.md`, figures).
 const MAX_DEADLINE_S: f64 = 3.0;
 const KILL_MARGIN_S: f64 = 0.7;
 
 /// Idle clients that come to a front in a second.
-const CROWD: f64 = 600.0;
+const CROWD_PER_SECOND: f64 = 600.0;
 
 /// What a soak draws from; each kind once before any comes again.
-const HARMS: [Harm; 16] = [
-    Harm::Crowd,
-    Harm::FrontEnded,
-    Harm::HeldUp,
-    Harm::PrimaryKilled,
-    Harm::CallsFail,
-    Harm::FrontSlow,
-    Harm::ShortCalls,
-    Harm::MemberDrained,
-    Harm::ConnectionsBreak,
-    Harm::FrontKilled,
-    Harm::PrimaryHung,
-    Harm::Crowd,
-    Harm::ListCut,
-    Harm::Upgraded,
-    Harm::PrimaryMoved,
-    Harm::DiskFails,
+const FAULT_KINDS: [FaultKind; 16] = [
+    FaultKind::Crowd,
+    FaultKind::FrontEnded,
+    FaultKind::HeldUp,
+    FaultKind::PrimaryKilled,
+    FaultKind::CallsFail,
+    FaultKind::FrontSlow,
+    FaultKind::ShortCalls,
+    FaultKind::MemberDrained,
+    FaultKind::ConnectionsBreak,
+    FaultKind::FrontKilled,
+    FaultKind::PrimaryHung,
+    FaultKind::Crowd,
+    FaultKind::ListCut,
+    FaultKind::Upgraded,
+    FaultKind::PrimaryMoved,
+    FaultKind::DiskFails,
 ];
 
 impl Schedule {
@@ -62,12 +62,12 @@
         let (mut at_s, mut left) = (1.5, Vec::new());
         while at_s < lasts_s {
             if left.is_empty() {
-                left = HARMS.to_vec();
+                left = FAULT_KINDS.to_vec();
             }
             let what = left.swap_remove(chance.below(left.len()));
-            if let Some(mishap) = schedule.soaking(what, at_s, &mut chance) {
-                schedule.mishaps.extend(beside(&mishap, &mut chance));
-                schedule.mishaps.push(mishap);
+            if let Some(fault) = schedule.draw_fault(what, at_s, &mut chance) {
+                schedule.mishaps.extend(accompanying_fault(&fault, &mut chance));
+                schedule.mishaps.push(fault);
             }
             at_s += pace_s * (0.5 + chance.share());
         }
@@ -82,69 +82,78 @@
     }
 
     /// One mishap of a kind, at some front that nothing of the kind meets; none where there is no such front.
-    fn soaking(&self, what: Harm, at_s: f64, chance: &mut Stream) -> Option<Mishap> {
+    fn draw_fault(&self, what: FaultKind, at_s: f64, chance: &mut Stream) -> Option<InjectedFault> {
         let lasts_s = match what {
-            Harm::FrontEnded => self.earliest_kill_s(),
-            Harm::Upgraded => 2.0,
+            FaultKind::FrontEnded => self.earliest_kill_s(),
+            FaultKind::Upgraded => 2.0,
             _ => 1.0 + 2.5 * chance.share(),
         };
         let number = match what {
-            Harm::PrimaryKilled | Harm::PrimaryHung | Harm::PrimaryMoved => chance.below(self.groups),
-            Harm::MemberDrained => chance.below(self.groups * self.members),
+            FaultKind::PrimaryKilled | FaultKind::PrimaryHung | FaultKind::PrimaryMoved => {
+                chance.below(self.groups)
+            }
+            FaultKind::MemberDrained => chance.below(self.groups * self.members),
             _ => 0,
         };
         let share = match what {
             // Held up long, and seldom: twice in a row is more than a front is owed.
-            Harm::HeldUp => Some(0.002 + 0.004 * chance.share()),
-            Harm::CallsFail | Harm::ShortCalls => Some(0.05 + 0.1 * chance.share()),
-            Harm::ConnectionsBreak => Some(0.005 + 0.02 * chance.share()),
-            Harm::DiskFails => Some(0.5),
+            FaultKind::HeldUp => Some(0.002 + 0.004 * chance.share()),
+            FaultKind::CallsFail | FaultKind::ShortCalls => Some(0.05 + 0.1 * chance.share()),
+            FaultKind::ConnectionsBreak => Some(0.005 + 0.02 * chance.share()),
+            FaultKind::DiskFails => Some(0.5),
             _ => None,
         };
         let by = match what {
-            Harm::HeldUp => Some(150.0),
-            Harm::Crowd => Some(CROWD * (0.5 + chance.share())),
+            FaultKind::HeldUp => Some(150.0),
+            FaultKind::Crowd => Some(CROWD_PER_SECOND * (0.5 + chance.share())),
             _ => None,
         };
         let first = chance.below(self.fronts);
-        let process = |m: &Mishap| m.process();
-        let mine = |m: &&Mishap| m.what == what || process(m) && is_of_process(what);
+        let process = |m: &InjectedFault| m.targets_process();
+        let mine = |m: &&InjectedFault| m.what == what || process(m) && is_of_process(what);
         let busy = |front: usize| {
             let its = self.mishaps.iter().filter(mine);
             its.into_iter().any(|m| m.front == Some(front) && m.at_s + m.lasts_s + 1.0 > at_s)
         };
         let mut fronts = (0..self.fronts).map(|i| (first + i) % self.fronts);
         let front = fronts.find(|&front| !busy(front))?;
-        let front = Some(front).filter(|_| !Harm::PRIMARY.contains(&what) && what != Harm::MemberDrained);
+        let front =
+            Some(front).filter(|_| !FaultKind::PRIMARY.contains(&what) && what != FaultKind::MemberDrained);
         let (other, side) = (None, Vec::new());
-        Some(Mishap { at_s, lasts_s, what, front, other, side, number, share, by })
+        Some(InjectedFault { at_s, lasts_s, what, front, other, side, number, share, by })
     }
 }
 
 /// What comes at the same front with some mishaps: a crowd at a slow process, where what comes in lies for a while, or at one
 /// that ends; a wall clock that is off when a process starts.
-fn beside(mishap: &Mishap, chance: &mut Stream) -> Option<Mishap> {
-    match mishap.what {
-        Harm::FrontSlow => Some(Mishap { what: Harm::Crowd, by: Some(CROWD), ..mishap.clone() }),
-        Harm::FrontEnded if chance.below(2) == 0 => {
-            Some(Mishap { what: Harm::Crowd, by: Some(CROWD), ..mishap.clone() })
+fn accompanying_fault(fault: &InjectedFault, chance: &mut Stream) -> Option<InjectedFault> {
+    match fault.what {
+        FaultKind::FrontSlow => {
+            Some(InjectedFault { what: FaultKind::Crowd, by: Some(CROWD_PER_SECOND), ..fault.clone() })
+        }
+        FaultKind::FrontEnded if chance.below(2) == 0 => {
+            Some(InjectedFault { what: FaultKind::Crowd, by: Some(CROWD_PER_SECOND), ..fault.clone() })
         }
-        Harm::FrontKilled | Harm::FrontEnded | Harm::Upgraded => Some(Mishap {
-            what: Harm::ClockStepped,
+        FaultKind::FrontKilled | FaultKind::FrontEnded | FaultKind::Upgraded => Some(InjectedFault {
+            what: FaultKind::ClockStepped,
             share: Some(1.0),
             by: Some([20.0, 1000.0, 10_000.0, 3_600_000.0][chance.below(4)]),
             number: chance.below(2),
-            lasts_s: mishap.lasts_s + 2.0,
-            ..mishap.clone()
+            lasts_s: fault.lasts_s + 2.0,
+            ..fault.clone()
         }),
         _ => None,
     }
 }
 
-fn is_of_process(what: Harm) -> bool {
+fn is_of_process(what: FaultKind) -> bool {
     matches!(
         what,
-        Harm::FrontKilled | Harm::FrontEnded | Harm::FrontStopped | Harm::FrontSlow | Harm::Upgraded
+        FaultKind::FrontKilled
+            | FaultKind::FrontEnded
+            | FaultKind::FrontStopped
+            | FaultKind::FrontSlow
+            | FaultKind::Upgraded
     )
 }
 
@@ -153,10 +162,10 @@
 pub struct Findings {
     pub figures: Figures,
     /// What broke an invariant.
-    pub broken: Vec<Found>,
+    pub broken: Vec<Finding>,
     /// Statements whose connections ended twice before any of it was sent on: their clients would ask once more.
     pub crossed: usize,
-    pub mishaps: BTreeMap<String, usize>,
+    pub faults: BTreeMap<String, usize>,
     pub cut_off: usize,
     pub left: usize,
 }
@@ -169,7 +178,7 @@
 
 impl fmt::Display for Findings {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let kinds: Vec<String> = self.mishaps.iter().map(|(what, times)| format!("{what} {times}")).collect();
+        let kinds: Vec<String> = self.faults.iter().map(|(what, times)| format!("{what} {times}")).collect();
         writeln!(f, "mishaps: {}", kinds.join(", "))?;
         writeln!(
             f,
@@ -184,74 +193,74 @@
     }
 }
 
-type Look = fn(&Town) -> Vec<(Duration, String)>;
+type Check = fn(&HistoryView) -> Vec<(Duration, String)>;
 
-const INVARIANTS: [(&str, Look); 5] = [
-    ("unanswered", unanswered),
-    ("sent on and cut off", sent_on_and_cut_off),
-    ("sent after its client left", sent_after_leaving),
-    ("counted by the front", counted),
+const INVARIANTS: [(&str, Check); 5] = [
+    ("unanswered", check_unanswered),
+    ("sent on and cut off", check_cut_off),
+    ("sent after its client left", check_sent_after_leaving),
+    ("counted by the front", check_front_counters),
     ("crashed", crashed),
 ];
 
 /// Looks at a soak's history.
 pub fn findings(lines: &[Line]) -> Findings {
-    let town = Town::of(lines);
-    let one = |auditor: &'static str, (at, what): (Duration, String)| Found {
+    let view = HistoryView::new(lines);
+    let one = |auditor: &'static str, (at, what): (Duration, String)| Finding {
         auditor,
         at_s: at.as_secs_f64(),
         what,
     };
     let broken = INVARIANTS
         .iter()
-        .flat_map(|&(name, look)| look(&town).into_iter().map(move |found| one(name, found)));
-    let mut broken: Vec<Found> = broken.collect();
+        .flat_map(|&(name, check)| check(&view).into_iter().map(move |found| one(name, found)));
+    let mut broken: Vec<Finding> = broken.collect();
     let figures = figures(lines);
     // Judged here for clients that leave, and for connections that end.
     broken.extend(figures.found.iter().filter(|found| found.auditor != "answers").cloned());
-    let crossed = crossed(&town).len();
-    let mut mishaps = BTreeMap::new();
-    for line in town.each("mishap") {
-        *mishaps.entry(line.more["mishap"]["what"].as_str().unwrap_or_default().to_owned()).or_default() += 1;
+    let crossed = crossed(&view).len();
+    let mut faults = BTreeMap::new();
+    for line in view.lines_of("mishap") {
+        *faults.entry(line.more["mishap"]["what"].as_str().unwrap_or_default().to_owned()).or_default() += 1;
     }
-    let (cut_off, left) = (town.each("cut off").count(), town.each("left").count());
-    Findings { figures, broken, crossed, mishaps, cut_off, left }
+    let (cut_off, left) = (view.lines_of("cut off").count(), view.lines_of("left").count());
+    Findings { figures, broken, crossed, faults, cut_off, left }
 }
 
 /// When each front's process was killed.
-fn killed<'a>(town: &'a Town) -> impl Iterator<Item = (usize, Duration, Duration)> + 'a {
-    let kills = town.mishaps.iter().filter(|(mishap, ..)| mishap["what"] == "front_killed");
-    kills.filter_map(|(mishap, from, to)| Some((mishap["front"].as_u64()? as usize, *from, *to)))
+fn kills<'a>(view: &'a HistoryView) -> impl Iterator<Item = (usize, Duration, Duration)> + 'a {
+    let kills = view.faults.iter().filter(|(fault, ..)| fault["what"] == "front_killed");
+    kills.filter_map(|(fault, from, to)| Some((fault["front"].as_u64()? as usize, *from, *to)))
 }
 
 /// Statements that no front has sent on and whose connections ended twice.
-fn crossed(town: &Town) -> BTreeSet<u64> {
+fn crossed(view: &HistoryView) -> BTreeSet<u64> {
     let mut ends: HashMap<u64, usize> = HashMap::new();
-    for line in town.each("cut off") {
+    for line in view.lines_of("cut off") {
         *ends.entry(txn(line)).or_default() += 1;
     }
-    let nothing = town.each("answered").filter(|line| line.text("told") == "nothing").map(txn);
-    let sent: BTreeSet<u64> = town.each("submitted").map(txn).collect();
+    let nothing = view.lines_of("answered").filter(|line| line.text("told") == "nothing").map(txn);
+    let sent: BTreeSet<u64> = view.lines_of("submitted").map(txn).collect();
     nothing.filter(|txn| ends.contains_key(txn) && !sent.contains(txn)).collect()
 }
 
 /// Rule 1: who has asked and stays is answered, once, unless its front's process was met by something meanwhile.
-fn unanswered(town: &Town) -> Vec<(Duration, String)> {
-    let left: BTreeSet<u64> = town.each("left").map(txn).collect();
-    let crossed = crossed(town);
+fn check_unanswered(view: &HistoryView) -> Vec<(Duration, String)> {
+    let left: BTreeSet<u64> = view.lines_of("left").map(txn).collect();
+    let crossed = crossed(view);
     let expected = |line: &&Line| !left.contains(&txn(line)) && !crossed.contains(&txn(line));
     let lines: Vec<Line> =
-        town.lines.iter().filter(|line| line.what != "asked" || expected(line)).cloned().collect();
-    audit::answers(&Town::of(&lines))
+        view.lines.iter().filter(|line| line.what != "asked" || expected(line)).cloned().collect();
+    audit::check_answers(&HistoryView::new(&lines))
 }
 
 /// Rule 1: a front that has sent a request to a server does not end the connection that it came on without an answer,
 /// unless its process was killed.
-fn sent_on_and_cut_off(town: &Town) -> Vec<(Duration, String)> {
+fn check_cut_off(view: &HistoryView) -> Vec<(Duration, String)> {
     let mut asked: HashMap<(usize, u64), Duration> = HashMap::new();
     let mut sent: HashMap<(usize, u64), Duration> = HashMap::new();
     let mut found = Vec::new();
-    for line in town.lines {
+    for line in view.lines {
         let key = (front(line), txn(line));
         match line.what.as_str() {
             "asked" => {
@@ -263,7 +272,7 @@
             "cut off" => {
                 let from = asked.get(&key).copied().unwrap_or_default();
                 let sent = sent.get(&key).filter(|&&at| at >= from);
-                let dead = killed(town).any(|(dead, at, to)| dead == key.0 && at <= line.at && from <= to);
+                let dead = kills(view).any(|(dead, at, to)| dead == key.0 && at <= line.at && from <= to);
                 if sent.is_some() && !dead {
                     let what = format!("front {} sent txn {} on and ended its connection", key.0, key.1);
                     found.push((line.at, what));
@@ -276,10 +285,10 @@
 }
 
 /// Rule 1: nothing new is sent for a client that has gone.
-fn sent_after_leaving(town: &Town) -> Vec<(Duration, String)> {
+fn check_sent_after_leaving(view: &HistoryView) -> Vec<(Duration, String)> {
     let mut left: HashMap<(usize, u64), Duration> = HashMap::new();
     let mut found = Vec::new();
-    for line in town.lines {
+    for line in view.lines {
         let key = (front(line), txn(line));
         match line.what.as_str() {
             "left" => {
@@ -287,7 +296,8 @@
             }
             "submitted" => {
                 let Some(&at) = left.get(&key) else { continue };
-                let allowed = if town.excused(key.0, at, line.at) { NOTICED } else { AFTER_LEAVING };
+                let allowed =
+                    if view.excused(key.0, at, line.at) { DISTURBED_AFTER_LEAVING } else { AFTER_LEAVING };
                 if line.at > at + allowed {
                     let late = (line.at - at).as_millis();
                     let what = format!("front {} sends txn {} {late} ms after its client left", key.0, key.1);
@@ -301,22 +311,22 @@
 }
 
 /// What a front says of its own invariants at its end.
-fn counted(town: &Town) -> Vec<(Duration, String)> {
+fn check_front_counters(view: &HistoryView) -> Vec<(Duration, String)> {
     let mut found = Vec::new();
-    for line in town.each("said").filter(|line| line.text("text").starts_with("counters: ")) {
-        let told: Vec<&str> = line.text("text").split_whitespace().collect();
-        let clean = told.contains(&"violations=0") && told.contains(&"panics=0");
+    for line in view.lines_of("said").filter(|line| line.text("text").starts_with("counters: ")) {
+        let words: Vec<&str> = line.text("text").split_whitespace().collect();
+        let clean = words.contains(&"violations=0") && words.contains(&"panics=0");
         if !clean {
-            let bad = told.iter().skip_while(|word| !word.starts_with("violations=")).copied();
+            let bad = words.iter().skip_while(|word| !word.starts_with("violations=")).copied();
             let bad: Vec<&str> =
-                bad.chain(told.iter().filter(|word| word.starts_with("panics=")).copied()).collect();
+                bad.chain(words.iter().filter(|word| word.starts_with("panics=")).copied()).collect();
             found.push((line.at, format!("front {}: {}", front(line), bad.join(" "))));
         }
     }
     found
 }
 
-fn crashed(town: &Town) -> Vec<(Duration, String)> {
-    let gone = town.each("crashed").chain(town.each("does not end"));
+fn crashed(view: &HistoryView) -> Vec<(Duration, String)> {
+    let gone = view.lines_of("crashed").chain(view.lines_of("does not end"));
     gone.map(|line| (line.at, format!("front {}: {}", front(line), line.what))).collect()
 }
