--- a/crates/lab/src/fleet/audit.rs
+++ b/crates/lab/src/fleet/audit.rs
@@ -1,5 +1,5 @@
-//! Looks at a history, and at nothing else: the rules over all processes together, and what the fronts held of
-//! each other. No code of the program is used here.
+//! Audits a recorded history: the rules that hold across all processes, and the fronts' views of each other. The
+//! history is the only input; no code of the program under test is used.
 
 use super::history::Line;
 use super::owners;
@@ -9,21 +9,21 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// After the last mishap all have to hold the same for there within this time.
+/// All fronts have to agree on the membership within this time after the last fault ends.
 pub const AGREEMENT_DEADLINE: Duration = Duration::from_secs(5);
-/// A side that is cut off may take itself for the whole for so long at most.
+/// The longest time for which a partitioned minority may still report a majority.
 const ISOLATION_DETECTION: Duration = Duration::from_secs(8);
-/// No datagram is longer.
+/// The maximum length of a datagram between fronts, in bytes.
 const MAX_DATAGRAM_BYTES: u64 = 256;
-/// What one front sends shortly after another has is no news to it yet, and what it is told counts as known
+/// The time that a message between processes may take to arrive. An observation counts as known to its receiver only
 /// after this.
 const PROPAGATION_DELAY: Duration = Duration::from_millis(100);
-/// A front that is met by something is excused for so long after it.
+/// A front whose process was disturbed is excused for this long afterwards.
 const RECOVERY_TIME: Duration = Duration::from_millis(2500);
-/// A life that is so much later than any that a front was in is a forger's.
+/// An incarnation that exceeds the highest real one by more than this can only come from a forged datagram.
 const FORGED_INCARNATION_GAP: u64 = 1000;
 
-/// One fault that an auditor has found.
+/// One violation found by an auditor.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Finding {
     pub auditor: &'static str,
@@ -31,7 +31,7 @@
     pub what: String,
 }
 
-/// All auditors, with a fault planted on purpose that each has to catch.
+/// All auditors. Each comes with an injected violation that it has to detect.
 pub const AUDITORS: [Auditor; 14] = [
     Auditor { name: "answers", check: check_answers, inject: inject_missing_answer },
     Auditor { name: "effects", check: check_effects, inject: inject_double_effect },
@@ -56,7 +56,7 @@
 pub struct Auditor {
     pub name: &'static str,
     check: fn(&HistoryView) -> Vec<(Duration, String)>,
-    /// Puts a fault into a sound history; false where nothing in it can be spoilt so.
+    /// Injects a violation into a valid history; false if the history has no suitable line.
     inject: fn(&mut Vec<Line>) -> bool,
 }
 
@@ -68,7 +68,7 @@
         found.into_iter().map(one).collect()
     }
 
-    /// Whether a fault that was planted is caught that is not there without it.
+    /// Whether the auditor reports more violations once its own is injected.
     pub fn detects_injected_violation(&self, lines: &[Line]) -> bool {
         let before = self.findings(lines).len();
         let mut modified = lines.to_vec();
@@ -76,16 +76,16 @@
     }
 }
 
-/// What the history says of the circumstances.
+/// A history with the settings, faults and disturbances extracted from it.
 pub(super) struct HistoryView<'a> {
     pub(super) lines: &'a [Line],
     settings: &'a Value,
     pub(super) fronts: usize,
-    /// By front: when its process was met by something, its time to come round counted in.
+    /// By front: the intervals in which its process was disturbed, including the time to recover.
     disturbances: Vec<Vec<(Duration, Duration)>>,
-    /// Mishaps by their numbers: what, from when to when.
+    /// Faults in the order of their numbers: description, start, end.
     pub(super) faults: Vec<(Value, Duration, Duration)>,
-    /// Txns: kind.
+    /// The kind of each txn.
     kinds: HashMap<u64, usize>,
 }
 
@@ -127,7 +127,7 @@
                 disturbances[front].push((*from, to.saturating_add(RECOVERY_TIME)));
             }
         }
-        // A process that is not up yet, or has been told to end, answers for nothing.
+        // A process that is still starting, or has received SIGTERM, is excused.
         for line in lines.iter().filter(|line| line.what == "start" || line.what == "told to end") {
             let front = line.number("front").unwrap_or_default() as usize;
             if front < fronts {
@@ -146,14 +146,14 @@
         self.settings["kinds"].get(kind).unwrap_or(&Value::Null)
     }
 
-    /// Whether something met a front's process in that time.
+    /// Whether the front's process was disturbed during the interval.
     pub(super) fn excused(&self, front: usize, from: Duration, to: Duration) -> bool {
         self.disturbances
             .get(front)
             .is_some_and(|intervals| intervals.iter().any(|&(a, b)| a <= to && from <= b))
     }
 
-    /// Ends of a history that are not over yet.
+    /// The end of the run; the time of the last line if the history is incomplete.
     pub(super) fn end(&self) -> Duration {
         self.lines_of("over")
             .map(|line| line.at)
@@ -170,7 +170,7 @@
     line.number("txn").unwrap_or_default()
 }
 
-/// Rule 1: who has asked is answered once, unless its front's process was met by something meanwhile.
+/// Rule 1: each client gets exactly one answer, unless its front's process was disturbed in the meantime.
 pub(super) fn check_answers(view: &HistoryView) -> Vec<(Duration, String)> {
     let mut asked: HashMap<u64, (Duration, usize, Duration)> = HashMap::new();
     let mut answered: HashMap<u64, (Duration, bool, u32)> = HashMap::new();
@@ -227,7 +227,7 @@
     found
 }
 
-/// Rule 2: what is told declined has not run and does not run later, and what is told committed has run.
+/// Rule 2: a txn reported as declined has not run and does not run later; one reported as committed has run.
 fn check_outcomes(view: &HistoryView) -> Vec<(Duration, String)> {
     let mut ran: HashMap<u64, i64> = HashMap::new();
     for line in view.lines {
@@ -243,14 +243,15 @@
         if kind["write"].as_bool() != Some(true) {
             continue;
         }
-        // A mark that its group knew already was answered for an earlier txn of the same wish.
+        // A referenced txn whose reference the group already had may be answered for an earlier txn with that
+        // reference.
         let once = kind["repeatable"].as_bool() == Some(false) && kind["name"] == "order";
         let times = ran.get(&txn(line)).copied().unwrap_or(0);
         match line.text("told") {
             "declined" if times > 0 => {
                 found.push((line.at, format!("txn {} is declined and has run", txn(line))));
             }
-            // 40000 says that it has not run.
+            // SQLSTATE 40000 means that the txn has not run.
             "unknown" if times > 0 && line.text("code") == "40000" => {
                 found.push((line.at, format!("txn {} is rolled back and has run", txn(line))));
             }
@@ -263,8 +264,8 @@
     found
 }
 
-/// Rules 1 and 2: one submission of a txn at a time, and none after its answer. A member hears of a front that has
-/// given one up a moment after the next has come.
+/// Rules 1 and 2: at most one submission of a txn at a time, and none after its answer. A member may learn that a
+/// front has given up an attempt shortly after the next attempt has arrived.
 fn check_single_submission(view: &HistoryView) -> Vec<(Duration, String)> {
     let mut spans: BTreeMap<u64, Vec<(Duration, Duration, u64)>> = BTreeMap::new();
     let mut answered: HashMap<u64, Duration> = HashMap::new();
@@ -297,7 +298,8 @@
     found
 }
 
-/// Rule 3: nothing new to what drains or is gone, past the grace, by what each process was told.
+/// Rule 3: nothing new is sent to a draining or removed member after the grace period, which starts when that front
+/// received the list entry.
 fn check_drains(view: &HistoryView) -> Vec<(Duration, String)> {
     let grace = micros(&view.settings["drain_grace"]) + PROPAGATION_DELAY;
     let mut drained: HashMap<(usize, u64), Duration> = HashMap::new();
@@ -311,7 +313,7 @@
             "listed" => {
                 drained.entry(key).or_insert(line.at);
             }
-            // One that stood still may not have read it; what it had written before still arrives.
+            // A stopped process may not have read the entry yet, and what it had already written still arrives.
             "submitted"
                 if drained.get(&key).is_some_and(|&at| line.at > at + grace)
                     && !view.excused(key.0, line.at.saturating_sub(grace), line.at) =>
@@ -325,7 +327,7 @@
     found
 }
 
-/// Rule 4: no cold member is sent more than it bears, all processes together.
+/// Rule 4: no cold member gets more work than it can take, summed over all processes.
 fn check_cold_load(view: &HistoryView) -> Vec<(Duration, String)> {
     let (window, multiple) =
         (micros(&view.settings["window"]), view.settings["multiple"].as_f64().unwrap_or(f64::MAX));
@@ -349,7 +351,8 @@
     found
 }
 
-/// Rule 5: no read of data older than its bound, unless its member has not yet told that it is a replica.
+/// Rule 5: no read is served from data older than its bound, unless the member has not yet reported that it is a
+/// replica.
 fn check_stale_reads(view: &HistoryView) -> Vec<(Duration, String)> {
     let mut replica: HashMap<(usize, u64), (Duration, u64)> = HashMap::new();
     let mut found = Vec::new();
@@ -369,7 +372,7 @@
                 let known_replica = replica
                     .get(&key)
                     .is_some_and(|&(at, of)| Some(of) == epoch && line.at > at + PROPAGATION_DELAY);
-                // What lay in a socket while its front stood still was written in time.
+                // A request that waited in a socket while its front was stopped was written in time.
                 let excused =
                     leads || epoch.is_some() && !known_replica || view.excused(key.0, line.at, line.at);
                 if age > bound + PROPAGATION_DELAY.as_micros() as u64 && !excused {
@@ -385,7 +388,7 @@
     found
 }
 
-/// Nobody believes in a life that no process was in.
+/// No front accepts an incarnation that no process has had.
 fn check_forged_incarnations(view: &HistoryView) -> Vec<(Duration, String)> {
     let mut latest = vec![0u64; view.fronts];
     let statuses: Vec<&Line> = view.lines_of("status").collect();
@@ -421,8 +424,8 @@
     too_long.map(|line| (line.at, format!("a datagram of {} bytes", line.more["longest"]))).collect()
 }
 
-/// When all fronts last began to hold the same for there: all of them, each whole. By the statuses; none if
-/// they do not to the end.
+/// When the last front began to report all fronts present and a majority, with no change until the end; none if any
+/// front does not. Derived from the status lines.
 fn agreement_time(view: &HistoryView) -> Option<Duration> {
     let healed = micros(&view.settings["healed"]);
     let all: Vec<u64> = (0..view.fronts as u64).collect();
@@ -458,7 +461,7 @@
     }
 }
 
-/// No minority takes itself for the whole once it has had the time to find out.
+/// No minority reports a majority after the time allowed to detect the partition.
 fn check_majority(view: &HistoryView) -> Vec<(Duration, String)> {
     let mut found = Vec::new();
     for line in view.lines_of("status").filter(|line| line.more["status"]["standing"] == "whole") {
@@ -484,7 +487,7 @@
     found
 }
 
-/// What a history shows, in figures.
+/// Figures derived from a history.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Figures {
     pub processes: usize,
@@ -504,13 +507,13 @@
     pub datagram_max: u64,
     pub forged_accepted: usize,
     pub refused: u64,
-    /// Processor time of all fronts' last processes together.
+    /// The total processor time of the last process of each front.
     pub cpu_ms: u64,
     pub auditors: usize,
-    /// Auditors that did not catch what was planted for them.
+    /// Auditors that did not detect the violation injected for them.
     pub blind: Vec<&'static str>,
     pub found: Vec<Finding>,
-    /// Of the last second or so: what all fronts together have refused, by why.
+    /// Datagrams refused by all fronts, by reason, from each front's last status.
     pub why_refused: BTreeMap<String, u64>,
 }
 
@@ -538,7 +541,7 @@
         }
         seen.found.extend(found);
     }
-    // Deaths: from when nobody could hear a front until each other took it for dead.
+    // Failure detection: from the moment a front became unreachable until each other front declared it down.
     let mut times = Histogram::<u64>::new_with_bounds(1, 600_000, 3).expect("good bounds");
     for line in view.lines_of("log").filter(|line| line.more["log"]["msg"] == "fellow down") {
         let (by, whom) = (front(line), line.more["log"]["front"].as_u64().unwrap_or_default() as usize);
@@ -554,7 +557,8 @@
                 times.saturating_record((line.at - *from).as_millis().max(1) as u64);
             }
             Some(_) => {}
-            // Whoever leaves is gone at once; who was met by something else, or is met by loss, was not dead.
+            // A front that leaves is reported down at once. One that was disturbed otherwise, or reported by a
+            // disturbed front, is not counted as a false suspicion.
             None if view.excused(whom, line.at, line.at) || view.excused(by, line.at, line.at) => {}
             None => seen.false_suspicions += 1,
         }
@@ -585,7 +589,7 @@
 }
 
 impl Figures {
-    /// Nothing that has to be none is there, and every auditor has caught what was planted for it.
+    /// True if no violation was found and every auditor detected its injected violation.
     pub fn holds(&self) -> bool {
         self.found.is_empty() && self.auditors == AUDITORS.len() && self.committed > 0
     }
@@ -620,9 +624,9 @@
     }
 }
 
-// Faults planted on purpose.
+// Injected violations.
 
-/// The line that is left out is one whose lack can be told: of a calm front, in the middle of the day.
+/// The middle one of the matching lines, so that the change lies well inside the run.
 fn middle_line(lines: &[Line], what: &str, matches: impl Fn(&HistoryView, &Line) -> bool) -> Option<usize> {
     let view = HistoryView::new(lines);
     let matching: Vec<usize> =
@@ -643,7 +647,7 @@
     at.map(|at| lines.remove(at)).is_some()
 }
 
-/// A submission comes twice, and the first is out for long.
+/// Duplicates a submission and delays the end of the first.
 fn inject_double_submission(lines: &mut Vec<Line>) -> bool {
     let Some(at) = middle_line(lines, "submitted", |_, _| true) else { return false };
     let copy = lines[at].clone();
@@ -667,7 +671,7 @@
     at.is_some()
 }
 
-/// A write that has run is told declined.
+/// Reports a write that has run as declined.
 fn inject_false_decline(lines: &mut [Line]) -> bool {
     let ran: BTreeSet<u64> = lines.iter().filter(|line| line.what == "ran").map(txn).collect();
     let at = middle_line(lines, "answered", |_, line| {
@@ -679,7 +683,7 @@
     at.is_some()
 }
 
-/// A front was told long before that a member drains.
+/// Lists a member as stopped to a front long before the front submits to it.
 fn inject_submission_to_draining(lines: &mut Vec<Line>) -> bool {
     let grace = Duration::from_secs(2);
     let Some(at) = middle_line(lines, "submitted", |view, line| {
@@ -691,7 +695,7 @@
     let more =
         json!({ "front": lines[at].more["front"], "member": lines[at].more["member"], "state": "stopped" });
     let (from, member) = (front(&lines[at]), lines[at].number("member"));
-    // What the list said of it meanwhile is left out.
+    // Removes the other list entries of this member.
     let listed =
         |line: &Line| line.what == "listed" && front(line) == from && line.number("member") == member;
     lines.retain(|line| !listed(line));
@@ -700,7 +704,7 @@
     true
 }
 
-/// Far more work comes to a member that has just started than it bears.
+/// Sends a freshly started member far more work than it can take.
 fn inject_cold_overload(lines: &mut Vec<Line>) -> bool {
     let place = lines.len() / 2;
     let at = lines.get(place).map_or(Duration::ZERO, |line| line.at);
@@ -728,7 +732,7 @@
     if let Some(at) = at {
         let index =
             (front(&lines[at]) + 1) % lines[at].more["status"]["fronts"].as_array().map_or(1, Vec::len);
-        // Above all lives that it was in: it may have started under a clock that was ahead.
+        // Above every real incarnation of the front, which may have started while its clock was ahead.
         let own = |line: &Line| line.more["status"]["incarnation"].as_u64().filter(|_| front(line) == index);
         let latest = HistoryView::new(lines).lines_of("status").filter_map(own).max().unwrap_or_default();
         lines[at].more["status"]["fronts"][index]["incarnation"] =
@@ -747,7 +751,7 @@
     at.is_some()
 }
 
-/// One front lacks another to the end.
+/// Removes one peer from every view of front 0.
 fn inject_incomplete_view(lines: &mut [Line]) -> bool {
     let mut any = false;
     for line in lines.iter_mut().filter(|line| line.what == "status" && front(line) == 0) {
@@ -758,7 +762,7 @@
     any
 }
 
-/// A front that is alone on its side of a long cut says that it is whole.
+/// Adds a long partition that isolates a front which reports a majority.
 fn inject_false_majority(lines: &mut Vec<Line>) -> bool {
     let Some(at) = middle_line(lines, "status", |_, line| line.more["status"]["standing"] == "whole") else {
         return false;
@@ -772,7 +776,7 @@
         more: json!({ "number": u64::MAX, "mishap": fault }),
     };
     let (begins, ends) = (line(from, "mishap"), line(lines[at].at + ISOLATION_DETECTION, "healed"));
-    // Nothing else met it meanwhile.
+    // Removes every other disturbance of that front.
     lines.retain(|line| !(line.what == "start" && line.more["front"] == front));
     lines.retain(|line| !(line.what == "mishap" && line.more["mishap"]["front"] == front));
     for line in [begins, ends] {
--- a/crates/lab/src/fleet/owners.rs
+++ b/crates/lab/src/fleet/owners.rs
@@ -1,6 +1,6 @@
-//! What a history shows of work that one front does for all: whose it was, whether two had it at once, whether an
-//! effect of an older term was carried out after one of a newer, whether writes were held too long. Like the other
-//! auditors it reads the history alone.
+//! Audits the ownership of fleet tasks in a recorded history: who owned each task, whether two fronts owned one at
+//! the same time, whether an effect of an older term was applied after one of a newer term, and whether writes were
+//! held too long. Like the other auditors it reads only the history.
 
 use super::audit::{HistoryView, front, micros};
 use super::history::Line;
@@ -11,13 +11,13 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Times in logs are whole milliseconds, and a process looks at its clock a moment before it writes.
+/// Log times have millisecond resolution, and a process reads its clock slightly before it writes the line.
 const LOG_TIME_TOLERANCE: Duration = Duration::from_millis(5);
-/// A planned change is over at each front after this, whoever has died: 2 s for what is out, 5 s for a successor, and
-/// the time until a busy machine has written it down.
+/// The time after which a planned change is over at each front, whichever process died: 2 s for outstanding txns, 5 s
+/// for a successor, and the delay until a busy machine has written the log line.
 const MAX_HOLD: Duration = Duration::from_millis(9000);
 
-/// One front's time as the owner of a duty under a term.
+/// The interval in which a front owned a task under one term.
 #[derive(Clone, Debug, PartialEq)]
 struct Span {
     duty: String,
@@ -31,8 +31,8 @@
     (line.what == "log" && line.more["log"]["msg"] == what).then_some(&line.more["log"])
 }
 
-/// From when to when each front owned a duty, for certain: from the moment it said so, until the last time that it
-/// told it would, it gave it back or lost it, or its process ended.
+/// The intervals in which each front certainly owned a task: from its log line until the latest expiry that it
+/// reported, cut short if it gave the task back, lost it, or its process ended.
 fn spans(view: &HistoryView) -> Vec<Span> {
     let mut all: Vec<Span> = Vec::new();
     let mut open: BTreeMap<(usize, String), usize> = BTreeMap::new();
@@ -41,7 +41,7 @@
         let by = front(line);
         if let Some(log) = log(line, "duty taken") {
             let (duty, term) = (log["duty"].as_str().unwrap_or_default().to_owned(), log["term"].as_u64());
-            // Under a higher term it goes on: the others knew of one.
+            // Ownership continues under a higher term when the others knew of a higher one.
             if let Some(before) = open.insert((by, duty.clone()), all.len()) {
                 all[before].to = all[before].to.min(at);
             }
@@ -69,7 +69,7 @@
                 }
             }
         }
-        // A process that is gone holds nothing any more.
+        // A process that has ended owns nothing.
         let killed = line.what == "mishap" && line.more["mishap"]["what"] == "front_killed";
         if killed || line.what == "start" {
             let whom =
@@ -86,7 +86,7 @@
     all
 }
 
-/// No duty has two owners at once.
+/// No task has two owners at the same time.
 pub(super) fn check_single_owner(view: &HistoryView) -> Vec<(Duration, String)> {
     let spans = spans(view);
     let mut found = Vec::new();
@@ -102,7 +102,7 @@
     found
 }
 
-/// At no front an effect of an older term is carried out after one of a newer.
+/// No front applies an effect of an older term after one of a newer term.
 pub(super) fn check_term_order(view: &HistoryView) -> Vec<(Duration, String)> {
     let mut newest: BTreeMap<(usize, String), u64> = BTreeMap::new();
     let mut found = Vec::new();
@@ -119,7 +119,7 @@
     found
 }
 
-/// A hold ends by itself at each front, whoever has died.
+/// A hold ends by itself at each front, whichever process has died.
 pub(super) fn check_hold_duration(view: &HistoryView) -> Vec<(Duration, String)> {
     let mut since: BTreeMap<(usize, u64), Duration> = BTreeMap::new();
     let mut found = Vec::new();
@@ -150,14 +150,14 @@
     found
 }
 
-// Faults planted on purpose.
+// Injected violations.
 
-/// Another front says that it has taken a duty that is owned.
+/// Another front logs that it has taken a task that is already owned.
 pub(super) fn inject_second_owner(lines: &mut Vec<Line>) -> bool {
     let spans = spans(&HistoryView::new(lines));
     let long = spans.iter().max_by_key(|span| span.to.saturating_sub(span.from)).cloned();
     let Some(span) = long.or_else(|| {
-        // Nobody owned anything there: two are planted.
+        // No task was owned in this history, so both owners are injected.
         let at = lines.get(lines.len() / 2).map_or(Duration::ZERO, |line| line.at);
         let (duty, to) = ("care 0".to_owned(), at + Duration::from_secs(2));
         Some(Span { duty, term: 1, front: 0, from: at, to })
@@ -185,7 +185,7 @@
     true
 }
 
-/// An effect of a very old term is carried out at the end, after one of a newer.
+/// Appends an effect of a very old term after one of a newer term.
 pub(super) fn inject_older_term(lines: &mut Vec<Line>) -> bool {
     let at = lines.last().map_or(Duration::ZERO, |line| line.at);
     for term in [9u64, 1] {
@@ -195,14 +195,14 @@
     true
 }
 
-/// A hold that begins early on never ends.
+/// Adds a hold that starts early and never ends.
 pub(super) fn inject_endless_hold(lines: &mut Vec<Line>) -> bool {
     let view = HistoryView::new(lines);
     let undisturbed_front =
         |at: Duration| (0..view.fronts).find(|&f| !view.excused(f, at, at + 2 * MAX_HOLD));
     let place =
         (0..lines.len()).step_by(97).find_map(|i| undisturbed_front(lines[i].at).map(|front| (i, front)));
-    // Where each front was met by something, one that is not in the tier holds.
+    // If every front was disturbed, the hold is attributed to one outside the fleet.
     let (place, front) = place.unwrap_or((0, view.fronts));
     let at = lines.get(place).map_or(Duration::ZERO, |line| line.at);
     let log = |plan: &str| json!({ "msg": "primary", "why": "Planned", "group": 999, "plan": plan });
@@ -218,7 +218,7 @@
     true
 }
 
-/// Probes that all processes have sent, those that were spared, and txns, by what they counted at their ends.
+/// Sums, over all processes, the counters printed at exit: probes sent, probes spared, and txns.
 pub fn probes(lines: &[Line]) -> [u64; 3] {
     let mut sums = [0; 3];
     for line in lines.iter().filter(|line| line.what == "said") {
@@ -232,11 +232,11 @@
     sums
 }
 
-/// What a history of owners shows, in figures.
+/// Figures of a history about ownership.
 #[derive(Debug, Default)]
 pub struct Figures {
     pub fleet: Fleet,
-    /// Owners that followed another, or the same one anew.
+    /// Ownership changes, including renewals by the same front.
     pub changes: usize,
     pub stale_sent: usize,
     pub stale_applied: usize,
@@ -259,7 +259,7 @@
         spans.windows(2).filter(|pair| pair[0].duty == pair[1].duty && pair[0].duty.starts_with("care"))
     {
         changes += 1;
-        // From when the owner before was stopped or killed, if it was, else from when it let go.
+        // Measured from when the previous owner was stopped or killed, otherwise from the end of its ownership.
         let lost = view.faults.iter().filter(|(fault, ..)| {
             let what = fault["what"].as_str().unwrap_or_default();
             ["front_stopped", "front_killed"].contains(&what) && fault["front"] == json!(pair[0].front)
@@ -286,7 +286,7 @@
 }
 
 impl Figures {
-    /// Nothing that has to be none is there, and enough happened to prove something.
+    /// True if no violation was found and the run had enough changes to be meaningful.
     pub fn holds(&self, changes: usize) -> bool {
         self.fleet.holds() && self.changes >= changes && self.stale_sent > 0 && self.moves > self.moves_undone
     }
--- a/crates/lab/src/fleet/play.rs
+++ b/crates/lab/src/fleet/play.rs
@@ -1,4 +1,4 @@
-//! Starts the processes, lets them be met by what the schedule says, and writes everything down.
+//! Plays a schedule: starts the processes, injects the scheduled faults, and records everything in the history.
 
 use super::control::{answer, ask};
 use super::crowd::Crowd;
@@ -21,17 +21,17 @@
 use std::sync::{Arc, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How often each front is asked how it stands.
+/// The interval between status requests to each front.
 const STATUS_INTERVAL: Duration = Duration::from_millis(150);
-/// Clients wait for so long beyond their time: a busy machine loses nobody's answer.
+/// Clients wait this much longer than their deadline, so that a busy machine does not make them miss an answer.
 const ANSWER_SLACK: Duration = Duration::from_millis(1500);
-/// A slow front is stopped for the first and runs for the second.
+/// A slow front is stopped for the first time span and runs for the second.
 const SLOW_CYCLE: (Duration, Duration) = (Duration::from_millis(70), Duration::from_millis(50));
 
-/// Before and behind the signal that ends a process.
+/// Signals sent before and after the one that ends a process.
 const SIGNALS_IN_SERIES: &[&str] = &["-HUP", "-USR1", "-HUP"];
 
-/// The world round the fronts.
+/// The simulated members and load around the fronts.
 pub(crate) fn scenario(schedule: &Schedule) -> Scenario {
     let kind = |name: &str, part, reads, runs| OfKind {
         name: name.to_owned(),
@@ -82,7 +82,7 @@
     }
 }
 
-/// Of which member, its state, and the list's own line.
+/// Member, state, and the JSON of the list entry.
 type WithheldEntry = (usize, &'static str, String);
 
 struct Rig<'a> {
@@ -94,30 +94,30 @@
     processes: Vec<Process>,
     environments: Vec<Vec<(&'static str, String)>>,
     agents: Vec<Agent>,
-    /// What the list has for a front that does not hear it.
+    /// List entries withheld from a front that is cut off from discovery.
     withheld: Vec<Option<Vec<WithheldEntry>>>,
     listen: Vec<SocketAddr>,
-    /// Where each front reaches the members.
+    /// The members' addresses, by front.
     at: Vec<Vec<SocketAddr>>,
     members: usize,
     slow: Vec<Option<Instant>>,
-    /// When each front's process was last told to end.
+    /// When SIGTERM was last sent to each front's process.
     terminated_at: Vec<Option<Instant>>,
-    /// Upgrades under way: of which front, and the new process once it serves.
+    /// Upgrades in progress: the front, and the channel for the new process id once it serves.
     upgrades: Vec<(usize, Receiver<Option<u64>>)>,
-    /// Planned changes that were ordered: at which front, of which group, and the answer.
+    /// Planned changes in progress: the front asked, the group, and the channel for the answer.
     moves: Vec<(usize, usize, Receiver<Option<Value>>)>,
-    /// The fleet rolls itself: which process is a front's is to be asked.
+    /// A rolling restart was ordered, so the process ids have to be queried.
     rolled: bool,
-    /// What each front's process meets in the machine's calls.
+    /// The system-call faults of each front's process.
     machine_faults: Vec<MachineFaults>,
     crowds: Vec<Option<Crowd>>,
 }
 
-/// Changes a front's configuration or operators' file before the start, by a front's number.
+/// Edits the configuration and the operators' file of a front before it starts; the argument is the front's number.
 pub type ConfigEdit<'a> = &'a dyn Fn(usize, &mut Value, &mut Value);
 
-/// Plays a schedule with the program; everything lies in the history's file afterwards.
+/// Plays a schedule with the program; the complete history is in the file afterwards.
 pub fn play(
     schedule: &Schedule,
     seed: u64,
@@ -230,8 +230,8 @@
         rig.start(front)?;
     }
     let over = Arc::new(AtomicBool::new(false));
-    // As many as may be busy at once while all is held: a txn that had to wait for a free connection would come to
-    // its front with its time already spent.
+    // Enough clients for the concurrent load while all writes are held: a txn that waits for a free client connection
+    // reaches its front with its deadline already spent.
     let busy_s = (1.2 * schedule.expiry_ms as f64 / 1000.0).max(3.0);
     let per_front = (schedule.per_second * busy_s / n as f64).clamp(12.0, 500.0) as usize;
     for (front, &at) in listen.iter().enumerate() {
@@ -245,7 +245,7 @@
             while !over.load(Ordering::Relaxed) {
                 let asked = town.now();
                 let status = ask(&socket, &json!({ "do": "fleet" }), Duration::from_millis(600));
-                // One that has left says nothing more of others.
+                // A front that has left the fleet no longer reports on others.
                 if let Some(status) = status.filter(|status| status["left"].is_null()) {
                     let at = town.now();
                     let asked = asked.as_micros() as u64;
@@ -279,16 +279,16 @@
     done
 }
 
-/// A front's own log goes into the history.
+/// Copies a front's log into the history.
 fn import_log(history: &History, town: &Town, front: usize, log: &Path) {
     let text = std::fs::read_to_string(log).unwrap_or_default();
     for line in text.lines() {
         let Ok(log) = serde_json::from_str::<Value>(line) else {
-            // What is no line of the log: counters at the end, or a panic.
+            // Not a log line: the counters at exit, or a panic.
             history.note(town.now(), "said", json!({ "front": front, "text": line }));
             continue;
         };
-        // Not by the wall clock, which may have been stepped for that process.
+        // The wall clock may have been stepped for that process, so it is not used.
         let monotonic_us = log["monotonic_us"].as_u64().unwrap_or_default();
         let at = Duration::from_micros(monotonic_us).saturating_sub(town.monotonic_origin);
         history.note(at, "log", json!({ "front": front, "log": log }));
@@ -306,7 +306,7 @@
 
     fn run(&mut self, scenario: &Scenario) -> Result<(), String> {
         let lasts = Duration::from_secs_f64(self.schedule.lasts_s);
-        // Each mishap begins and ends once; ends before beginnings at one time.
+        // Each fault starts and ends once; at equal times, ends come before starts.
         let mut steps: Vec<(Duration, bool, usize)> = Vec::new();
         for (i, m) in self.schedule.mishaps.iter().enumerate() {
             steps.push((Duration::from_secs_f64(m.at_s), true, i));
@@ -363,7 +363,7 @@
             }
             std::thread::sleep(POLL_INTERVAL);
         }
-        // All go in order, and say what they counted.
+        // All processes are terminated and print their counters.
         self.refresh_pids();
         for front in 0..self.processes.len() {
             let cpu = self.processes[front].cpu_ms();
@@ -431,7 +431,7 @@
         self.history.note(at, what, more);
     }
 
-    /// The ways that a mishap meets.
+    /// The links between fronts that a fault affects.
     fn affected_links(&self, m: &InjectedFault) -> Vec<(usize, usize)> {
         let n = self.schedule.fronts;
         let all = (0..n).flat_map(|i| (0..n).map(move |j| (i, j))).filter(|(i, j)| i != j);
@@ -446,7 +446,7 @@
         all.filter(met).collect()
     }
 
-    /// Asks each front which process serves now, where they may have changed by themselves.
+    /// Queries the process id of each front, which a rolling restart changes.
     fn refresh_pids(&mut self) {
         for process in self.processes.iter_mut().filter(|_| self.rolled) {
             let status =
@@ -514,7 +514,7 @@
             FaultKind::FrontKilled => self.start(front)?,
             FaultKind::FrontEnded => {
                 if self.schedule.kills_the_ending {
-                    // Never earlier than that, though this rig was late to tell it.
+                    // Not before the scheduled delay after SIGTERM, even if this rig sent SIGTERM late.
                     let elapsed = self.terminated_at[front].map_or(Duration::MAX, |at| at.elapsed());
                     std::thread::sleep(Duration::from_secs_f64(m.lasts_s).saturating_sub(elapsed));
                     self.processes[front].kill();
@@ -548,7 +548,7 @@
         Ok(())
     }
 
-    /// SIGTERM; where processes are killed as they end, among signals that change nothing about it.
+    /// Sends SIGTERM; in schedules that kill terminating processes, surrounded by signals that must not matter.
     fn terminate(&mut self, front: usize) {
         let around = if self.schedule.kills_the_ending { SIGNALS_IN_SERIES } else { &[] };
         let process = &self.processes[front];
@@ -558,7 +558,7 @@
         around.iter().rev().for_each(|name| process.signal(name));
     }
 
-    /// The machine's calls begin to fail as a mishap says, or no longer do, at one front or all.
+    /// Starts or stops a system-call fault at one front, or at all.
     fn set_machine_faults(&mut self, m: &InjectedFault, begins: bool) {
         for (front, machine) in self.machine_faults.iter_mut().enumerate() {
             if m.front.is_none_or(|its| its == front) {
@@ -572,7 +572,7 @@
         (0..self.members).for_each(|member| state.world.part(front, member, partitioned));
     }
 
-    /// Ways get worse by a mishap, or better again.
+    /// Applies a fault to the links between fronts, or removes it.
     fn change_links(&self, m: &InjectedFault, begins: bool) {
         let sign = if begins { 1.0 } else { -1.0 };
         let (share, by) = (sign * m.share.unwrap_or(0.0), sign * m.by.unwrap_or(0.0));
@@ -594,7 +594,7 @@
         }
     }
 
-    /// Upgrades that are over: the new process is the front's now, the old one ends by itself.
+    /// Completed upgrades: the new process serves from now on, and the old one exits by itself.
     fn upgrades(&mut self) {
         let (history, town, processes) = (&self.history, &self.town, &mut self.processes);
         self.upgrades.retain(|(front, receiver)| match receiver.try_recv() {
@@ -610,7 +610,7 @@
         });
     }
 
-    /// Once all fronts hold a group's writes its primary hands over.
+    /// Once all fronts hold the writes of a group, its primary hands over.
     fn moves(&mut self) {
         let (history, town) = (&self.history, &self.town);
         self.moves.retain(|(front, group, receiver)| match receiver.try_recv() {
@@ -627,7 +627,7 @@
         });
     }
 
-    /// Slow fronts are stopped and continued in turns.
+    /// Alternately stops and continues slow fronts.
     fn cycle_slow_fronts(&mut self) {
         for front in 0..self.slow.len() {
             let Some(since) = self.slow[front] else { continue };
--- a/crates/lab/src/fleet/schedule.rs
+++ b/crates/lab/src/fleet/schedule.rs
@@ -1,4 +1,4 @@
-//! What befalls a fleet of processes, from a file in JSON5 or drawn from a seed.
+//! Schedules of faults for a fleet of processes, read from a JSON5 file or drawn from a seed.
 
 use garde::Validate;
 use juniperdock_emulator::Stream;
@@ -6,79 +6,81 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// What goes wrong. `front` and `other` say where; without `other`, to and from all of them.
+/// What a fault does. `front` and `other` select the processes; without `other`, all links of `front` in both
+/// directions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 #[schemars(rename = "Harm")]
 pub enum FaultKind {
-    /// The process is killed, and starts again at the end with the same name and address.
+    /// The process is killed; it restarts at the end with the same name and address.
     FrontKilled,
-    /// The process is told to end, and starts again at the end.
+    /// The process gets SIGTERM; it restarts at the end.
     FrontEnded,
-    /// The process is stopped, and goes on at the end.
+    /// The process is stopped, and continued at the end.
     FrontStopped,
-    /// The process is stopped and continued in short turns.
+    /// The process is alternately stopped and continued.
     FrontSlow,
-    /// The process hands over to a new one.
+    /// The process is replaced by a new one in a hot restart.
     Upgraded,
-    /// The fronts of `side` and the others do not hear each other.
+    /// The fronts of `side` and the others are partitioned from each other.
     Apart,
-    /// Nothing of what `front` sends comes to `other`.
+    /// Datagrams from `front` to `other` are dropped.
     OneWay,
-    /// `front` hears all and is heard by none.
+    /// All datagrams sent by `front` are dropped; it still receives.
     Unheard,
-    /// A `share` of datagrams, on all ways or those of `front`.
+    /// A `share` of datagrams is dropped, on all links or those of `front`.
     Lost,
     Doubled,
     Bent,
-    /// Later by up to `by` milliseconds, so that their order changes.
+    /// Datagrams are delayed by up to `by` milliseconds, so that their order changes.
     Late,
-    /// `by` old datagrams, or forged ones, a second on each way to `front`.
+    /// On each link to `front`, `by` old or forged datagrams per second are injected.
     Replayed,
     Forged,
-    /// `by` forged datagrams a second to `front`, from one other.
+    /// `by` forged datagrams per second are injected to `front`, on the link from one other front.
     Flooded,
-    /// `front` reaches no member.
+    /// `front` cannot reach any member.
     MembersCut,
-    /// `front` hears nothing from the list; all comes at the end.
+    /// `front` gets no list updates; all are delivered at the end.
     ListCut,
-    /// The primary of group `number` ends, and starts again cold.
+    /// The primary of group `number` exits, and restarts cold.
     PrimaryKilled,
-    /// It says nothing, and goes on where it stood.
+    /// The primary hangs, and continues from the same state.
     PrimaryHung,
-    /// No front reaches it; the other members do.
+    /// The fronts cannot reach the primary; the other members can.
     PrimaryCut,
-    /// Fronts reach it; the other members do not.
+    /// The other members cannot reach the primary; the fronts can.
     PrimaryApart,
-    /// The list says that it drains; it hands over, and starts again cold.
+    /// The list reports the primary as draining; it hands over, and restarts cold.
     PrimaryDrained,
-    /// It hands over, and nobody is told.
+    /// The primary hands over without any notification.
     PrimaryMoved,
-    /// Member `number` drains, and starts again cold.
+    /// Member `number` drains, and restarts cold.
     MemberDrained,
-    /// `front` is asked to roll the fleet, `number` fronts at once (1 where it is 0).
+    /// `front` is asked for a rolling restart of the fleet, `number` fronts at a time (1 if `number` is 0).
     RollOrdered,
-    /// Calls of the process on sockets stand still for up to `by` milliseconds, a `share` of them. This and the next
-    /// five meet all fronts where none is named.
+    /// A `share` of the process's socket calls is delayed by up to `by` milliseconds. This fault and the next five
+    /// affect all fronts if `front` is not given.
     HeldUp,
-    /// A `share` of accept, socket and connect fails.
+    /// A `share` of accept, socket and connect calls fails.
     CallsFail,
-    /// A `share` of reads and writes moves a part only, and as many are interrupted.
+    /// A `share` of reads and writes is partial, and the same share is interrupted.
     ShortCalls,
-    /// A `share` of the reads from members finds the connection broken.
+    /// A `share` of the reads from members fails with a broken connection.
     ConnectionsBreak,
-    /// The wall clock is `by` milliseconds ahead, or behind for an odd `number`.
+    /// The wall clock is `by` milliseconds ahead, or behind if `number` is odd.
     ClockStepped,
-    /// A `share` of the writes and syncs of files fails.
+    /// A `share` of file writes and syncs fails.
     DiskFails,
-    /// `by` idle clients a second come to `front` and stay.
+    /// `by` idle clients per second connect to `front` and stay.
     Crowd,
-    /// `front` is asked for a planned change of group `number`; once all hold, its primary hands over.
+    /// `front` is asked for a planned change of group `number`; once all fronts hold its writes, the primary hands
+    /// over.
     MoveOrdered,
 }
 
 impl FaultKind {
-    /// The ways in which a primary is lost.
+    /// The ways to lose a primary.
     pub const PRIMARY: [FaultKind; 6] = [
         FaultKind::PrimaryKilled,
         FaultKind::PrimaryHung,
@@ -87,7 +89,7 @@
         FaultKind::PrimaryDrained,
         FaultKind::PrimaryMoved,
     ];
-    /// What a fleet's day is drawn from.
+    /// The kinds that a random schedule draws from.
     pub const ALL: [FaultKind; 19] = [
         FaultKind::FrontKilled,
         FaultKind::FrontEnded,
@@ -130,7 +132,7 @@
     #[garde(skip)]
     #[serde(default)]
     pub side: Vec<usize>,
-    /// A member or group.
+    /// The number of a member or group; see the kind of fault.
     #[garde(skip)]
     #[serde(default)]
     pub number: usize,
@@ -142,7 +144,7 @@
     pub by: Option<f64>,
 }
 
-/// Processes, their load, and what befalls them.
+/// A fleet of processes, its load, and the faults injected into it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct Schedule {
@@ -158,35 +160,35 @@
     pub per_second: f64,
     #[garde(range(min = 1.0, max = 3600.0))]
     pub lasts_s: f64,
-    /// The fronts' own period.
+    /// The fronts' membership period.
     #[garde(range(min = 50, max = 10_000))]
     pub every_ms: u64,
-    /// Fronts that speak the older version.
+    /// Fronts that use the older protocol version.
     #[garde(skip)]
     pub older: Vec<usize>,
-    /// How often a client asks again that was declined or not answered.
+    /// How often a client retries after a decline or a missing answer.
     #[garde(range(min = 0, max = 100))]
     pub retries: u32,
-    /// A share of the clients that leave before they have their answer.
+    /// The share of clients that leave before they have their answer.
     #[garde(range(min = 0.0, max = 1.0))]
     pub leaves: f64,
-    /// The descriptors of each front.
+    /// The descriptor limit of each front.
     #[garde(range(min = 52, max = 1024))]
     pub sockets: u32,
-    /// Processes that are told to end get further signals meanwhile, and are killed at the end of the mishap whether or not
-    /// they have ended: what is left without an answer then shows in the history.
+    /// Terminating processes get further signals, and are killed at the end of the fault whether or not they have
+    /// exited. Requests left without an answer then show in the history.
     #[garde(skip)]
     pub kills_the_ending: bool,
-    /// The time of every txn; its client waits for two fifths of it at least.
+    /// The expiry of every txn; its client waits for at least two fifths of it.
     #[garde(range(min = 100, max = 60_000))]
     pub expiry_ms: u64,
-    /// From a primary's loss until another follows.
+    /// The range of the time from the loss of a primary to the election of its successor.
     #[garde(inner(range(min = 10.0, max = 60_000.0)))]
     pub lost_ms: [f64; 2],
-    /// Whether the fronts know each other at all.
+    /// Whether the fronts run the membership protocol.
     #[garde(skip)]
     pub fellows: bool,
-    /// Whether work on behalf of all has one owner.
+    /// Whether each fleet task has a single owner.
     #[garde(skip)]
     pub duties: bool,
     #[garde(dive)]
@@ -217,7 +219,7 @@
     }
 }
 
-/// Reads a schedule; every fault is told with its line and field.
+/// Reads a schedule; each error names its line and field.
 pub fn read(text: &str) -> Result<Schedule, Vec<Fault>> {
     let schedule: Schedule = juniperdock_operator_config::read_as(text)?;
     let faults = schedule.inconsistencies();
@@ -297,13 +299,13 @@
         faults
     }
 
-    /// When the last mishap ends.
+    /// When the last fault ends.
     pub fn healed_s(&self) -> f64 {
         self.mishaps.iter().map(|m| m.at_s + m.lasts_s).fold(0.0, f64::max)
     }
 
-    /// One front, and primaries of three groups that are lost again and again for so long, in turn in each way,
-    /// in an order by the seed; now and then the successor dies while the old one is still away.
+    /// One front and three groups whose primaries are lost repeatedly, in each way in an order drawn from the seed.
+    /// Sometimes the successor is killed while the previous primary is still away.
     pub fn primaries(seed: u64, lasts_s: f64) -> Schedule {
         let mut schedule = Schedule {
             title: format!("Primaries that change, from seed {seed}"),
@@ -339,7 +341,7 @@
                         by,
                     });
                 };
-                // One that is cut from the fronts keeps its slot: it lasts as long as it lasts.
+                // A primary cut off from the fronts keeps its role, so the cut can have any length.
                 let cut = what == FaultKind::PrimaryCut;
                 let away = if cut { 0.3 + 0.6 * chance.share() } else { 0.9 + 0.5 * chance.share() };
                 lost(what, at_s, away);
@@ -353,8 +355,8 @@
         schedule
     }
 
-    /// Owners that are stopped, killed, cut off and slowed by the seed, one after the other and over each other, while
-    /// planned changes are ordered; then calm.
+    /// Owners that are stopped, killed, cut off and slowed, drawn from the seed, one after the other and overlapping,
+    /// while planned changes are ordered; then a quiet period.
     pub fn owners(seed: u64, fronts: usize, lasts_s: f64) -> Schedule {
         const OWNER_FAULTS: [FaultKind; 8] = [
             FaultKind::FrontStopped,
@@ -380,7 +382,7 @@
             InjectedFault { at_s, lasts_s, what, front, other, side, number, share, by }
         };
         let (mut at_s, mut left, mut next_move_s) = (4.5, Vec::new(), 5.0);
-        // Whoever was met before comes later again: all fronts have their turn.
+        // Each front is chosen once before any is chosen again.
         let mut unused_fronts: Vec<usize> = Vec::new();
         while at_s < lasts_s {
             if left.is_empty() {
@@ -393,7 +395,7 @@
             let front = unused_fronts.swap_remove(chance.below(unused_fronts.len()));
             let span = if what == FaultKind::FrontEnded { 4.0 } else { 2.2 + chance.share() };
             match what {
-                // What it sends lies on its way while it is stopped and another takes over.
+                // Its datagrams are still in flight while it is stopped and another front takes over.
                 FaultKind::Late => {
                     let late =
                         InjectedFault { front: Some(front), by: Some(4500.0), ..plain(what, at_s, 1.0) };
@@ -421,8 +423,8 @@
         schedule
     }
 
-    /// The same, while the wall clock of each front is stepped every two seconds, an hour or some seconds forward or back,
-    /// until the last mishap is over. Processes that start meanwhile start under the clock as it is then.
+    /// The same schedule, with the wall clock of each front stepped every two seconds by an hour or some seconds,
+    /// forward or back, until the last fault is over. Processes that start meanwhile start with the stepped clock.
     #[must_use]
     pub fn with_clock_steps(mut self) -> Schedule {
         const EVERY_S: f64 = 2.0;
@@ -447,7 +449,7 @@
         self
     }
 
-    /// A day of so many fronts drawn from a seed: mishaps one after the other and over each other, then calm.
+    /// A schedule drawn from a seed: faults one after the other and overlapping, then a quiet period.
     pub fn drawn(seed: u64, fronts: usize, fault_count: usize, calm_s: f64) -> Schedule {
         let mut chance = Stream::of(seed, "mishaps", 0);
         let mut schedule = Schedule {
@@ -457,7 +459,7 @@
             ..Schedule::default()
         };
         let mut at_s = 2.5;
-        // Each kind once before any comes again.
+        // Each kind once before any is repeated.
         let mut left: Vec<FaultKind> = Vec::new();
         for _ in 0..fault_count {
             if left.is_empty() {
@@ -498,7 +500,7 @@
                 FaultKind::Flooded => Some(50_000.0),
                 _ => None,
             };
-            // One process is met by one thing at a time.
+            // Only one fault affects a process at a time.
             let busy = |front: usize| {
                 schedule.mishaps.iter().any(|m: &InjectedFault| {
                     m.targets_process() && m.front == Some(front) && m.at_s + m.lasts_s + 1.0 > at_s
@@ -535,12 +537,12 @@
 }
 
 impl InjectedFault {
-    /// It meets members, not fronts or the ways between them.
+    /// Whether it affects members, and not the fronts or the links between them.
     pub fn targets_members(&self) -> bool {
         FaultKind::PRIMARY.contains(&self.what) || self.what == FaultKind::MemberDrained
     }
 
-    /// It meets the machine's calls, through the library that the rig loads.
+    /// Whether it affects system calls, through the preloaded library.
     pub fn targets_machine_calls(&self) -> bool {
         matches!(
             self.what,
@@ -553,7 +555,7 @@
         )
     }
 
-    /// It meets the process itself.
+    /// Whether it affects the process as a whole.
     pub fn targets_process(&self) -> bool {
         matches!(
             self.what,
