--- a/crates/lab/src/fleet/history.rs
+++ b/crates/lab/src/fleet/history.rs
@@ -14,11 +14,12 @@
 impl History {
     /// Begins a file anew; refused while another play writes it.
     pub fn create(path: &Path) -> Result<History, String> {
-        let failed = |e: std::io::Error| format!("{}: {e}", path.display());
-        let file = OpenOptions::new().create(true).truncate(false).write(true).open(path).map_err(failed)?;
+        let io_error = |e: std::io::Error| format!("{}: {e}", path.display());
+        let file =
+            OpenOptions::new().create(true).truncate(false).write(true).open(path).map_err(io_error)?;
         file.try_lock()
             .map_err(|_| format!("{}: another play writes it, name another file", path.display()))?;
-        file.set_len(0).map_err(failed)?;
+        file.set_len(0).map_err(io_error)?;
         Ok(History(Arc::new(Mutex::new(BufWriter::new(file)))))
     }
 
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -36,13 +36,13 @@
     mut plays: usize,
     fails: &mut dyn FnMut(&Schedule) -> Result<bool, String>,
 ) -> Result<Schedule, String> {
-    let mut least = schedule.clone();
+    let mut minimal = schedule.clone();
     let mut at = 0;
-    while at < least.mishaps.len() && plays > 0 {
-        let mut less = least.clone();
-        less.mishaps.remove(at);
+    while at < minimal.mishaps.len() && plays > 0 {
+        let mut candidate = minimal.clone();
+        candidate.mishaps.remove(at);
         plays -= 1;
-        if fails(&less)? { least = less } else { at += 1 }
+        if fails(&candidate)? { minimal = candidate } else { at += 1 }
     }
-    Ok(least)
+    Ok(minimal)
 }
--- a/crates/lab/src/fleet/page.rs
+++ b/crates/lab/src/fleet/page.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 const WIDTH: f64 = 900.0;
-const LANE: f64 = 44.0;
+const LANE_HEIGHT: f64 = 44.0;
 
 const PAGE: &str = r##"<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{ title }}</title><meta name="viewport" content="width=device-width">
@@ -44,8 +44,8 @@
     let mut stands: Vec<Value> = Vec::new();
     for front in 0..fronts {
         let mut since: Option<(Duration, &str)> = None;
-        let own = |line: &&Line| line.what == "status" && line.number("front") == Some(front);
-        let statuses: Vec<&Line> = lines.iter().filter(own).collect();
+        let is_own = |line: &&Line| line.what == "status" && line.number("front") == Some(front);
+        let statuses: Vec<&Line> = lines.iter().filter(is_own).collect();
         let ends = statuses.last().map_or(Duration::ZERO, |line| line.at);
         let mut close = |from: Duration, to: Duration, standing: &str| {
             let colour = match standing {
@@ -58,16 +58,16 @@
         for line in statuses {
             let standing = line.more["status"]["standing"].as_str().unwrap_or("alone");
             match since {
-                Some((from, held)) if held != standing => {
-                    close(from, line.at, held);
+                Some((from, previous)) if previous != standing => {
+                    close(from, line.at, previous);
                     since = Some((line.at, standing));
                 }
                 None => since = Some((line.at, standing)),
                 Some(_) => {}
             }
         }
-        if let Some((from, held)) = since {
-            close(from, ends, held);
+        if let Some((from, previous)) = since {
+            close(from, ends, previous);
         }
     }
     let (mut mishaps, mut told) = (Vec::new(), Vec::new());
@@ -79,8 +79,8 @@
         let what = describe(m);
         told.push(json!({ "from": line.at.as_secs_f64(), "to": to.as_secs_f64(), "what": what }));
         let process = ["front_killed", "front_ended", "front_stopped", "front_slow"];
-        let still = process.contains(&m["what"].as_str().unwrap_or_default());
-        let (colour, opacity) = if still { ("#777", 0.75) } else { ("#3050a0", 0.16) };
+        let process_fault = process.contains(&m["what"].as_str().unwrap_or_default());
+        let (colour, opacity) = if process_fault { ("#777", 0.75) } else { ("#3050a0", 0.16) };
         let lanes: Vec<u64> =
             match (m["front"].as_u64(), m["side"].as_array().filter(|side| !side.is_empty())) {
                 (Some(front), _) => vec![front],
@@ -92,10 +92,10 @@
             mishaps.push(json!({ "lane": lane, "x": from, "w": w, "what": what, "colour": colour, "opacity": opacity }));
         }
     }
-    let down = |line: &&Line| line.what == "log" && line.more["log"]["msg"] == "fellow down";
+    let is_peer_down = |line: &&Line| line.what == "log" && line.more["log"]["msg"] == "fellow down";
     let deaths: Vec<Value> = lines
         .iter()
-        .filter(down)
+        .filter(is_peer_down)
         .map(|line| json!({ "lane": line.number("front"), "x": x(line.at), "whom": line.more["log"]["front"] }))
         .collect();
     let step = (end.as_secs() / 10).max(1);
@@ -108,16 +108,16 @@
     pages.add_template("page", PAGE).map_err(|e| e.to_string())?;
     let page = pages.get_template("page").map_err(|e| e.to_string())?;
     let (title, seed) = (setting.text("title"), setting.number("seed"));
-    page.render(context! { title, seed, fronts, width => WIDTH, lane => LANE, stands, mishaps, told, deaths, ticks, figures })
+    page.render(context! { title, seed, fronts, width => WIDTH, lane => LANE_HEIGHT, stands, mishaps, told, deaths, ticks, figures })
         .map_err(|e| format!("the page: {e:#}"))
 }
 
 /// A mishap in words.
 fn describe(mishap: &Value) -> String {
     let mut words = vec![mishap["what"].as_str().unwrap_or_default().replace('_', " ")];
-    for (name, says) in [("front", "front"), ("other", "to"), ("share", "share"), ("by", "by")] {
+    for (name, label) in [("front", "front"), ("other", "to"), ("share", "share"), ("by", "by")] {
         if let Some(number) = mishap[name].as_f64() {
-            words.push(format!("{says} {}", (number * 100.0).round() / 100.0));
+            words.push(format!("{label} {}", (number * 100.0).round() / 100.0));
         }
     }
     if let Some(side) = mishap["side"].as_array().filter(|side| !side.is_empty()) {
--- a/crates/lab/src/fleet/play.rs
+++ b/crates/lab/src/fleet/play.rs
@@ -578,18 +578,18 @@
         let (share, by) = (sign * m.share.unwrap_or(0.0), sign * m.by.unwrap_or(0.0));
         let add = |to: &mut f64, by: f64| *to = if (*to + by).abs() < 1e-9 { 0.0 } else { *to + by };
         for (from, to) in self.affected_links(m) {
-            self.relay.change(from, to, |way| match m.what {
-                FaultKind::Apart | FaultKind::OneWay | FaultKind::Unheard if begins => way.cut += 1,
-                FaultKind::Apart | FaultKind::OneWay | FaultKind::Unheard => way.cut -= 1,
-                FaultKind::Lost => add(&mut way.lost, share),
-                FaultKind::Doubled => add(&mut way.doubled, share),
-                FaultKind::Bent => add(&mut way.bent, share),
+            self.relay.change(from, to, |link| match m.what {
+                FaultKind::Apart | FaultKind::OneWay | FaultKind::Unheard if begins => link.cut += 1,
+                FaultKind::Apart | FaultKind::OneWay | FaultKind::Unheard => link.cut -= 1,
+                FaultKind::Lost => add(&mut link.lost, share),
+                FaultKind::Doubled => add(&mut link.doubled, share),
+                FaultKind::Bent => add(&mut link.bent, share),
                 FaultKind::Late => {
                     let span = Duration::from_secs_f64(by.abs() / 1000.0);
-                    way.late = if begins { way.late + span } else { way.late.saturating_sub(span) };
+                    link.late = if begins { link.late + span } else { link.late.saturating_sub(span) };
                 }
-                FaultKind::Replayed => add(&mut way.replayed, by),
-                _ => add(&mut way.forged, by),
+                FaultKind::Replayed => add(&mut link.replayed, by),
+                _ => add(&mut link.forged, by),
             });
         }
     }
--- a/crates/lab/src/fleet/relay.rs
+++ b/crates/lab/src/fleet/relay.rs
@@ -12,13 +12,13 @@
 use std::time::{Duration, Instant};
 
 /// Datagrams of each way that are kept, to be sent again.
-const KEPT: usize = 32;
+const REPLAY_BUFFER: usize = 32;
 /// A forger says this much more of its life than the front that it claims to be.
-pub const FORGED_LIFE: u32 = 6_000;
+pub const FORGED_INCARNATION_OFFSET: u32 = 6_000;
 
 /// What becomes of datagrams on one way.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Way {
+pub struct LinkFaults {
     /// So many troubles cut it.
     pub cut: u32,
     /// Shares.
@@ -34,23 +34,23 @@
 
 /// What has gone by one way.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Went {
+pub struct LinkCounters {
     pub honest: u64,
     pub injected: u64,
 }
 
-pub struct Ways {
+pub struct RelayState {
     fronts: usize,
-    ways: Vec<Way>,
-    went: Vec<Went>,
+    links: Vec<LinkFaults>,
+    counters: Vec<LinkCounters>,
     pub longest: usize,
-    over: bool,
+    stopped: bool,
 }
 
 /// All of them; clones are the same.
 #[derive(Clone)]
 pub struct Relay {
-    shared: Arc<Mutex<Ways>>,
+    shared: Arc<Mutex<RelayState>>,
     /// Where front i sends what is for front j.
     pub at: Vec<Vec<SocketAddr>>,
 }
@@ -62,9 +62,9 @@
 }
 
 #[derive(Default)]
-struct Sent(Vec<Vec<u8>>);
+struct CollectedDatagrams(Vec<Vec<u8>>);
 
-impl Host for Sent {
+impl Host for CollectedDatagrams {
     fn send(&mut self, _: usize, datagram: &[u8]) {
         self.0.push(datagram.to_vec());
     }
@@ -72,7 +72,7 @@
 }
 
 /// By when a datagram is to be sent on, then by its number.
-type Late = Reverse<(Instant, u64, usize, usize, Vec<u8>)>;
+type DelayedDatagram = Reverse<(Instant, u64, usize, usize, Vec<u8>)>;
 
 impl Relay {
     /// Opens all ways between fronts that listen at these addresses.
@@ -82,10 +82,10 @@
         let poll = Poll::new().map_err(failed)?;
         let mut sockets = Vec::new();
         let mut at = vec![Vec::new(); n];
-        for (i, its) in at.iter_mut().enumerate() {
+        for (i, row) in at.iter_mut().enumerate() {
             for j in 0..n {
                 let mut socket = UdpSocket::bind(SocketAddr::new(ip, 0)).map_err(failed)?;
-                its.push(socket.local_addr().map_err(failed)?);
+                row.push(socket.local_addr().map_err(failed)?);
                 if i != j {
                     poll.registry()
                         .register(&mut socket, Token(i * n + j), Interest::READABLE)
@@ -94,39 +94,40 @@
                 sockets.push(socket);
             }
         }
-        let ways = vec![Way::default(); n * n];
-        let went = vec![Went::default(); n * n];
-        let shared = Arc::new(Mutex::new(Ways { fronts: n, ways, went, longest: 0, over: false }));
-        let carrier = Carrier {
+        let links = vec![LinkFaults::default(); n * n];
+        let counters = vec![LinkCounters::default(); n * n];
+        let shared =
+            Arc::new(Mutex::new(RelayState { fronts: n, links, counters, longest: 0, stopped: false }));
+        let relay_thread = RelayThread {
             n,
             listen: listen.to_vec(),
             sockets,
             shared: shared.clone(),
             late: BinaryHeap::new(),
             number: 0,
-            kept: vec![VecDeque::new(); n * n],
+            replay_buffers: vec![VecDeque::new(); n * n],
             forgers: (0..n * n).map(|_| None).collect(),
-            chance: Stream::of(seed, "ways", 0),
+            random: Stream::of(seed, "ways", 0),
         };
-        std::thread::spawn(move || carrier.run(poll));
+        std::thread::spawn(move || relay_thread.run(poll));
         Ok(Relay { shared, at })
     }
 
-    fn lock(&self) -> MutexGuard<'_, Ways> {
+    fn lock(&self) -> MutexGuard<'_, RelayState> {
         self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Changes what becomes of datagrams on a way.
-    pub fn change(&self, from: usize, to: usize, change: impl FnOnce(&mut Way)) {
-        let mut ways = self.lock();
-        let at = from * ways.fronts + to;
-        change(&mut ways.ways[at]);
+    pub fn change(&self, from: usize, to: usize, change: impl FnOnce(&mut LinkFaults)) {
+        let mut state = self.lock();
+        let at = from * state.fronts + to;
+        change(&mut state.links[at]);
     }
 
     /// What has gone from one front to another so far.
-    pub fn went(&self, from: usize, to: usize) -> Went {
-        let ways = self.lock();
-        ways.went[from * ways.fronts + to]
+    pub fn counters(&self, from: usize, to: usize) -> LinkCounters {
+        let state = self.lock();
+        state.counters[from * state.fronts + to]
     }
 
     pub fn longest(&self) -> usize {
@@ -134,47 +135,47 @@
     }
 
     pub fn end(&self) {
-        self.lock().over = true;
+        self.lock().stopped = true;
     }
 }
 
-struct Carrier {
+struct RelayThread {
     n: usize,
     listen: Vec<SocketAddr>,
     sockets: Vec<UdpSocket>,
-    shared: Arc<Mutex<Ways>>,
-    late: BinaryHeap<Late>,
+    shared: Arc<Mutex<RelayState>>,
+    late: BinaryHeap<DelayedDatagram>,
     number: u64,
-    kept: Vec<VecDeque<Vec<u8>>>,
+    replay_buffers: Vec<VecDeque<Vec<u8>>>,
     forgers: Vec<Option<Forger>>,
-    chance: Stream,
+    random: Stream,
 }
 
-impl Carrier {
+impl RelayThread {
     fn run(mut self, mut poll: Poll) {
         let mut events = Events::with_capacity(1024);
         let mut buffer = [0; 2048];
-        let mut looked = Instant::now();
+        let mut last_injection = Instant::now();
         loop {
             let wait = self.late.peek().map_or(Duration::from_millis(5), |Reverse((at, ..))| {
                 at.saturating_duration_since(Instant::now()).min(Duration::from_millis(5))
             });
             let _ = poll.poll(&mut events, Some(wait));
             for event in &events {
-                let Token(way) = event.token();
-                while let Ok((length, _)) = self.sockets[way].recv_from(&mut buffer) {
-                    self.carry(way, &buffer[..length]);
+                let Token(link) = event.token();
+                while let Ok((length, _)) = self.sockets[link].recv_from(&mut buffer) {
+                    self.receive(link, &buffer[..length]);
                 }
             }
             let now = Instant::now();
             while self.late.peek().is_some_and(|Reverse((at, ..))| *at <= now) {
                 if let Some(Reverse((_, _, from, to, bytes))) = self.late.pop() {
-                    self.hand_on(from, to, &bytes);
+                    self.forward(from, to, &bytes);
                 }
             }
-            let span = now - looked;
+            let span = now - last_injection;
             if span >= Duration::from_millis(5) {
-                looked = now;
+                last_injection = now;
                 if self.inject(span.as_secs_f64()) {
                     return;
                 }
@@ -182,42 +183,42 @@
         }
     }
 
-    fn ways(&self) -> MutexGuard<'_, Ways> {
+    fn state(&self) -> MutexGuard<'_, RelayState> {
         self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// To a front it comes from the address at which that front reaches its sender.
-    fn hand_on(&self, from: usize, to: usize, bytes: &[u8]) {
+    fn forward(&self, from: usize, to: usize, bytes: &[u8]) {
         let _ = self.sockets[to * self.n + from].send_to(bytes, self.listen[to]);
     }
 
-    fn carry(&mut self, at: usize, bytes: &[u8]) {
+    fn receive(&mut self, at: usize, bytes: &[u8]) {
         let (from, to) = (at / self.n, at % self.n);
-        let way = {
-            let mut ways = self.ways();
-            ways.longest = ways.longest.max(bytes.len());
-            ways.went[at].honest += 1;
-            ways.ways[at]
+        let link = {
+            let mut state = self.state();
+            state.longest = state.longest.max(bytes.len());
+            state.counters[at].honest += 1;
+            state.links[at]
         };
-        let kept = &mut self.kept[at];
-        kept.push_back(bytes.to_vec());
-        if kept.len() > KEPT {
-            kept.pop_front();
+        let replay_buffers = &mut self.replay_buffers[at];
+        replay_buffers.push_back(bytes.to_vec());
+        if replay_buffers.len() > REPLAY_BUFFER {
+            replay_buffers.pop_front();
         }
-        if way.cut > 0 || self.chance.share() < way.lost {
+        if link.cut > 0 || self.random.share() < link.lost {
             return;
         }
-        let copies = 1 + usize::from(self.chance.share() < way.doubled);
+        let copies = 1 + usize::from(self.random.share() < link.doubled);
         for _ in 0..copies {
             let mut bytes = bytes.to_vec();
-            if self.chance.share() < way.bent {
-                let bit = self.chance.below(bytes.len() * 8);
+            if self.random.share() < link.bent {
+                let bit = self.random.below(bytes.len() * 8);
                 bytes[bit / 8] ^= 1 << (bit % 8);
             }
-            if way.late.is_zero() {
-                self.hand_on(from, to, &bytes);
+            if link.late.is_zero() {
+                self.forward(from, to, &bytes);
             } else {
-                let at = Instant::now() + way.late.mul_f64(self.chance.share());
+                let at = Instant::now() + link.late.mul_f64(self.random.share());
                 self.number += 1;
                 self.late.push(Reverse((at, self.number, from, to, bytes)));
             }
@@ -226,52 +227,52 @@
 
     /// Sends old and forged ones of the time since the last call; true once all is over.
     fn inject(&mut self, seconds: f64) -> bool {
-        let (over, ways) = {
-            let ways = self.ways();
-            (ways.over, ways.ways.clone())
+        let (stopped, links) = {
+            let state = self.state();
+            (state.stopped, state.links.clone())
         };
-        for (at, way) in ways.into_iter().enumerate() {
+        for (at, link) in links.into_iter().enumerate() {
             let (from, to) = (at / self.n, at % self.n);
             let mut times = |rate: f64| {
                 let expected = rate * seconds;
-                expected as usize + usize::from(self.chance.share() < expected.fract())
+                expected as usize + usize::from(self.random.share() < expected.fract())
             };
-            let (replays, forgeries) = (times(way.replayed), times(way.forged));
-            for _ in 0..replays.min(self.kept[at].len()) {
-                let old = self.chance.below(self.kept[at].len());
-                let bytes = self.kept[at][old].clone();
+            let (replays, forgeries) = (times(link.replayed), times(link.forged));
+            for _ in 0..replays.min(self.replay_buffers[at].len()) {
+                let old = self.random.below(self.replay_buffers[at].len());
+                let bytes = self.replay_buffers[at][old].clone();
                 // Now and then to another front than the one that it was for.
-                let to = if self.chance.share() < 0.3 { self.chance.below(self.n) } else { to };
+                let to = if self.random.share() < 0.3 { self.random.below(self.n) } else { to };
                 if to != from {
-                    self.hand_on(from, to, &bytes);
+                    self.forward(from, to, &bytes);
                 }
             }
-            let forged = if forgeries > 0 { self.forge(from, to) } else { Vec::new() };
+            let forged = if forgeries > 0 { self.forge_datagrams(from, to) } else { Vec::new() };
             for copy in 0..forgeries {
                 if let Some(bytes) = forged.get(copy % forged.len().max(1)) {
-                    self.hand_on(from, to, bytes);
+                    self.forward(from, to, bytes);
                 }
             }
             if replays + forgeries > 0 {
-                self.ways().went[at].injected += (replays + forgeries) as u64;
+                self.state().counters[at].injected += (replays + forgeries) as u64;
             }
         }
-        over
+        stopped
     }
 
     /// What somebody without a key would say in a front's name: well-formed, and of a later life.
-    fn forge(&mut self, from: usize, to: usize) -> Vec<Vec<u8>> {
+    fn forge_datagrams(&mut self, from: usize, to: usize) -> Vec<Vec<u8>> {
         let (n, at) = (self.n, from * self.n + to);
-        let seed = self.chance.number();
+        let seed = self.random.number();
         let forger = self.forgers[at].get_or_insert_with(|| {
             let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-            let life = juniperdock_membership::incarnation_at(unix) + FORGED_LIFE;
+            let incarnation = juniperdock_membership::incarnation_at(unix) + FORGED_INCARNATION_OFFSET;
             let keys = Keys::parse(&["0f".repeat(32)]).expect("a key, though not theirs");
             let times = Timing::with_period(Duration::from_millis(50));
-            let core = Membership::new(from, n, life, seed, NEWEST_VERSION, times, keys);
+            let core = Membership::new(from, n, incarnation, seed, NEWEST_VERSION, times, keys);
             Forger { core, begun: Instant::now(), due: Duration::ZERO }
         });
-        let mut sent = Sent::default();
+        let mut sent = CollectedDatagrams::default();
         forger.due = forger.due.max(forger.begun.elapsed()) + Duration::from_millis(50);
         forger.core.handle_timeout(forger.due, &mut sent);
         sent.0
--- a/crates/lab/src/fleet/schedule.rs
+++ b/crates/lab/src/fleet/schedule.rs
@@ -320,13 +320,13 @@
             ..Schedule::default()
         };
         for number in 0..schedule.groups {
-            let mut chance = Stream::of(seed, "primaries", number);
-            let (mut at_s, mut left) = (1.0 + chance.share() / 2.0, Vec::new());
+            let mut random = Stream::of(seed, "primaries", number);
+            let (mut at_s, mut left) = (1.0 + random.share() / 2.0, Vec::new());
             while at_s < lasts_s {
                 if left.is_empty() {
                     left = FaultKind::PRIMARY.to_vec();
                 }
-                let what = left.swap_remove(chance.below(left.len()));
+                let what = left.swap_remove(random.below(left.len()));
                 let mut lost = |what, at_s, lasts_s| {
                     let (front, other, side, share, by) = (None, None, Vec::new(), None, None);
                     schedule.mishaps.push(InjectedFault {
@@ -343,12 +343,12 @@
                 };
                 // A primary cut off from the fronts keeps its role, so the cut can have any length.
                 let cut = what == FaultKind::PrimaryCut;
-                let away = if cut { 0.3 + 0.6 * chance.share() } else { 0.9 + 0.5 * chance.share() };
+                let away = if cut { 0.3 + 0.6 * random.share() } else { 0.9 + 0.5 * random.share() };
                 lost(what, at_s, away);
-                if !cut && chance.below(4) == 0 {
-                    lost(FaultKind::PrimaryKilled, at_s + 0.8, 0.05 + 0.25 * chance.share());
+                if !cut && random.below(4) == 0 {
+                    lost(FaultKind::PrimaryKilled, at_s + 0.8, 0.05 + 0.25 * random.share());
                 }
-                at_s += away + 0.8 + 0.7 * chance.share();
+                at_s += away + 0.8 + 0.7 * random.share();
             }
         }
         schedule.lasts_s = schedule.healed_s() + 2.0;
@@ -368,7 +368,7 @@
             FaultKind::FrontEnded,
             FaultKind::FrontSlow,
         ];
-        let mut chance = Stream::of(seed, "owners", 0);
+        let mut random = Stream::of(seed, "owners", 0);
         let mut schedule = Schedule {
             title: format!("Owners that go, from seed {seed}"),
             fronts,
@@ -391,9 +391,9 @@
             if unused_fronts.is_empty() {
                 unused_fronts = (0..fronts).collect();
             }
-            let what = left.swap_remove(chance.below(left.len()));
-            let front = unused_fronts.swap_remove(chance.below(unused_fronts.len()));
-            let span = if what == FaultKind::FrontEnded { 4.0 } else { 2.2 + chance.share() };
+            let what = left.swap_remove(random.below(left.len()));
+            let front = unused_fronts.swap_remove(random.below(unused_fronts.len()));
+            let span = if what == FaultKind::FrontEnded { 4.0 } else { 2.2 + random.share() };
             match what {
                 // Its datagrams are still in flight while it is stopped and another front takes over.
                 FaultKind::Late => {
@@ -404,7 +404,7 @@
                     schedule.mishaps.push(InjectedFault { front: Some(front), ..stopped });
                 }
                 FaultKind::Apart => {
-                    let other = (front + 1 + chance.below(fronts - 1)) % fronts;
+                    let other = (front + 1 + random.below(fronts - 1)) % fronts;
                     schedule
                         .mishaps
                         .push(InjectedFault { side: vec![front, other], ..plain(what, at_s, span) });
@@ -412,12 +412,12 @@
                 _ => schedule.mishaps.push(InjectedFault { front: Some(front), ..plain(what, at_s, span) }),
             }
             if at_s >= next_move_s {
-                let (number, front) = (chance.below(schedule.groups), chance.below(fronts));
+                let (number, front) = (random.below(schedule.groups), random.below(fronts));
                 let order = plain(FaultKind::MoveOrdered, at_s + 0.5, 0.0);
                 schedule.mishaps.push(InjectedFault { front: Some(front), number, ..order });
                 next_move_s += 4.0;
             }
-            at_s += 1.3 + 0.7 * chance.share();
+            at_s += 1.3 + 0.7 * random.share();
         }
         schedule.lasts_s = schedule.healed_s() + 6.0;
         schedule
@@ -451,7 +451,7 @@
 
     /// A schedule drawn from a seed: faults one after the other and overlapping, then a quiet period.
     pub fn drawn(seed: u64, fronts: usize, fault_count: usize, calm_s: f64) -> Schedule {
-        let mut chance = Stream::of(seed, "mishaps", 0);
+        let mut random = Stream::of(seed, "mishaps", 0);
         let mut schedule = Schedule {
             title: format!("Drawn from seed {seed}"),
             fronts,
@@ -465,38 +465,38 @@
             if left.is_empty() {
                 left = FaultKind::ALL.to_vec();
             }
-            let what = left.swap_remove(chance.below(left.len()));
-            let front = chance.below(fronts);
-            let other = (front + 1 + chance.below(fronts - 1)) % fronts;
+            let what = left.swap_remove(random.below(left.len()));
+            let front = random.below(fronts);
+            let other = (front + 1 + random.below(fronts - 1)) % fronts;
             let mut side: Vec<usize> = (0..fronts).collect();
-            let size = 1 + chance.below(fronts / 2);
+            let size = 1 + random.below(fronts / 2);
             for i in 0..size {
-                let with = i + chance.below(fronts - i);
+                let with = i + random.below(fronts - i);
                 side.swap(i, with);
             }
             side.truncate(size);
             let lasts_s = match what {
                 FaultKind::FrontKilled | FaultKind::FrontStopped | FaultKind::Apart | FaultKind::Unheard => {
-                    3.0 + 3.0 * chance.share()
+                    3.0 + 3.0 * random.share()
                 }
                 FaultKind::FrontEnded => 4.0,
                 FaultKind::Upgraded => 1.5,
                 FaultKind::Flooded => 1.5,
-                _ => 2.0 + 3.0 * chance.share(),
+                _ => 2.0 + 3.0 * random.share(),
             };
             let number = match what {
-                FaultKind::PrimaryKilled => chance.below(schedule.groups),
-                FaultKind::MemberDrained => chance.below(schedule.groups * schedule.members),
+                FaultKind::PrimaryKilled => random.below(schedule.groups),
+                FaultKind::MemberDrained => random.below(schedule.groups * schedule.members),
                 _ => 0,
             };
             let share = match what {
-                FaultKind::Lost => Some(0.1 + 0.3 * chance.share()),
-                FaultKind::Doubled | FaultKind::Bent => Some(0.1 + 0.5 * chance.share()),
+                FaultKind::Lost => Some(0.1 + 0.3 * random.share()),
+                FaultKind::Doubled | FaultKind::Bent => Some(0.1 + 0.5 * random.share()),
                 _ => None,
             };
             let by = match what {
-                FaultKind::Late => Some(20.0 + 280.0 * chance.share()),
-                FaultKind::Replayed | FaultKind::Forged => Some(5.0 + 20.0 * chance.share()),
+                FaultKind::Late => Some(20.0 + 280.0 * random.share()),
+                FaultKind::Replayed | FaultKind::Forged => Some(5.0 + 20.0 * random.share()),
                 FaultKind::Flooded => Some(50_000.0),
                 _ => None,
             };
@@ -529,7 +529,7 @@
                 by,
             };
             schedule.mishaps.push(fault);
-            at_s += 1.2 + 1.2 * chance.share();
+            at_s += 1.2 + 1.2 * random.share();
         }
         schedule.lasts_s = schedule.healed_s() + calm_s;
         schedule
--- a/crates/lab/src/fleet/soak.rs
+++ b/crates/lab/src/fleet/soak.rs
@@ -45,7 +45,7 @@
 impl Schedule {
     /// So many processes under load, with some three faults at any time for each ten of them.
     pub fn soak(seed: u64, fronts: usize, lasts_s: f64) -> Schedule {
-        let mut chance = Stream::of(seed, "soak", 0);
+        let mut random = Stream::of(seed, "soak", 0);
         let mut schedule = Schedule {
             title: format!("A soak from seed {seed}"),
             fronts,
@@ -64,12 +64,12 @@
             if left.is_empty() {
                 left = FAULT_KINDS.to_vec();
             }
-            let what = left.swap_remove(chance.below(left.len()));
-            if let Some(fault) = schedule.draw_fault(what, at_s, &mut chance) {
-                schedule.mishaps.extend(accompanying_fault(&fault, &mut chance));
+            let what = left.swap_remove(random.below(left.len()));
+            if let Some(fault) = schedule.draw_fault(what, at_s, &mut random) {
+                schedule.mishaps.extend(accompanying_fault(&fault, &mut random));
                 schedule.mishaps.push(fault);
             }
-            at_s += pace_s * (0.5 + chance.share());
+            at_s += pace_s * (0.5 + random.share());
         }
         schedule.lasts_s = schedule.healed_s() + 2.5;
         schedule
@@ -82,33 +82,33 @@
     }
 
     /// One mishap of a kind, at some front that nothing of the kind meets; none where there is no such front.
-    fn draw_fault(&self, what: FaultKind, at_s: f64, chance: &mut Stream) -> Option<InjectedFault> {
+    fn draw_fault(&self, what: FaultKind, at_s: f64, random: &mut Stream) -> Option<InjectedFault> {
         let lasts_s = match what {
             FaultKind::FrontEnded => self.earliest_kill_s(),
             FaultKind::Upgraded => 2.0,
-            _ => 1.0 + 2.5 * chance.share(),
+            _ => 1.0 + 2.5 * random.share(),
         };
         let number = match what {
             FaultKind::PrimaryKilled | FaultKind::PrimaryHung | FaultKind::PrimaryMoved => {
-                chance.below(self.groups)
+                random.below(self.groups)
             }
-            FaultKind::MemberDrained => chance.below(self.groups * self.members),
+            FaultKind::MemberDrained => random.below(self.groups * self.members),
             _ => 0,
         };
         let share = match what {
             // Held up long, and seldom: twice in a row is more than a front is owed.
-            FaultKind::HeldUp => Some(0.002 + 0.004 * chance.share()),
-            FaultKind::CallsFail | FaultKind::ShortCalls => Some(0.05 + 0.1 * chance.share()),
-            FaultKind::ConnectionsBreak => Some(0.005 + 0.02 * chance.share()),
+            FaultKind::HeldUp => Some(0.002 + 0.004 * random.share()),
+            FaultKind::CallsFail | FaultKind::ShortCalls => Some(0.05 + 0.1 * random.share()),
+            FaultKind::ConnectionsBreak => Some(0.005 + 0.02 * random.share()),
             FaultKind::DiskFails => Some(0.5),
             _ => None,
         };
         let by = match what {
             FaultKind::HeldUp => Some(150.0),
-            FaultKind::Crowd => Some(CROWD_PER_SECOND * (0.5 + chance.share())),
+            FaultKind::Crowd => Some(CROWD_PER_SECOND * (0.5 + random.share())),
             _ => None,
         };
-        let first = chance.below(self.fronts);
+        let first = random.below(self.fronts);
         let process = |m: &InjectedFault| m.targets_process();
         let mine = |m: &&InjectedFault| m.what == what || process(m) && is_of_process(what);
         let busy = |front: usize| {
@@ -126,19 +126,19 @@
 
 /// What comes at the same front with some mishaps: a crowd at a slow process, where what comes in lies for a while, or at one
 /// that ends; a wall clock that is off when a process starts.
-fn accompanying_fault(fault: &InjectedFault, chance: &mut Stream) -> Option<InjectedFault> {
+fn accompanying_fault(fault: &InjectedFault, random: &mut Stream) -> Option<InjectedFault> {
     match fault.what {
         FaultKind::FrontSlow => {
             Some(InjectedFault { what: FaultKind::Crowd, by: Some(CROWD_PER_SECOND), ..fault.clone() })
         }
-        FaultKind::FrontEnded if chance.below(2) == 0 => {
+        FaultKind::FrontEnded if random.below(2) == 0 => {
             Some(InjectedFault { what: FaultKind::Crowd, by: Some(CROWD_PER_SECOND), ..fault.clone() })
         }
         FaultKind::FrontKilled | FaultKind::FrontEnded | FaultKind::Upgraded => Some(InjectedFault {
             what: FaultKind::ClockStepped,
             share: Some(1.0),
-            by: Some([20.0, 1000.0, 10_000.0, 3_600_000.0][chance.below(4)]),
-            number: chance.below(2),
+            by: Some([20.0, 1000.0, 10_000.0, 3_600_000.0][random.below(4)]),
+            number: random.below(2),
             lasts_s: fault.lasts_s + 2.0,
             ..fault.clone()
         }),
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -16,7 +16,7 @@
 /// An agent shows that it lives this often.
 const HEARTBEAT: Duration = Duration::from_secs(2);
 /// How often an agent looks for something new to tell.
-const TICK: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// What all servers do with a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, clap::ValueEnum)]
@@ -30,11 +30,11 @@
     Silent,
 }
 
-struct Answering {
+struct AnsweringServer {
     primary: bool,
 }
 
-impl Store for Answering {
+impl Store for AnsweringServer {
     fn welcome(&self, _: &TcpStream) -> bool {
         true
     }
@@ -45,8 +45,8 @@
             let report = format!("x0={position:.3},x1={role},q=0,busy=0.1");
             return Said::Answer([row(report.as_bytes()), ready()].concat());
         }
-        let told = parameter("node_role", if self.primary { "leader" } else { "follower" });
-        Said::Answer([row(b"hollow"), told, ready()].concat())
+        let role = parameter("node_role", if self.primary { "leader" } else { "follower" });
+        Said::Answer([row(b"hollow"), role, ready()].concat())
     }
 }
 
@@ -81,7 +81,7 @@
                 // The oldest have been given up by now.
                 silent.drain(..silent.len().saturating_sub(4096));
             } else {
-                std::thread::spawn(move || serve(stream, &Answering { primary }));
+                std::thread::spawn(move || serve(stream, &AnsweringServer { primary }));
             }
         }
     });
@@ -122,7 +122,7 @@
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (changes, bytes) = (changes.clone(), bytes.clone());
-                std::thread::spawn(move || tell(stream, &changes, &bytes));
+                std::thread::spawn(move || serve_watch(stream, &changes, &bytes));
             }
         });
         Ok(agent)
@@ -134,28 +134,28 @@
 }
 
 /// Serves one watch until its connection ends.
-fn tell(mut stream: TcpStream, changes: &Mutex<Vec<(u64, String)>>, bytes: &AtomicU64) -> Option<()> {
+fn serve_watch(mut stream: TcpStream, changes: &Mutex<Vec<(u64, String)>>, bytes: &AtomicU64) -> Option<()> {
     let mut request = String::new();
     BufReader::new(&stream).read_line(&mut request).ok()?;
     let after = request.split_once("after=")?.1.split([' ', '&']).next()?;
     let mut after: u64 = after.parse().ok()?;
     stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
-    let mut said = Instant::now();
+    let mut last_write = Instant::now();
     loop {
-        let news: Vec<(u64, String)> = {
+        let updates: Vec<(u64, String)> = {
             let changes = changes.lock().unwrap_or_else(PoisonError::into_inner);
             let from = changes.partition_point(|(version, _)| *version <= after);
             changes[from..].to_vec()
         };
-        let lines = news.iter().map(|(_, list)| list.as_str());
-        let heartbeat = said.elapsed() >= HEARTBEAT;
+        let lines = updates.iter().map(|(_, list)| list.as_str());
+        let heartbeat = last_write.elapsed() >= HEARTBEAT;
         for line in lines.chain(heartbeat.then_some("")) {
             let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
             stream.write_all(chunk.as_bytes()).ok()?;
             bytes.fetch_add(chunk.len() as u64, Ordering::Relaxed);
-            said = Instant::now();
+            last_write = Instant::now();
         }
-        after = news.last().map_or(after, |(version, _)| *version);
-        std::thread::sleep(TICK);
+        after = updates.last().map_or(after, |(version, _)| *version);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -18,15 +18,15 @@
 /// A front is left alone for so long before it is measured in rest.
 const SETTLE: Duration = Duration::from_millis(2500);
 /// What one change sets off is measured over this time.
-const AFTER_CHANGE: Duration = Duration::from_millis(2500);
+const CHANGE_WINDOW: Duration = Duration::from_millis(2500);
 /// Groups count as used for 10 s after the last change was asked for; rest begins after that.
-const STILL_USED: Duration = Duration::from_secs(11);
+const GROUP_USE_EXPIRY: Duration = Duration::from_secs(11);
 /// Rest after all changes, over which the idle load is measured.
-const IDLE: Duration = Duration::from_secs(4);
+const IDLE_DURATION: Duration = Duration::from_secs(4);
 /// How often memory and descriptors are looked at.
-const SAMPLE: Duration = Duration::from_millis(20);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
 /// A front that has not ended so long after SIGTERM is killed.
-const MAX_END: Duration = Duration::from_secs(8);
+const MAX_SHUTDOWN: Duration = Duration::from_secs(8);
 /// A change that is not in force after this counts as so late.
 const MAX_IN_FORCE: Duration = Duration::from_secs(5);
 const MEMORY_MB: u32 = 192;
@@ -80,37 +80,37 @@
 }
 
 /// Memory and descriptors, watched from beside.
-struct Watch {
+struct ResourceMonitor {
     stop: Arc<AtomicBool>,
-    most: Arc<Mutex<(u64, usize)>>,
+    peak: Arc<Mutex<(u64, usize)>>,
 }
 
-impl Watch {
-    fn start(id: u32) -> Watch {
-        let (stop, most) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new((0, 0))));
-        let watch = Watch { stop: stop.clone(), most: most.clone() };
+impl ResourceMonitor {
+    fn start(id: u32) -> ResourceMonitor {
+        let (stop, peak) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new((0, 0))));
+        let monitor = ResourceMonitor { stop: stop.clone(), peak: peak.clone() };
         std::thread::spawn(move || {
             while !stop.load(Ordering::Relaxed) {
                 let (memory, open) = (process::resident_kib(id), process::descriptors(id));
-                let mut most = most.lock().unwrap_or_else(PoisonError::into_inner);
-                *most = (most.0.max(memory), most.1.max(open));
-                drop(most);
-                std::thread::sleep(SAMPLE);
+                let mut peak = peak.lock().unwrap_or_else(PoisonError::into_inner);
+                *peak = (peak.0.max(memory), peak.1.max(open));
+                drop(peak);
+                std::thread::sleep(SAMPLE_INTERVAL);
             }
         });
-        watch
+        monitor
     }
 
     /// The most memory since this was last asked, in MiB, and the most descriptors of all.
     fn take(&self) -> (f64, usize) {
-        let mut most = self.most.lock().unwrap_or_else(PoisonError::into_inner);
-        let (memory, open) = *most;
-        most.0 = 0;
+        let mut peak = self.peak.lock().unwrap_or_else(PoisonError::into_inner);
+        let (memory, open) = *peak;
+        peak.0 = 0;
         (memory as f64 / 1024.0, open)
     }
 }
 
-impl Drop for Watch {
+impl Drop for ResourceMonitor {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
     }
@@ -122,43 +122,43 @@
 }
 
 fn play_size(plan: &Plan, count: usize) -> Result<Outcome, String> {
-    let failed = |e: std::io::Error| e.to_string();
-    let servers = Servers::start(plan.behaviour).map_err(failed)?;
-    let agent = Agent::start().map_err(failed)?;
+    let io_error = |e: std::io::Error| e.to_string();
+    let servers = Servers::start(plan.behaviour).map_err(io_error)?;
+    let agent = Agent::start().map_err(io_error)?;
     let known = hollow::list(1, true, (0..count).map(|i| hollow::entry(i, servers.at(i), "up")));
     let list_kib = known.len() as f64 / 1024.0;
     let front = start(plan, agent.at, &known);
-    let (id, watch) = (front.id(), Watch::start(front.id()));
+    let (id, monitor) = (front.id(), ResourceMonitor::start(front.id()));
     drop(front.client());
     std::thread::sleep(SETTLE);
     let rest_mib = process::resident_kib(id) as f64 / 1024.0;
 
-    watch.take();
-    let idle = measure_idle_share(id, AFTER_CHANGE);
+    monitor.take();
+    let idle = measure_idle_share(id, CHANGE_WINDOW);
     let mut random = Rand64::new(u128::from(plan.seed));
     let drained = GROUP * (random.rand_range(0..(count / GROUP) as u64) as usize) + 1;
     let before = process::processor_time(id);
     let change = hollow::entry(drained, servers.at(drained), "draining");
     agent.change(2, hollow::list(2, false, std::iter::once(change)));
-    std::thread::sleep(AFTER_CHANGE);
-    let cpu = (process::processor_time(id) - before).as_secs_f64() - idle * AFTER_CHANGE.as_secs_f64();
-    let (one_change_mib, _) = watch.take();
+    std::thread::sleep(CHANGE_WINDOW);
+    let cpu = (process::processor_time(id) - before).as_secs_f64() - idle * CHANGE_WINDOW.as_secs_f64();
+    let (one_change_mib, _) = monitor.take();
 
-    let told = agent.bytes.load(Ordering::Relaxed);
+    let bytes_before = agent.bytes.load(Ordering::Relaxed);
     let before = process::processor_time(id);
-    let times = many_changes(plan, &front, &agent, &servers, count);
+    let times = measure_changes(plan, &front, &agent, &servers, count);
     let changes_cpu = (process::processor_time(id) - before).as_secs_f64() / plan.changes_for.as_secs_f64();
     let changes = plan.changes_per_second * plan.changes_for.as_secs();
-    let list_bytes = (agent.bytes.load(Ordering::Relaxed) - told) as f64 / changes.max(1) as f64;
-    let (changes_mib, _) = watch.take();
+    let list_bytes = (agent.bytes.load(Ordering::Relaxed) - bytes_before) as f64 / changes.max(1) as f64;
+    let (changes_mib, _) = monitor.take();
 
     let idle_cpu = plan.idle.then(|| {
-        std::thread::sleep(STILL_USED);
-        measure_idle_share(id, IDLE) * 100.0
+        std::thread::sleep(GROUP_USE_EXPIRY);
+        measure_idle_share(id, IDLE_DURATION) * 100.0
     });
-    let (_, most_descriptors) = watch.take();
-    drop(watch);
-    let (end_ms, text) = end(front);
+    let (_, most_descriptors) = monitor.take();
+    drop(monitor);
+    let (end_ms, text) = stop(front);
     Ok(Outcome {
         servers: count,
         list_kib,
@@ -194,7 +194,7 @@
 
 /// Tells changes at the planned rate, each a new server in a group of its own, and asks for some of those groups until
 /// the front knows them. Gives the times that took, in milliseconds, sorted.
-fn many_changes(plan: &Plan, front: &Front, agent: &Agent, servers: &Servers, count: usize) -> Vec<f64> {
+fn measure_changes(plan: &Plan, front: &Front, agent: &Agent, servers: &Servers, count: usize) -> Vec<f64> {
     let every = Duration::from_secs_f64(1.0 / plan.changes_per_second as f64);
     let all = plan.changes_per_second * plan.changes_for.as_secs();
     let mut client = front.client();
@@ -205,10 +205,10 @@
         let (version, number) = (next + 3, count + GROUP * (next as usize + 1));
         let entry = hollow::entry(number, servers.at(number), "up");
         agent.change(version, hollow::list(version, false, std::iter::once(entry)));
-        let told = Instant::now();
+        let announced = Instant::now();
         next += 1;
         // While one is waited for the following are told on time: the wait looks at the clock as well.
-        while !knows(&mut client, number / GROUP) && told.elapsed() < MAX_IN_FORCE {
+        while !accepts_group(&mut client, number / GROUP) && announced.elapsed() < MAX_IN_FORCE {
             while next < all && begun.elapsed() >= every * next as u32 {
                 let (version, number) = (next + 3, count + GROUP * (next as usize + 1));
                 let entry = hollow::entry(number, servers.at(number), "up");
@@ -216,33 +216,33 @@
                 next += 1;
             }
         }
-        times.push(told.elapsed().as_secs_f64() * 1000.0);
+        times.push(announced.elapsed().as_secs_f64() * 1000.0);
     }
     times.sort_by(f64::total_cmp);
     times
 }
 
 /// Whether a front knows a group: it rolls back at once what goes to a group that its list does not name.
-fn knows(client: &mut Client, group: usize) -> bool {
+fn accepts_group(client: &mut Client, group: usize) -> bool {
     let statement =
         format!("/* id=scale,c=lookup,d=1,cluster={group} */ SELECT blob FROM rows WHERE handle = '7f3a'");
     client.ask(&statement).code.as_deref() != Some("40000")
 }
 
 /// How long it takes to end, and what it wrote.
-fn end(front: Front) -> (Option<f64>, String) {
+fn stop(front: Front) -> (Option<f64>, String) {
     let (id, begun) = (front.id(), Instant::now());
     front.signal("-TERM");
     let late = Arc::new(AtomicBool::new(true));
     let still = late.clone();
     let (ended, killed) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
-    let (its_end, kills) = (ended.clone(), killed.clone());
+    let (end_seen, kill_flag) = (ended.clone(), killed.clone());
     let guard = std::thread::spawn(move || {
-        while begun.elapsed() < MAX_END && !its_end.load(Ordering::Relaxed) {
-            std::thread::sleep(SAMPLE);
+        while begun.elapsed() < MAX_SHUTDOWN && !end_seen.load(Ordering::Relaxed) {
+            std::thread::sleep(SAMPLE_INTERVAL);
         }
-        if still.load(Ordering::Relaxed) && !its_end.load(Ordering::Relaxed) {
-            kills.store(true, Ordering::Relaxed);
+        if still.load(Ordering::Relaxed) && !end_seen.load(Ordering::Relaxed) {
+            kill_flag.store(true, Ordering::Relaxed);
             let _ = std::process::Command::new("kill").args(["-KILL", &id.to_string()]).status();
         }
     });
