--- a/crates/lab/src/fleet/control.rs
+++ b/crates/lab/src/fleet/control.rs
@@ -1,4 +1,4 @@
-//! Questions to a process through its control socket.
+//! Requests to a process through its control socket.
 
 use juniperdock_control::{Frames, frame};
 use serde_json::Value;
@@ -7,12 +7,12 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Asks a front through its control socket; none where it says no, or nothing.
+/// Sends a request to a front's control socket and returns the result; none on an error or without an answer.
 pub fn ask(socket: &Path, asked: &Value, wait: Duration) -> Option<Value> {
     answer(socket, asked, wait).filter(|answer| answer["ok"] == true).map(|answer| answer["is"].clone())
 }
 
-/// What a front answers, whatever it is.
+/// The raw answer of a front, including errors.
 pub(super) fn answer(socket: &Path, asked: &Value, wait: Duration) -> Option<Value> {
     let mut stream = UnixStream::connect(socket).ok()?;
     stream.set_read_timeout(Some(wait)).ok()?;
--- a/crates/lab/src/fleet/crowd.rs
+++ b/crates/lab/src/fleet/crowd.rs
@@ -1,4 +1,4 @@
-//! Clients that come, say little or nothing, and stay until the front ends them.
+//! Idle clients: they connect, send little or nothing, and stay until the front closes the connection.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -6,23 +6,23 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// No more than so many are kept open at once.
+/// The maximum number of connections kept open.
 const MAX_OPEN: usize = 400;
-/// So many come at once.
+/// Clients that connect in one burst.
 const BURST: u32 = 120;
-/// How long one waits to be let in.
+/// The timeout of a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What a client opens with, and the beginning of a statement.
+/// A client's startup packet, and the start of a statement.
 const STARTUP_PACKET: &[u8] = &[0, 0, 0, 9, 0, 3, 0, 0, 0];
 const PARTIAL_STATEMENT: &[u8] = b"Q\0\0\0\x40/* id=";
 
-/// Goes on until it is dropped.
+/// A running crowd of idle clients; stops when dropped.
 pub struct Crowd(Arc<AtomicBool>);
 
 impl Crowd {
-    /// So many a second, in bursts, and in turn: one that only connects, one that is welcomed, one that begins a
-    /// statement.
+    /// Connects this many clients per second, in bursts. They alternate between clients that only connect, that also
+    /// send the startup packet, and that also send the start of a statement.
     pub fn start(address: SocketAddr, per_second: f64) -> Crowd {
         let stopped = Arc::new(AtomicBool::new(false));
         let stop_flag = stopped.clone();
@@ -55,7 +55,7 @@
 
 fn connect(address: SocketAddr, number: u32) -> Option<TcpStream> {
     let mut stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).ok()?;
-    // Nobody waits for a word: all of a burst come at once, also to a process that stands still.
+    // No client waits for a reply, so a whole burst arrives at once even while the process is stopped.
     match number % 3 {
         0 => {}
         1 => stream.write_all(STARTUP_PACKET).ok()?,
--- a/crates/lab/src/fleet/history.rs
+++ b/crates/lab/src/fleet/history.rs
@@ -1,4 +1,4 @@
-//! One file for all that happened: a line of JSON each, in the order of its times. Auditors read nothing else.
+//! The history of a run: one JSON object per line, with a time. Auditors read nothing else.
 
 use serde_json::{Value, json};
 use std::fs::{File, OpenOptions};
@@ -7,12 +7,12 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// Written by many at once; clones are the same.
+/// Writer for a history file, usable from several threads; clones share the file.
 #[derive(Clone)]
 pub struct History(Arc<Mutex<BufWriter<File>>>);
 
 impl History {
-    /// Begins a file anew; refused while another play writes it.
+    /// Creates or truncates the file; an error if another run is writing it.
     pub fn create(path: &Path) -> Result<History, String> {
         let io_error = |e: std::io::Error| format!("{}: {e}", path.display());
         let file =
@@ -23,7 +23,7 @@
         Ok(History(Arc::new(Mutex::new(BufWriter::new(file)))))
     }
 
-    /// Notes what happened at a time since the beginning.
+    /// Appends an event at a time since the start of the run.
     pub fn note(&self, at: Duration, what: &str, mut more: Value) {
         more["t"] = json!(at.as_micros() as u64);
         more["what"] = what.into();
@@ -36,10 +36,10 @@
     }
 }
 
-/// One thing that happened, read again.
+/// One event read from a history.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// Since the beginning.
+    /// Since the start of the run.
     pub at: Duration,
     pub what: String,
     pub more: Value,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Reads a history, sorted by time; what came first in the file stays first.
+/// Reads a history sorted by time; events at equal times keep their order in the file.
 pub fn read(path: &Path) -> Result<Vec<Line>, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let line = |(i, text): (usize, &str)| {
--- a/crates/lab/src/fleet/ledger.rs
+++ b/crates/lab/src/fleet/ledger.rs
@@ -1,4 +1,4 @@
-//! What clients saw goes into the history.
+//! Records the clients' observations in the history.
 
 use super::history::History;
 use crate::sockets::{Ask, Ledger};
@@ -6,7 +6,7 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// Writes down what clients saw.
+/// Writes the clients' observations.
 pub(super) struct Clients(pub History);
 
 impl Ledger for Clients {
--- a/crates/lab/src/fleet/machine.rs
+++ b/crates/lab/src/fleet/machine.rs
@@ -1,16 +1,16 @@
-//! What a front's process meets in the machine's calls, through the library that is loaded into it.
+//! System-call faults in a front's process, injected through the preloaded library.
 
 use super::schedule::{FaultKind, InjectedFault};
 use juniperdock_fault_controls::{Controls, preload};
 use std::path::{Path, PathBuf};
 
-/// Rates are told in parts of this.
+/// The control file gives rates in units of 1/65536.
 const RATE_SCALE: f64 = 65_536.0;
 
 pub struct MachineFaults {
     file: PathBuf,
     seed: u64,
-    /// Mishaps that go on now.
+    /// The faults in effect now.
     active: Vec<InjectedFault>,
 }
 
@@ -19,7 +19,7 @@
         MachineFaults { file: dir.join("faults"), seed: seed ^ ((front as u64) << 40), active: Vec::new() }
     }
 
-    /// What a process has to be started with; none of its calls fails yet.
+    /// The environment that the process has to be started with; initially no call fails.
     pub fn environment(&self) -> Result<Vec<(&'static str, String)>, String> {
         self.write().map_err(|e| format!("{}: {e}", self.file.display()))?;
         Ok(preload(&self.file)?.map(|(name, value)| (name, value.display().to_string())).to_vec())
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Many processes of the program with faults between them: started, met by what a schedule says, written down
-//! in one history, and audited by that alone. `docs/fleet.md` says what is looked for.
+//! Runs many processes of the program under faults from a schedule, records one history, and audits it. The checks
+//! are described in `docs/fleet.md`.
 
 pub mod audit;
 mod control;
@@ -23,14 +23,13 @@
 
 use std::path::Path;
 
-/// Plays a schedule and looks at its history.
+/// Plays a schedule and evaluates its history.
 pub fn judged(schedule: &Schedule, seed: u64, program: &str, into: &Path) -> Result<Figures, String> {
     play(schedule, seed, program, into, None)?;
     Ok(figures(&history::read(into)?))
 }
 
-/// The least part of a schedule that still fails: mishaps are taken out one by one, as long as that is so, for
-/// so many plays at most.
+/// Shrinks a failing schedule: removes faults one by one while it still fails, with at most `plays` runs.
 pub fn shrunk(
     schedule: &Schedule,
     mut plays: usize,
--- a/crates/lab/src/fleet/page.rs
+++ b/crates/lab/src/fleet/page.rs
@@ -1,4 +1,5 @@
-//! A page of a history: a lane for each front, what befell it shaded, how it stood, and whom it took for dead.
+//! An HTML page for a history: a lane for each front with its faults, its connectivity, and the peers it declared
+//! down.
 
 use super::audit::Figures;
 use super::history::Line;
@@ -34,7 +35,7 @@
 </body></html>
 "##;
 
-/// The page of a history.
+/// Renders the page of a history.
 pub fn of(lines: &[Line], figures: &Figures) -> Result<String, String> {
     let setting = lines.iter().find(|line| line.what == "setting").ok_or("no setting in the history")?;
     let fronts = setting.number("fronts").unwrap_or(1);
@@ -112,7 +113,7 @@
         .map_err(|e| format!("the page: {e:#}"))
 }
 
-/// A mishap in words.
+/// A short description of a fault.
 fn describe(mishap: &Value) -> String {
     let mut words = vec![mishap["what"].as_str().unwrap_or_default().replace('_', " ")];
     for (name, label) in [("front", "front"), ("other", "to"), ("share", "share"), ("by", "by")] {
--- a/crates/lab/src/fleet/primaries.rs
+++ b/crates/lab/src/fleet/primaries.rs
@@ -1,5 +1,5 @@
-//! What a history of changing primaries shows: what each change cost, and whether all that clients were told was
-//! true. Like the auditors it reads the history alone.
+//! Audits primary changes in a recorded history: the cost of each change, and whether every outcome reported to a
+//! client was true. Like the auditors it reads only the history.
 
 use super::audit::{HistoryView, front, micros, txn};
 use super::history::Line;
@@ -8,9 +8,9 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Fewer changes than this prove too little.
+/// The minimum number of changes for a meaningful run.
 const MIN_CHANGES: usize = 8;
-/// A txn outlasts a change if so much of its time is left when another has been elected.
+/// A txn outlasts a change if at least this much time is left when the successor is elected.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(300);
 
 #[derive(Debug, Default)]
@@ -19,11 +19,11 @@
     pub committed: usize,
     pub declined: usize,
     pub unknown: usize,
-    /// Committed writes that the group does not have, and txns that were never answered.
+    /// Committed writes that are missing in the group, and txns that were never answered.
     pub lost: usize,
-    /// Writes that took effect more than once, or were out twice.
+    /// Writes that took effect more than once, or had two submissions outstanding.
     pub doubled: usize,
-    /// Declines, and roll-backs, of what ran.
+    /// Writes reported as declined or rolled back that have run.
     pub untruthful: usize,
     pub stale: usize,
     pub changes: usize,
@@ -39,7 +39,7 @@
     writes: usize,
     committed: usize,
     unknown: usize,
-    /// Of the writes, those whose time outlasted the change, and how many of these were committed.
+    /// Writes whose expiry outlasted the change, and how many of these were committed.
     outlasted: usize,
     outlasted_committed: usize,
     leaderless: Vec<Duration>,
@@ -51,7 +51,7 @@
     spans.get(spans.len() / 2).copied().unwrap_or_default().as_millis()
 }
 
-/// One loss of a primary: of which group, in which way, from when, and when another was elected.
+/// One loss of a primary: the group, the kind of fault, when it began, and when a successor was elected.
 struct PrimaryLoss<'a> {
     group: u64,
     kind: &'a str,
@@ -59,7 +59,7 @@
     elected: Option<Duration>,
 }
 
-/// Reads a history in which no client asks again.
+/// Evaluates a history in which no client retries.
 pub fn changes(lines: &[Line]) -> Figures {
     let (view, fleet) = (HistoryView::new(lines), figures(lines));
     let mut summary =
@@ -77,7 +77,7 @@
         let elected = elections.iter().find(its).map(|e| e.1);
         (group, fault["what"].as_str().unwrap_or_default().to_owned(), *from, elected)
     };
-    // Only those that meet a group: others have another number.
+    // Only faults of a primary: in other faults, the number has another meaning.
     let of_group = |fault: &serde_json::Value| {
         serde_json::from_value(fault["what"].clone()).is_ok_and(|what| FaultKind::PRIMARY.contains(&what))
     };
@@ -120,7 +120,7 @@
         match outcome {
             "committed" => {
                 summary.committed += 1;
-                // Once-only ones are the auditor's: those with a mark are looked at here, as nobody asks again.
+                // Once-only txns are checked by the auditor. Referenced ones are checked here, as no client retries.
                 let marked = view.kind(txn(line))["name"] == "mark";
                 summary.lost += usize::from(marked && ran.get(&txn(line)).copied().unwrap_or(0) < 1);
             }
--- a/crates/lab/src/fleet/process.rs
+++ b/crates/lab/src/fleet/process.rs
@@ -1,26 +1,26 @@
-//! One process of the program under test: started, sent signals, waited for.
+//! A process of the program under test: start, signals, and termination.
 
 use std::fs::OpenOptions;
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// How often the world, or the end of a process, is looked at.
+/// The interval at which the simulation, or the exit of a process, is polled.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// How long a process may take to be there, or to end.
+/// The timeout for a process to start serving or to exit.
 pub(super) const PROCESS_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One front's process.
+/// The process of one front.
 pub(super) struct Process {
     pub dir: PathBuf,
     child: Option<Child>,
-    /// The one that serves: after an upgrade another than the child.
+    /// The serving process; after an upgrade it is not the child.
     pub pid: u32,
     pub stopped: bool,
 }
 
 impl Process {
-    /// One that has not been started; its files lie in this folder.
+    /// A process that has not been started; its files are in this directory.
     pub fn new(dir: PathBuf) -> Process {
         Process { dir, child: None, pid: 0, stopped: false }
     }
@@ -48,14 +48,14 @@
         let child = self.child.as_mut().filter(|child| child.id() == self.pid);
         match child {
             Some(child) => matches!(child.try_wait(), Ok(None)),
-            // Another's child: its place in the machine's list is gone, or it is a shell of a process.
+            // Not our child: it has exited if it is missing in /proc or a zombie.
             None => std::fs::read_to_string(format!("/proc/{}/stat", self.pid)).is_ok_and(|stat| {
                 !stat.rsplit(')').next().is_some_and(|rest| rest.trim_start().starts_with('Z'))
             }),
         }
     }
 
-    /// The processor time of its present process so far, by the machine's clock ticks of 10 ms.
+    /// The processor time of the current process, in clock ticks of 10 ms.
     pub fn cpu_ms(&self) -> Option<u64> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.pid)).ok()?;
         let mut fields = stat.rsplit(')').next()?.split_whitespace().skip(11);
--- a/crates/lab/src/fleet/relay.rs
+++ b/crates/lab/src/fleet/relay.rs
@@ -1,5 +1,5 @@
-//! What lies between each two fronts: a socket for each direction, so that what one sends to another can be
-//! lost, delayed, doubled, bent, replayed, forged or cut in one direction alone.
+//! A UDP relay between every two fronts, with a socket for each direction, so that datagrams can be dropped, delayed,
+//! duplicated, corrupted, replayed, forged or cut off in one direction alone.
 
 use juniperdock_emulator::Stream;
 use juniperdock_membership::{Event, Host, Keys, Membership, NEWEST_VERSION, Timing};
@@ -11,28 +11,28 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Datagrams of each way that are kept, to be sent again.
+/// The number of past datagrams kept per link for replay.
 const REPLAY_BUFFER: usize = 32;
-/// A forger says this much more of its life than the front that it claims to be.
+/// How far the incarnation in a forged datagram exceeds that of the front it claims to come from.
 pub const FORGED_INCARNATION_OFFSET: u32 = 6_000;
 
-/// What becomes of datagrams on one way.
+/// The faults of one link (one direction between two fronts).
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkFaults {
-    /// So many troubles cut it.
+    /// The number of faults that currently cut the link.
     pub cut: u32,
-    /// Shares.
+    /// Shares of datagrams.
     pub lost: f64,
     pub doubled: f64,
     pub bent: f64,
-    /// So much later, at most; what is sent later may come earlier.
+    /// The maximum delay. Delays are random, so datagrams may be reordered.
     pub late: Duration,
-    /// Old ones, and forged ones, a second.
+    /// Old and forged datagrams per second.
     pub replayed: f64,
     pub forged: f64,
 }
 
-/// What has gone by one way.
+/// Datagrams sent over one link.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LinkCounters {
     pub honest: u64,
@@ -47,11 +47,11 @@
     stopped: bool,
 }
 
-/// All of them; clones are the same.
+/// The relay for all links; clones share it.
 #[derive(Clone)]
 pub struct Relay {
     shared: Arc<Mutex<RelayState>>,
-    /// Where front i sends what is for front j.
+    /// `at[i][j]` is the address to which front i sends datagrams for front j.
     pub at: Vec<Vec<SocketAddr>>,
 }
 
@@ -71,11 +71,11 @@
     fn event(&mut self, _: Event) {}
 }
 
-/// By when a datagram is to be sent on, then by its number.
+/// The time to forward a delayed datagram, a sequence number, sender, receiver, and the bytes.
 type DelayedDatagram = Reverse<(Instant, u64, usize, usize, Vec<u8>)>;
 
 impl Relay {
-    /// Opens all ways between fronts that listen at these addresses.
+    /// Opens the links between fronts that listen at these addresses.
     pub fn open(ip: IpAddr, listen: &[SocketAddr], seed: u64) -> Result<Relay, String> {
         let n = listen.len();
         let failed = |e: std::io::Error| format!("a relay: {e}");
@@ -117,14 +117,14 @@
         self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes what becomes of datagrams on a way.
+    /// Changes the faults of a link.
     pub fn change(&self, from: usize, to: usize, change: impl FnOnce(&mut LinkFaults)) {
         let mut state = self.lock();
         let at = from * state.fronts + to;
         change(&mut state.links[at]);
     }
 
-    /// What has gone from one front to another so far.
+    /// The datagrams sent from one front to another so far.
     pub fn counters(&self, from: usize, to: usize) -> LinkCounters {
         let state = self.lock();
         state.counters[from * state.fronts + to]
@@ -187,7 +187,7 @@
         self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// To a front it comes from the address at which that front reaches its sender.
+    /// Sends from the socket that the receiver uses to reach the sender, so that the source address matches.
     fn forward(&self, from: usize, to: usize, bytes: &[u8]) {
         let _ = self.sockets[to * self.n + from].send_to(bytes, self.listen[to]);
     }
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Sends old and forged ones of the time since the last call; true once all is over.
+    /// Injects the replayed and forged datagrams due since the last call; true once the relay has stopped.
     fn inject(&mut self, seconds: f64) -> bool {
         let (stopped, links) = {
             let state = self.state();
@@ -241,7 +241,7 @@
             for _ in 0..replays.min(self.replay_buffers[at].len()) {
                 let old = self.random.below(self.replay_buffers[at].len());
                 let bytes = self.replay_buffers[at][old].clone();
-                // Now and then to another front than the one that it was for.
+                // Some go to a front that they were not addressed to.
                 let to = if self.random.share() < 0.3 { self.random.below(self.n) } else { to };
                 if to != from {
                     self.forward(from, to, &bytes);
@@ -260,7 +260,7 @@
         stopped
     }
 
-    /// What somebody without a key would say in a front's name: well-formed, and of a later life.
+    /// Well-formed datagrams in a front's name, of a later incarnation, made with a wrong key.
     fn forge_datagrams(&mut self, from: usize, to: usize) -> Vec<Vec<u8>> {
         let (n, at) = (self.n, from * self.n + to);
         let seed = self.random.number();
--- a/crates/lab/src/fleet/soak.rs
+++ b/crates/lab/src/fleet/soak.rs
@@ -1,5 +1,5 @@
-//! A soak: many processes, faults of all kinds that overlap in time, and the invariants as the oracle. Drawn from a seed;
-//! judged by the history alone.
+//! Soak test: many processes under faults of all kinds that overlap in time, drawn from a seed. The verdict comes
+//! from invariants checked on the history alone.
 
 use super::audit::{self, Finding, HistoryView, front, txn};
 use super::history::Line;
@@ -10,19 +10,19 @@
 use std::fmt;
 use std::time::Duration;
 
-/// An attempt may still begin so long after its client has left, and is seen a moment later at a busy server.
+/// An attempt may still start this long after its client has left, and a busy server records it slightly later.
 const AFTER_LEAVING: Duration = Duration::from_millis(200);
-/// A process that was stopped, or held up, learns later that its client has left.
+/// The same for a process that was stopped or delayed, which detects the departure later.
 const DISTURBED_AFTER_LEAVING: Duration = Duration::from_millis(500);
 
-/// The operators' page (`PROTOCOL.md`, figures).
+/// From the figures of the operators' page (`PROTOCOL.md`).
 const MAX_DEADLINE_S: f64 = 3.0;
 const KILL_MARGIN_S: f64 = 0.7;
 
-/// Idle clients that come to a front in a second.
+/// Idle clients that connect to a front per second.
 const CROWD_PER_SECOND: f64 = 600.0;
 
-/// What a soak draws from; each kind once before any comes again.
+/// The fault kinds of a soak; each is drawn once before any is repeated.
 const FAULT_KINDS: [FaultKind; 16] = [
     FaultKind::Crowd,
     FaultKind::FrontEnded,
@@ -43,7 +43,7 @@
 ];
 
 impl Schedule {
-    /// So many processes under load, with some three faults at any time for each ten of them.
+    /// A schedule for this many processes under load, with about three concurrent faults for every ten of them.
     pub fn soak(seed: u64, fronts: usize, lasts_s: f64) -> Schedule {
         let mut random = Stream::of(seed, "soak", 0);
         let mut schedule = Schedule {
@@ -75,13 +75,13 @@
         schedule
     }
 
-    /// From SIGTERM to the earliest SIGKILL that the operators' page allows: the longest deadline, 3 s at most, and
+    /// From SIGTERM to the earliest SIGKILL that the operators' page allows: the longest deadline, 3 s at most, plus
     /// [`KILL_MARGIN_S`].
     fn earliest_kill_s(&self) -> f64 {
         (self.expiry_ms as f64 / 1000.0).min(MAX_DEADLINE_S) + KILL_MARGIN_S
     }
 
-    /// One mishap of a kind, at some front that nothing of the kind meets; none where there is no such front.
+    /// Draws one fault of a kind for a front that has none of that kind; none if there is no such front.
     fn draw_fault(&self, what: FaultKind, at_s: f64, random: &mut Stream) -> Option<InjectedFault> {
         let lasts_s = match what {
             FaultKind::FrontEnded => self.earliest_kill_s(),
@@ -96,7 +96,7 @@
             _ => 0,
         };
         let share = match what {
-            // Held up long, and seldom: twice in a row is more than a front is owed.
+            // Long delays, but rarely: two in a row are more than a front has to tolerate.
             FaultKind::HeldUp => Some(0.002 + 0.004 * random.share()),
             FaultKind::CallsFail | FaultKind::ShortCalls => Some(0.05 + 0.1 * random.share()),
             FaultKind::ConnectionsBreak => Some(0.005 + 0.02 * random.share()),
@@ -124,8 +124,8 @@
     }
 }
 
-/// What comes at the same front with some mishaps: a crowd at a slow process, where what comes in lies for a while, or at one
-/// that ends; a wall clock that is off when a process starts.
+/// A second fault at the same front: idle clients at a slow process, where received data waits for a while, or at a
+/// terminating one; a wrong wall clock while a process starts.
 fn accompanying_fault(fault: &InjectedFault, random: &mut Stream) -> Option<InjectedFault> {
     match fault.what {
         FaultKind::FrontSlow => {
@@ -157,13 +157,13 @@
     )
 }
 
-/// What a soak has shown.
+/// The result of a soak.
 #[derive(Debug)]
 pub struct Findings {
     pub figures: Figures,
-    /// What broke an invariant.
+    /// Violations of the invariants.
     pub broken: Vec<Finding>,
-    /// Statements whose connections ended twice before any of it was sent on: their clients would ask once more.
+    /// Statements that were never sent on and whose connections ended twice. A real client would retry once more.
     pub crossed: usize,
     pub faults: BTreeMap<String, usize>,
     pub cut_off: usize,
@@ -203,7 +203,7 @@
     ("crashed", crashed),
 ];
 
-/// Looks at a soak's history.
+/// Checks the history of a soak.
 pub fn findings(lines: &[Line]) -> Findings {
     let view = HistoryView::new(lines);
     let one = |auditor: &'static str, (at, what): (Duration, String)| Finding {
@@ -216,7 +216,7 @@
         .flat_map(|&(name, check)| check(&view).into_iter().map(move |found| one(name, found)));
     let mut broken: Vec<Finding> = broken.collect();
     let figures = figures(lines);
-    // Judged here for clients that leave, and for connections that end.
+    // The checks above replace "answers", as clients leave and connections end during a soak.
     broken.extend(figures.found.iter().filter(|found| found.auditor != "answers").cloned());
     let crossed = crossed(&view).len();
     let mut faults = BTreeMap::new();
@@ -227,13 +227,13 @@
     Findings { figures, broken, crossed, faults, cut_off, left }
 }
 
-/// When each front's process was killed.
+/// The intervals in which each front's process was killed.
 fn kills<'a>(view: &'a HistoryView) -> impl Iterator<Item = (usize, Duration, Duration)> + 'a {
     let kills = view.faults.iter().filter(|(fault, ..)| fault["what"] == "front_killed");
     kills.filter_map(|(fault, from, to)| Some((fault["front"].as_u64()? as usize, *from, *to)))
 }
 
-/// Statements that no front has sent on and whose connections ended twice.
+/// Statements that no front sent on and whose connections ended twice.
 fn crossed(view: &HistoryView) -> BTreeSet<u64> {
     let mut ends: HashMap<u64, usize> = HashMap::new();
     for line in view.lines_of("cut off") {
@@ -244,7 +244,7 @@
     nothing.filter(|txn| ends.contains_key(txn) && !sent.contains(txn)).collect()
 }
 
-/// Rule 1: who has asked and stays is answered, once, unless its front's process was met by something meanwhile.
+/// Rule 1: a client that stays gets exactly one answer, unless its front's process was disturbed in the meantime.
 fn check_unanswered(view: &HistoryView) -> Vec<(Duration, String)> {
     let left: BTreeSet<u64> = view.lines_of("left").map(txn).collect();
     let crossed = crossed(view);
@@ -254,7 +254,7 @@
     audit::check_answers(&HistoryView::new(&lines))
 }
 
-/// Rule 1: a front that has sent a request to a server does not end the connection that it came on without an answer,
+/// Rule 1: a front that has sent a request to a server does not close the client's connection without an answer,
 /// unless its process was killed.
 fn check_cut_off(view: &HistoryView) -> Vec<(Duration, String)> {
     let mut asked: HashMap<(usize, u64), Duration> = HashMap::new();
@@ -284,7 +284,7 @@
     found
 }
 
-/// Rule 1: nothing new is sent for a client that has gone.
+/// Rule 1: no new attempt is sent for a client that has left.
 fn check_sent_after_leaving(view: &HistoryView) -> Vec<(Duration, String)> {
     let mut left: HashMap<(usize, u64), Duration> = HashMap::new();
     let mut found = Vec::new();
@@ -310,7 +310,7 @@
     found
 }
 
-/// What a front says of its own invariants at its end.
+/// The invariant violations and panics that a front counted and printed at exit.
 fn check_front_counters(view: &HistoryView) -> Vec<(Duration, String)> {
     let mut found = Vec::new();
     for line in view.lines_of("said").filter(|line| line.text("text").starts_with("counters: ")) {
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -1,5 +1,5 @@
-//! What a front under test speaks to: an agent that tells the server list, and servers that share a few listeners. They
-//! speak the real wire formats and keep no data.
+//! The environment of a front under test: a discovery agent, and servers that share a few listeners. They use the
+//! real wire formats and store no data.
 
 use juniperdock_test_support::wire::{Said, Store, parameter, ready, row, serve};
 use juniperdock_test_support::{address, unix_ms};
@@ -11,22 +11,22 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Servers of one group: a primary and two replicas.
+/// Servers in one group: a primary and two replicas.
 pub const GROUP: usize = 3;
-/// An agent shows that it lives this often.
+/// The interval of the agent's heartbeats.
 const HEARTBEAT: Duration = Duration::from_secs(2);
-/// How often an agent looks for something new to tell.
+/// The interval at which the agent checks for changes.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// What all servers do with a connection.
+/// How all servers treat a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, clap::ValueEnum)]
 #[serde(rename_all = "lowercase")]
 pub enum Behaviour {
-    /// They welcome, report and serve.
+    /// They accept, report and serve.
     Answer,
-    /// Nobody listens.
+    /// They refuse connections.
     Refuse,
-    /// They accept and say nothing.
+    /// They accept connections and send nothing.
     Silent,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// Where servers are reached; all primaries share an address, and all replicas.
+/// The addresses of the servers; all primaries share one, and all replicas another.
 pub struct Servers {
     primary: SocketAddr,
     replica: SocketAddr,
@@ -61,7 +61,7 @@
         Ok(Servers { primary: listen(behaviour, true)?, replica: listen(behaviour, false)? })
     }
 
-    /// Where the server with this number is.
+    /// The address of the server with this number.
     pub fn at(&self, number: usize) -> SocketAddr {
         if number.is_multiple_of(GROUP) { self.primary } else { self.replica }
     }
@@ -78,7 +78,7 @@
         for stream in listener.incoming().flatten() {
             if behaviour == Behaviour::Silent {
                 silent.push(stream);
-                // The oldest have been given up by now.
+                // The front has given up the oldest connections by now.
                 silent.drain(..silent.len().saturating_sub(4096));
             } else {
                 std::thread::spawn(move || serve(stream, &AnsweringServer { primary }));
@@ -88,7 +88,7 @@
     Ok(at)
 }
 
-/// One entry of a list, in the form in which the agent tells it.
+/// One entry of the server list in the agent's format.
 pub fn entry(number: usize, at: SocketAddr, state: &str) -> String {
     let group = number / GROUP;
     format!(
@@ -96,7 +96,7 @@
     )
 }
 
-/// A list, whole or of what changed.
+/// A server list, either full or only the changes.
 pub fn list(version: u64, full: bool, entries: impl Iterator<Item = String>) -> String {
     let mut text = format!(r#"{{"version":{version},"full":{full},"servers":["#);
     for (i, entry) in entries.enumerate() {
@@ -106,11 +106,11 @@
     text + "]}"
 }
 
-/// Tells each watch what has changed since the version that it names.
+/// A discovery agent that sends each watch the changes since the version that it names.
 pub struct Agent {
     pub at: SocketAddr,
     changes: Arc<Mutex<Vec<(u64, String)>>>,
-    /// Bytes told to all watches.
+    /// Bytes sent to all watches.
     pub bytes: Arc<AtomicU64>,
 }
 
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -1,7 +1,7 @@
-//! A scale run: one real front before lists of growing size, with hollow servers and a hollow agent beside it in this
-//! process. Measures what the size of the list costs the front, and fits a line through each figure.
+//! Scale run: one real front with server lists of growing size, and with simulated servers and a discovery agent in
+//! this process. Measures what the size of the list costs the front, and fits a line through each figure.
 //!
-//! Bounded: one front at a time, a few threads, each size for a fixed time.
+//! Bounded: one front at a time, a few threads, a fixed time for each size.
 
 pub mod hollow;
 pub mod process;
@@ -15,24 +15,24 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// A front is left alone for so long before it is measured in rest.
+/// The time for a front to settle before it is measured at rest.
 const SETTLE: Duration = Duration::from_millis(2500);
-/// What one change sets off is measured over this time.
+/// The effects of one change are measured over this time.
 const CHANGE_WINDOW: Duration = Duration::from_millis(2500);
-/// Groups count as used for 10 s after the last change was asked for; rest begins after that.
+/// Groups count as used for 10 s after the last request for a change; the idle phase begins after that.
 const GROUP_USE_EXPIRY: Duration = Duration::from_secs(11);
-/// Rest after all changes, over which the idle load is measured.
+/// The duration of the idle phase after all changes.
 const IDLE_DURATION: Duration = Duration::from_secs(4);
-/// How often memory and descriptors are looked at.
+/// The interval at which memory and descriptors are sampled.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
-/// A front that has not ended so long after SIGTERM is killed.
+/// A front that has not exited this long after SIGTERM is killed.
 const MAX_SHUTDOWN: Duration = Duration::from_secs(8);
-/// A change that is not in force after this counts as so late.
+/// The longest time measured for a change to take effect; later ones count as this.
 const MAX_IN_FORCE: Duration = Duration::from_secs(5);
 const MEMORY_MB: u32 = 192;
 const SOCKETS: u32 = 512;
 
-/// What a scale run plays.
+/// The parameters of a scale run.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub program: String,
@@ -40,46 +40,46 @@
     pub behaviour: Behaviour,
     pub changes_per_second: u64,
     pub changes_for: Duration,
-    /// Waits until no group counts as used any more, and measures the load in rest.
+    /// Whether to wait until no group counts as used any more, and measure the idle load.
     pub idle: bool,
     pub seed: u64,
 }
 
-/// What one size came to.
+/// The measurements for one size.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
     pub servers: usize,
     pub list_kib: f64,
     pub rest_mib: f64,
-    /// The most memory after one changed entry, and the processor time that it took.
+    /// Peak memory after one changed entry, and the processor time that it took.
     pub one_change_mib: f64,
     pub one_change_cpu_ms: f64,
-    /// While changes came at the planned rate.
+    /// While changes arrive at the planned rate.
     pub changes_mib: f64,
     pub changes_cpu_percent: f64,
     pub in_force_median_ms: f64,
     pub in_force_max_ms: f64,
     pub in_force_measured: usize,
     pub list_bytes_per_change: f64,
-    /// In rest after them.
+    /// In the idle phase after the changes.
     pub idle_cpu_percent: Option<f64>,
     pub most_descriptors: usize,
     pub probes: u64,
-    /// From SIGTERM to its end; nothing if it had to be killed.
+    /// From SIGTERM to the exit; none if the front had to be killed.
     pub end_ms: Option<f64>,
 }
 
-/// A line through one figure over the number of servers, by least squares.
+/// A least-squares line through one figure over the number of servers.
 #[derive(Clone, Debug, Serialize)]
 pub struct Fit {
     pub figure: &'static str,
     pub per_1000_servers: f64,
     pub intercept: f64,
-    /// The farthest that a measured figure lies from the line.
+    /// The largest distance of a measured figure from the line.
     pub max_residual: f64,
 }
 
-/// Memory and descriptors, watched from beside.
+/// Samples the peak memory and descriptors of a process in a thread.
 struct ResourceMonitor {
     stop: Arc<AtomicBool>,
     peak: Arc<Mutex<(u64, usize)>>,
@@ -101,7 +101,7 @@
         monitor
     }
 
-    /// The most memory since this was last asked, in MiB, and the most descriptors of all.
+    /// The peak memory since the last call, in MiB, and the peak number of descriptors since the start.
     fn take(&self) -> (f64, usize) {
         let mut peak = self.peak.lock().unwrap_or_else(PoisonError::into_inner);
         let (memory, open) = *peak;
@@ -116,7 +116,7 @@
     }
 }
 
-/// Plays all sizes, one after the other.
+/// Runs all sizes, one after the other.
 pub fn play(plan: &Plan) -> Result<Vec<Outcome>, String> {
     plan.sizes.iter().map(|&servers| play_size(plan, servers)).collect()
 }
@@ -185,15 +185,15 @@
     Front::with(&plan.program, address(), agent, &config, None)
 }
 
-/// The share of a core that a front takes over a while.
+/// The share of a core that a front uses, averaged over a time span.
 fn measure_idle_share(id: u32, over: Duration) -> f64 {
     let (before, begun) = (process::processor_time(id), Instant::now());
     std::thread::sleep(over);
     (process::processor_time(id) - before).as_secs_f64() / begun.elapsed().as_secs_f64()
 }
 
-/// Tells changes at the planned rate, each a new server in a group of its own, and asks for some of those groups until
-/// the front knows them. Gives the times that took, in milliseconds, sorted.
+/// Announces changes at the planned rate, each a new server in a group of its own, and queries some of those groups
+/// until the front has them. Returns the times until then in milliseconds, sorted.
 fn measure_changes(plan: &Plan, front: &Front, agent: &Agent, servers: &Servers, count: usize) -> Vec<f64> {
     let every = Duration::from_secs_f64(1.0 / plan.changes_per_second as f64);
     let all = plan.changes_per_second * plan.changes_for.as_secs();
@@ -207,7 +207,7 @@
         agent.change(version, hollow::list(version, false, std::iter::once(entry)));
         let announced = Instant::now();
         next += 1;
-        // While one is waited for the following are told on time: the wait looks at the clock as well.
+        // While one group is queried, the following changes are announced on time.
         while !accepts_group(&mut client, number / GROUP) && announced.elapsed() < MAX_IN_FORCE {
             while next < all && begun.elapsed() >= every * next as u32 {
                 let (version, number) = (next + 3, count + GROUP * (next as usize + 1));
@@ -222,14 +222,14 @@
     times
 }
 
-/// Whether a front knows a group: it rolls back at once what goes to a group that its list does not name.
+/// Whether a front has a group: a request for a group that is not in its list is rolled back at once.
 fn accepts_group(client: &mut Client, group: usize) -> bool {
     let statement =
         format!("/* id=scale,c=lookup,d=1,cluster={group} */ SELECT blob FROM rows WHERE handle = '7f3a'");
     client.ask(&statement).code.as_deref() != Some("40000")
 }
 
-/// How long it takes to end, and what it wrote.
+/// Ends a front; returns the time that took and its output.
 fn stop(front: Front) -> (Option<f64>, String) {
     let (id, begun) = (front.id(), Instant::now());
     front.signal("-TERM");
@@ -254,7 +254,7 @@
     ((!killed.load(Ordering::Relaxed)).then_some(took), text)
 }
 
-/// One of the counters that a front prints at its end; 0 where it printed none.
+/// One of the counters that a front prints at exit; 0 if missing.
 fn counter(text: &str, name: &str) -> u64 {
     let words = text.split_whitespace().rev();
     words
@@ -264,10 +264,10 @@
         .unwrap_or(0)
 }
 
-/// A figure's name, and how it is read.
+/// The name of a figure, and its accessor.
 type Figure = (&'static str, fn(&Outcome) -> f64);
 
-/// Figures that are fitted.
+/// The figures that a line is fitted to.
 const FITTED: [Figure; 7] = [
     ("rest_mib", |o| o.rest_mib),
     ("one_change_mib", |o| o.one_change_mib),
@@ -278,7 +278,7 @@
     ("idle_cpu_percent", |o| o.idle_cpu_percent.unwrap_or(0.0)),
 ];
 
-/// Lines through the figures of at least two sizes.
+/// Fits a line to each figure; meaningful with at least two sizes.
 pub fn fit(outcomes: &[Outcome]) -> Vec<Fit> {
     let sizes: Vec<f64> = outcomes.iter().map(|o| o.servers as f64).collect();
     FITTED
@@ -293,7 +293,7 @@
         .collect()
 }
 
-/// Slope and intercept by least squares; a flat line where all sizes are one.
+/// Slope and intercept by least squares; a flat line if all sizes are equal.
 pub fn line(xs: &[f64], ys: &[f64]) -> (f64, f64) {
     let n = xs.len().max(1) as f64;
     let (mean_x, mean_y) = (xs.iter().sum::<f64>() / n, ys.iter().sum::<f64>() / n);
@@ -305,7 +305,7 @@
     (slope, mean_y - slope * mean_x)
 }
 
-/// Both as a table for people.
+/// Formats the outcomes and lines as a text table.
 pub fn table(outcomes: &[Outcome], fits: &[Fit]) -> String {
     let mut text = String::from(
         "servers  list KiB  rest MiB  1 change: MiB  cpu ms  changes: MiB  cpu %  in force ms median  max  idle cpu %  fds  probes  end ms\n",
--- a/crates/lab/src/scale/process.rs
+++ b/crates/lab/src/scale/process.rs
@@ -1,9 +1,9 @@
-//! What the machine tells of a process: its memory, processor time and descriptors.
+//! Resource usage of a process: memory, processor time and descriptors.
 
 use std::fs;
 use std::time::Duration;
 
-/// Clock ticks of `/proc/PID/stat` in a second, on every Linux that this runs on.
+/// Clock ticks per second in `/proc/PID/stat`, on every Linux that this runs on.
 const TICKS_PER_SECOND: u64 = 100;
 
 /// Resident memory, in KiB.
@@ -13,7 +13,7 @@
     line.and_then(|line| line.trim().trim_end_matches(" kB").parse().ok()).unwrap_or(0)
 }
 
-/// The processor time of all its threads, to the microsecond where the machine counts so finely.
+/// The processor time of all threads, from schedstat if available, otherwise in clock ticks.
 pub fn processor_time(id: u32) -> Duration {
     let tasks = fs::read_dir(format!("/proc/{id}/task")).into_iter().flatten().flatten();
     let fine = tasks.filter_map(|task| {
@@ -27,7 +27,7 @@
 fn ticks(id: u32) -> Duration {
     let stat = fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
     let fields = stat.rsplit(')').next().unwrap_or_default();
-    // User and system time are the 14th and 15th field of all, the 12th and 13th behind the name.
+    // User and system time are fields 14 and 15, which are fields 12 and 13 after the process name.
     let ticks: u64 = fields.split_whitespace().skip(11).take(2).filter_map(|n| n.parse::<u64>().ok()).sum();
     Duration::from_millis(ticks * 1000 / TICKS_PER_SECOND)
 }
