--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -19,7 +19,7 @@
 pub use audit::{Figures, figures};
 pub use control::ask;
 pub use play::play;
-pub use schedule::{FaultKind, InjectedFault, Schedule};
+pub use schedule::{Harm, Mishap, Schedule};
 
 use std::path::Path;
 
