--- a/crates/lab/src/fleet/ledger.rs
+++ b/crates/lab/src/fleet/ledger.rs
@@ -28,11 +28,11 @@
         at: Duration,
         front: usize,
         txn: u32,
-        told: Told,
+        outcome: Told,
         code: Option<&str>,
         ended: bool,
     ) {
-        let told = match told {
+        let outcome = match outcome {
             Told::Committed => "committed",
             Told::Declined => "declined",
             Told::Unknown => "unknown",
@@ -41,7 +41,7 @@
         self.0.note(
             at,
             "answered",
-            json!({ "front": front, "txn": txn, "told": told, "code": code, "ended": ended }),
+            json!({ "front": front, "txn": txn, "told": outcome, "code": code, "ended": ended }),
         );
     }
 }
--- a/crates/lab/src/fleet/play.rs
+++ b/crates/lab/src/fleet/play.rs
@@ -89,7 +89,7 @@
     schedule: &'a Schedule,
     program: &'a str,
     history: History,
-    town: Arc<Town>,
+    cluster: Arc<Town>,
     relay: Relay,
     processes: Vec<Process>,
     environments: Vec<Vec<(&'static str, String)>>,
@@ -138,7 +138,7 @@
     {
         initial_lists.push(known);
     }
-    let town = Town::new(State::new(world, n, Some(Box::new(Clients(history.clone())))), ANSWER_SLACK);
+    let cluster = Town::new(State::new(world, n, Some(Box::new(Clients(history.clone())))), ANSWER_SLACK);
     let kind = |kind: &OfKind| {
         json!({ "name": kind.name, "write": kind.reads == Reads::Write, "repeatable": kind.runs == Runs::Repeatable,
             "bound": (kind.reads == Reads::Bounded).then_some(kind.bound_ms * 1000) })
@@ -164,7 +164,7 @@
         schedule,
         program,
         history: history.clone(),
-        town: town.clone(),
+        cluster: cluster.clone(),
         relay,
         processes: Vec::new(),
         environments: Vec::new(),
@@ -181,13 +181,13 @@
         machine_faults: Vec::new(),
         crowds: (0..n).map(|_| None).collect(),
     };
-    town.leaving.lock().unwrap_or_else(PoisonError::into_inner).share = schedule.leaves;
+    cluster.leaving.lock().unwrap_or_else(PoisonError::into_inner).share = schedule.leaves;
     let preloads = schedule.mishaps.iter().any(Mishap::targets_machine_calls);
     let writes_snapshot = schedule.mishaps.iter().any(|fault| fault.what == Harm::DiskFails);
     for front in 0..n {
-        let at = town.members(front, members)?;
+        let at = cluster.members(front, members)?;
         let agent = Agent::start(WATCH);
-        let known = list(&town, 1, true, &initial_lists[front], &at);
+        let known = list(&cluster, 1, true, &initial_lists[front], &at);
         let mut config = settings(&scenario, seed, front, &known);
         config["name"] = format!("n{front}").into();
         config["peer_listen"] = peers[front].to_string().into();
@@ -236,27 +236,27 @@
     let per_front = (schedule.per_second * busy_s / n as f64).clamp(12.0, 500.0) as usize;
     for (front, &at) in listen.iter().enumerate() {
         for _ in 0..per_front {
-            let town = town.clone();
-            std::thread::spawn(move || client(&town, at, front));
+            let cluster = cluster.clone();
+            std::thread::spawn(move || client(&cluster, at, front));
         }
-        let (town, history, over) = (town.clone(), history.clone(), over.clone());
+        let (cluster, history, over) = (cluster.clone(), history.clone(), over.clone());
         let (socket, duties) = (rig.processes[front].dir.join("control"), schedule.duties);
         std::thread::spawn(move || {
             while !over.load(Ordering::Relaxed) {
-                let asked = town.now();
+                let asked = cluster.now();
                 let status = ask(&socket, &json!({ "do": "fleet" }), Duration::from_millis(600));
                 // A front that has left the fleet no longer reports on others.
                 if let Some(status) = status.filter(|status| status["left"].is_null()) {
-                    let at = town.now();
+                    let at = cluster.now();
                     let asked = asked.as_micros() as u64;
                     history.note(at, "status", json!({ "front": front, "asked": asked, "status": status }));
                 }
-                let asked = town.now().as_micros() as u64;
+                let asked = cluster.now().as_micros() as u64;
                 let wait = Duration::from_millis(600);
                 let duties_status = duties.then(|| ask(&socket, &json!({ "do": "duties" }), wait)).flatten();
                 if let Some(duties_status) = duties_status {
                     history.note(
-                        town.now(),
+                        cluster.now(),
                         "duties",
                         json!({ "front": front, "asked": asked, "duties": duties_status }),
                     );
@@ -267,12 +267,12 @@
     }
     let done = rig.run(&scenario);
     over.store(true, Ordering::Relaxed);
-    town.end();
+    cluster.end();
     rig.relay.end();
     let logs: Vec<PathBuf> = rig.processes.iter().map(|process| process.dir.join("log")).collect();
     drop(rig);
     for (front, log) in logs.iter().enumerate() {
-        import_log(&history, &town, front, log);
+        import_log(&history, &cluster, front, log);
     }
     history.flush()?;
     let _ = std::fs::remove_dir_all(&work_dir);
@@ -280,17 +280,17 @@
 }
 
 /// Copies a front's log into the history.
-fn import_log(history: &History, town: &Town, front: usize, log: &Path) {
+fn import_log(history: &History, cluster: &Town, front: usize, log: &Path) {
     let text = std::fs::read_to_string(log).unwrap_or_default();
     for line in text.lines() {
         let Ok(log) = serde_json::from_str::<Value>(line) else {
             // Not a log line: the counters at exit, or a panic.
-            history.note(town.now(), "said", json!({ "front": front, "text": line }));
+            history.note(cluster.now(), "said", json!({ "front": front, "text": line }));
             continue;
         };
         // The wall clock may have been stepped for that process, so it is not used.
         let monotonic_us = log["monotonic_us"].as_u64().unwrap_or_default();
-        let at = Duration::from_micros(monotonic_us).saturating_sub(town.monotonic_origin);
+        let at = Duration::from_micros(monotonic_us).saturating_sub(cluster.monotonic_origin);
         history.note(at, "log", json!({ "front": front, "log": log }));
     }
 }
@@ -298,7 +298,7 @@
 impl Rig<'_> {
     fn start(&mut self, front: usize) -> Result<(), String> {
         let environment = self.environments[front].clone();
-        let at = self.town.now();
+        let at = self.cluster.now();
         self.processes[front].start(self.program, &environment)?;
         self.history.note(at, "start", json!({ "front": front, "pid": self.processes[front].pid }));
         Ok(())
@@ -315,11 +315,11 @@
         steps.sort();
         let (mut steps, mut version) = (steps.into_iter().peekable(), 1);
         loop {
-            let now = self.town.now();
+            let now = self.cluster.now();
             while let Some((_, begins, i)) = steps.next_if(|step| step.0 <= now) {
                 let fault = self.schedule.mishaps[i].clone();
                 let more = json!({ "number": i, "mishap": fault });
-                let at = self.town.now();
+                let at = self.cluster.now();
                 if begins {
                     self.history.note(at, "mishap", more);
                     self.begin(&fault);
@@ -331,9 +331,9 @@
             self.cycle_slow_fronts();
             self.upgrades();
             self.moves();
-            let town = self.town.clone();
-            let mut state = town.lock();
-            let now = town.now();
+            let cluster = self.cluster.clone();
+            let mut state = cluster.lock();
+            let now = cluster.now();
             while let Some(out) = state.world.next(now) {
                 if let Out::Arrived { front, txn, kind, group, .. } = out {
                     let (at, more) = (
@@ -345,7 +345,7 @@
                 match state.pass_on(out, scenario) {
                     Some(Out::Listed { front, entry }) if entry.member < self.members => {
                         version += 1;
-                        let text = list(&self.town, version, false, &[entry], &self.at[front]);
+                        let text = list(&self.cluster, version, false, &[entry], &self.at[front]);
                         let at = state.world.now();
                         self.announce(at, front, &entry, text);
                     }
@@ -355,7 +355,7 @@
             for (at, note) in state.world.take_notes() {
                 self.record_note(at, note);
             }
-            self.town.asked.notify_all();
+            self.cluster.asked.notify_all();
             let open = (0..self.schedule.fronts).any(|front| state.world.open(front) > 0);
             drop(state);
             if now > lasts && !open || now > lasts + Duration::from_secs(5) {
@@ -368,9 +368,9 @@
         for front in 0..self.processes.len() {
             let cpu = self.processes[front].cpu_ms();
             if !self.processes[front].runs() {
-                self.history.note(self.town.now(), "crashed", json!({ "front": front }));
+                self.history.note(self.cluster.now(), "crashed", json!({ "front": front }));
             }
-            self.history.note(self.town.now(), "told to end", json!({ "front": front, "cpu_ms": cpu }));
+            self.history.note(self.cluster.now(), "told to end", json!({ "front": front, "cpu_ms": cpu }));
             self.processes[front].signal("-TERM");
         }
         let begun = Instant::now();
@@ -379,10 +379,10 @@
                 std::thread::sleep(POLL_INTERVAL);
             }
             if self.processes[front].runs() {
-                self.history.note(self.town.now(), "does not end", json!({ "front": front }));
+                self.history.note(self.cluster.now(), "does not end", json!({ "front": front }));
             }
         }
-        self.history.note(self.town.now(), "over", json!({ "longest": self.relay.longest() }));
+        self.history.note(self.cluster.now(), "over", json!({ "longest": self.relay.longest() }));
         Ok(())
     }
 
@@ -483,7 +483,7 @@
                 let reply =
                     answer(&self.processes[front].dir.join("control"), &asked, Duration::from_secs(2));
                 self.history.note(
-                    self.town.now(),
+                    self.cluster.now(),
                     "roll answered",
                     json!({ "front": front, "answer": reply }),
                 );
@@ -519,7 +519,7 @@
                     std::thread::sleep(Duration::from_secs_f64(m.lasts_s).saturating_sub(elapsed));
                     self.processes[front].kill();
                 } else if self.processes[front].runs() {
-                    self.history.note(self.town.now(), "does not end", json!({ "front": front }));
+                    self.history.note(self.cluster.now(), "does not end", json!({ "front": front }));
                     self.processes[front].kill();
                 }
                 self.start(front)?;
@@ -536,7 +536,7 @@
             Harm::MembersCut => self.set_partitioned(front, false),
             Harm::ListCut => {
                 for (member, state, text) in self.withheld[front].take().unwrap_or_default() {
-                    self.send_entry(self.town.now(), front, member, state, text);
+                    self.send_entry(self.cluster.now(), front, member, state, text);
                 }
             }
             Harm::Crowd => self.crowds[front] = None,
@@ -568,7 +568,7 @@
     }
 
     fn set_partitioned(&self, front: usize, partitioned: bool) {
-        let mut state = self.town.present();
+        let mut state = self.cluster.present();
         (0..self.members).for_each(|member| state.world.part(front, member, partitioned));
     }
 
@@ -596,10 +596,10 @@
 
     /// Completed upgrades: the new process serves from now on, and the old one exits by itself.
     fn upgrades(&mut self) {
-        let (history, town, processes) = (&self.history, &self.town, &mut self.processes);
+        let (history, cluster, processes) = (&self.history, &self.cluster, &mut self.processes);
         self.upgrades.retain(|(front, receiver)| match receiver.try_recv() {
             Ok(pid) => {
-                history.note(town.now(), "upgraded", json!({ "front": front, "pid": pid }));
+                history.note(cluster.now(), "upgraded", json!({ "front": front, "pid": pid }));
                 if let Some(pid) = pid {
                     processes[*front].pid = pid as u32;
                 }
@@ -612,13 +612,13 @@
 
     /// Once all fronts hold the writes of a group, its primary hands over.
     fn moves(&mut self) {
-        let (history, town) = (&self.history, &self.town);
+        let (history, cluster) = (&self.history, &self.cluster);
         self.moves.retain(|(front, group, receiver)| match receiver.try_recv() {
             Ok(answer) => {
                 let more = json!({ "front": front, "group": group, "answer": answer });
-                history.note(town.now(), "move answered", more);
+                history.note(cluster.now(), "move answered", more);
                 if answer.is_some_and(|answer| answer["ok"] == true) {
-                    town.present().world.hand_over(*group);
+                    cluster.present().world.hand_over(*group);
                 }
                 false
             }
