--- a/crates/lab/src/fleet/ledger.rs
+++ b/crates/lab/src/fleet/ledger.rs
@@ -1,4 +1,4 @@
-//! What clients saw goes into the history.
+//! Records the clients' observations in the history.
 
 use super::history::History;
 use crate::sockets::{Ask, Ledger};
@@ -6,7 +6,7 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// Writes down what clients saw.
+/// Writes the clients' observations.
 pub(super) struct Clients(pub History);
 
 impl Ledger for Clients {
@@ -28,11 +28,11 @@
         at: Duration,
         front: usize,
         txn: u32,
-        told: Told,
+        outcome: Told,
         code: Option<&str>,
         ended: bool,
     ) {
-        let told = match told {
+        let outcome = match outcome {
             Told::Committed => "committed",
             Told::Declined => "declined",
             Told::Unknown => "unknown",
@@ -41,7 +41,7 @@
         self.0.note(
             at,
             "answered",
-            json!({ "front": front, "txn": txn, "told": told, "code": code, "ended": ended }),
+            json!({ "front": front, "txn": txn, "told": outcome, "code": code, "ended": ended }),
         );
     }
 }
--- a/crates/lab/src/fleet/soak.rs
+++ b/crates/lab/src/fleet/soak.rs
@@ -1,7 +1,7 @@
-//! A soak: many processes, faults of all kinds that overlap in time, and the invariants as the oracle. Drawn from a seed;
-//! judged by the history alone.
+//! Soak test: many processes under faults of all kinds that overlap in time, drawn from a seed. The verdict comes
+//! from invariants checked on the history alone.
 
-use super::audit::{self, Found, Town, front, txn};
+use super::audit::{self, Finding, HistoryView, front, txn};
 use super::history::Line;
 use super::schedule::{Harm, Mishap, Schedule};
 use super::{Figures, figures};
@@ -10,20 +10,20 @@
 use std::fmt;
 use std::time::Duration;
 
-/// An attempt may still begin so long after its client has left, and is seen a moment later at a busy server.
+/// An attempt may still start this long after its client has left, and a busy server records it slightly later.
 const AFTER_LEAVING: Duration = Duration::from_millis(200);
-/// A process that was stopped, or held up, learns later that its client has left.
-const NOTICED: Duration = Duration::from_millis(500);
+/// The same for a process that was stopped or delayed, which detects the departure later.
+const DISTURBED_AFTER_LEAVING: Duration = Duration::from_millis(500);
 
-/// The operators' page (`PROTOCOL.md`, figures).
+/// From the figures of the operators' page (`PROTOCOL.md`).
 const MAX_DEADLINE_S: f64 = 3.0;
 const KILL_MARGIN_S: f64 = 0.7;
 
-/// Idle clients that come to a front in a second.
-const CROWD: f64 = 600.0;
+/// Idle clients that connect to a front per second.
+const CROWD_PER_SECOND: f64 = 600.0;
 
-/// What a soak draws from; each kind once before any comes again.
-const HARMS: [Harm; 16] = [
+/// The fault kinds of a soak; each is drawn once before any is repeated.
+const FAULT_KINDS: [Harm; 16] = [
     Harm::Crowd,
     Harm::FrontEnded,
     Harm::HeldUp,
@@ -43,9 +43,9 @@
 ];
 
 impl Schedule {
-    /// So many processes under load, with some three faults at any time for each ten of them.
+    /// A schedule for this many processes under load, with about three concurrent faults for every ten of them.
     pub fn soak(seed: u64, fronts: usize, lasts_s: f64) -> Schedule {
-        let mut chance = Stream::of(seed, "soak", 0);
+        let mut random = Stream::of(seed, "soak", 0);
         let mut schedule = Schedule {
             title: format!("A soak from seed {seed}"),
             fronts,
@@ -62,52 +62,52 @@
         let (mut at_s, mut left) = (1.5, Vec::new());
         while at_s < lasts_s {
             if left.is_empty() {
-                left = HARMS.to_vec();
+                left = FAULT_KINDS.to_vec();
             }
-            let what = left.swap_remove(chance.below(left.len()));
-            if let Some(mishap) = schedule.soaking(what, at_s, &mut chance) {
-                schedule.mishaps.extend(beside(&mishap, &mut chance));
-                schedule.mishaps.push(mishap);
+            let what = left.swap_remove(random.below(left.len()));
+            if let Some(fault) = schedule.draw_fault(what, at_s, &mut random) {
+                schedule.mishaps.extend(accompanying_fault(&fault, &mut random));
+                schedule.mishaps.push(fault);
             }
-            at_s += pace_s * (0.5 + chance.share());
+            at_s += pace_s * (0.5 + random.share());
         }
         schedule.lasts_s = schedule.healed_s() + 2.5;
         schedule
     }
 
-    /// From SIGTERM to the earliest SIGKILL that the operators' page allows: the longest deadline, 3 s at most, and
+    /// From SIGTERM to the earliest SIGKILL that the operators' page allows: the longest deadline, 3 s at most, plus
     /// [`KILL_MARGIN_S`].
     fn earliest_kill_s(&self) -> f64 {
         (self.expiry_ms as f64 / 1000.0).min(MAX_DEADLINE_S) + KILL_MARGIN_S
     }
 
-    /// One mishap of a kind, at some front that nothing of the kind meets; none where there is no such front.
-    fn soaking(&self, what: Harm, at_s: f64, chance: &mut Stream) -> Option<Mishap> {
+    /// Draws one fault of a kind for a front that has none of that kind; none if there is no such front.
+    fn draw_fault(&self, what: Harm, at_s: f64, random: &mut Stream) -> Option<Mishap> {
         let lasts_s = match what {
             Harm::FrontEnded => self.earliest_kill_s(),
             Harm::Upgraded => 2.0,
-            _ => 1.0 + 2.5 * chance.share(),
+            _ => 1.0 + 2.5 * random.share(),
         };
         let number = match what {
-            Harm::PrimaryKilled | Harm::PrimaryHung | Harm::PrimaryMoved => chance.below(self.groups),
-            Harm::MemberDrained => chance.below(self.groups * self.members),
+            Harm::PrimaryKilled | Harm::PrimaryHung | Harm::PrimaryMoved => random.below(self.groups),
+            Harm::MemberDrained => random.below(self.groups * self.members),
             _ => 0,
         };
         let share = match what {
-            // Held up long, and seldom: twice in a row is more than a front is owed.
-            Harm::HeldUp => Some(0.002 + 0.004 * chance.share()),
-            Harm::CallsFail | Harm::ShortCalls => Some(0.05 + 0.1 * chance.share()),
-            Harm::ConnectionsBreak => Some(0.005 + 0.02 * chance.share()),
+            // Long delays, but rarely: two in a row are more than a front has to tolerate.
+            Harm::HeldUp => Some(0.002 + 0.004 * random.share()),
+            Harm::CallsFail | Harm::ShortCalls => Some(0.05 + 0.1 * random.share()),
+            Harm::ConnectionsBreak => Some(0.005 + 0.02 * random.share()),
             Harm::DiskFails => Some(0.5),
             _ => None,
         };
         let by = match what {
             Harm::HeldUp => Some(150.0),
-            Harm::Crowd => Some(CROWD * (0.5 + chance.share())),
+            Harm::Crowd => Some(CROWD_PER_SECOND * (0.5 + random.share())),
             _ => None,
         };
-        let first = chance.below(self.fronts);
-        let process = |m: &Mishap| m.process();
+        let first = random.below(self.fronts);
+        let process = |m: &Mishap| m.targets_process();
         let mine = |m: &&Mishap| m.what == what || process(m) && is_of_process(what);
         let busy = |front: usize| {
             let its = self.mishaps.iter().filter(mine);
@@ -121,21 +121,21 @@
     }
 }
 
-/// What comes at the same front with some mishaps: a crowd at a slow process, where what comes in lies for a while, or at one
-/// that ends; a wall clock that is off when a process starts.
-fn beside(mishap: &Mishap, chance: &mut Stream) -> Option<Mishap> {
-    match mishap.what {
-        Harm::FrontSlow => Some(Mishap { what: Harm::Crowd, by: Some(CROWD), ..mishap.clone() }),
-        Harm::FrontEnded if chance.below(2) == 0 => {
-            Some(Mishap { what: Harm::Crowd, by: Some(CROWD), ..mishap.clone() })
+/// A second fault at the same front: idle clients at a slow process, where received data waits for a while, or at a
+/// terminating one; a wrong wall clock while a process starts.
+fn accompanying_fault(fault: &Mishap, random: &mut Stream) -> Option<Mishap> {
+    match fault.what {
+        Harm::FrontSlow => Some(Mishap { what: Harm::Crowd, by: Some(CROWD_PER_SECOND), ..fault.clone() }),
+        Harm::FrontEnded if random.below(2) == 0 => {
+            Some(Mishap { what: Harm::Crowd, by: Some(CROWD_PER_SECOND), ..fault.clone() })
         }
         Harm::FrontKilled | Harm::FrontEnded | Harm::Upgraded => Some(Mishap {
             what: Harm::ClockStepped,
             share: Some(1.0),
-            by: Some([20.0, 1000.0, 10_000.0, 3_600_000.0][chance.below(4)]),
-            number: chance.below(2),
-            lasts_s: mishap.lasts_s + 2.0,
-            ..mishap.clone()
+            by: Some([20.0, 1000.0, 10_000.0, 3_600_000.0][random.below(4)]),
+            number: random.below(2),
+            lasts_s: fault.lasts_s + 2.0,
+            ..fault.clone()
         }),
         _ => None,
     }
@@ -148,15 +148,15 @@
     )
 }
 
-/// What a soak has shown.
+/// The result of a soak.
 #[derive(Debug)]
 pub struct Findings {
     pub figures: Figures,
-    /// What broke an invariant.
-    pub broken: Vec<Found>,
-    /// Statements whose connections ended twice before any of it was sent on: their clients would ask once more.
+    /// Violations of the invariants.
+    pub broken: Vec<Finding>,
+    /// Statements that were never sent on and whose connections ended twice. A real client would retry once more.
     pub crossed: usize,
-    pub mishaps: BTreeMap<String, usize>,
+    pub faults: BTreeMap<String, usize>,
     pub cut_off: usize,
     pub left: usize,
 }
@@ -169,7 +169,7 @@
 
 impl fmt::Display for Findings {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let kinds: Vec<String> = self.mishaps.iter().map(|(what, times)| format!("{what} {times}")).collect();
+        let kinds: Vec<String> = self.faults.iter().map(|(what, times)| format!("{what} {times}")).collect();
         writeln!(f, "mishaps: {}", kinds.join(", "))?;
         writeln!(
             f,
@@ -184,74 +184,74 @@
     }
 }
 
-type Look = fn(&Town) -> Vec<(Duration, String)>;
+type Check = fn(&HistoryView) -> Vec<(Duration, String)>;
 
-const INVARIANTS: [(&str, Look); 5] = [
-    ("unanswered", unanswered),
-    ("sent on and cut off", sent_on_and_cut_off),
-    ("sent after its client left", sent_after_leaving),
-    ("counted by the front", counted),
+const INVARIANTS: [(&str, Check); 5] = [
+    ("unanswered", check_unanswered),
+    ("sent on and cut off", check_cut_off),
+    ("sent after its client left", check_sent_after_leaving),
+    ("counted by the front", check_front_counters),
     ("crashed", crashed),
 ];
 
-/// Looks at a soak's history.
+/// Checks the history of a soak.
 pub fn findings(lines: &[Line]) -> Findings {
-    let town = Town::of(lines);
-    let one = |auditor: &'static str, (at, what): (Duration, String)| Found {
+    let view = HistoryView::new(lines);
+    let one = |auditor: &'static str, (at, what): (Duration, String)| Finding {
         auditor,
         at_s: at.as_secs_f64(),
         what,
     };
     let broken = INVARIANTS
         .iter()
-        .flat_map(|&(name, look)| look(&town).into_iter().map(move |found| one(name, found)));
-    let mut broken: Vec<Found> = broken.collect();
+        .flat_map(|&(name, check)| check(&view).into_iter().map(move |found| one(name, found)));
+    let mut broken: Vec<Finding> = broken.collect();
     let figures = figures(lines);
-    // Judged here for clients that leave, and for connections that end.
+    // The checks above replace "answers", as clients leave and connections end during a soak.
     broken.extend(figures.found.iter().filter(|found| found.auditor != "answers").cloned());
-    let crossed = crossed(&town).len();
-    let mut mishaps = BTreeMap::new();
-    for line in town.each("mishap") {
-        *mishaps.entry(line.more["mishap"]["what"].as_str().unwrap_or_default().to_owned()).or_default() += 1;
+    let crossed = crossed(&view).len();
+    let mut faults = BTreeMap::new();
+    for line in view.lines_of("mishap") {
+        *faults.entry(line.more["mishap"]["what"].as_str().unwrap_or_default().to_owned()).or_default() += 1;
     }
-    let (cut_off, left) = (town.each("cut off").count(), town.each("left").count());
-    Findings { figures, broken, crossed, mishaps, cut_off, left }
+    let (cut_off, left) = (view.lines_of("cut off").count(), view.lines_of("left").count());
+    Findings { figures, broken, crossed, faults, cut_off, left }
 }
 
-/// When each front's process was killed.
-fn killed<'a>(town: &'a Town) -> impl Iterator<Item = (usize, Duration, Duration)> + 'a {
-    let kills = town.mishaps.iter().filter(|(mishap, ..)| mishap["what"] == "front_killed");
-    kills.filter_map(|(mishap, from, to)| Some((mishap["front"].as_u64()? as usize, *from, *to)))
+/// The intervals in which each front's process was killed.
+fn kills<'a>(view: &'a HistoryView) -> impl Iterator<Item = (usize, Duration, Duration)> + 'a {
+    let kills = view.faults.iter().filter(|(fault, ..)| fault["what"] == "front_killed");
+    kills.filter_map(|(fault, from, to)| Some((fault["front"].as_u64()? as usize, *from, *to)))
 }
 
-/// Statements that no front has sent on and whose connections ended twice.
-fn crossed(town: &Town) -> BTreeSet<u64> {
+/// Statements that no front sent on and whose connections ended twice.
+fn crossed(view: &HistoryView) -> BTreeSet<u64> {
     let mut ends: HashMap<u64, usize> = HashMap::new();
-    for line in town.each("cut off") {
+    for line in view.lines_of("cut off") {
         *ends.entry(txn(line)).or_default() += 1;
     }
-    let nothing = town.each("answered").filter(|line| line.text("told") == "nothing").map(txn);
-    let sent: BTreeSet<u64> = town.each("submitted").map(txn).collect();
+    let nothing = view.lines_of("answered").filter(|line| line.text("told") == "nothing").map(txn);
+    let sent: BTreeSet<u64> = view.lines_of("submitted").map(txn).collect();
     nothing.filter(|txn| ends.contains_key(txn) && !sent.contains(txn)).collect()
 }
 
-/// Rule 1: who has asked and stays is answered, once, unless its front's process was met by something meanwhile.
-fn unanswered(town: &Town) -> Vec<(Duration, String)> {
-    let left: BTreeSet<u64> = town.each("left").map(txn).collect();
-    let crossed = crossed(town);
+/// Rule 1: a client that stays gets exactly one answer, unless its front's process was disturbed in the meantime.
+fn check_unanswered(view: &HistoryView) -> Vec<(Duration, String)> {
+    let left: BTreeSet<u64> = view.lines_of("left").map(txn).collect();
+    let crossed = crossed(view);
     let expected = |line: &&Line| !left.contains(&txn(line)) && !crossed.contains(&txn(line));
     let lines: Vec<Line> =
-        town.lines.iter().filter(|line| line.what != "asked" || expected(line)).cloned().collect();
-    audit::answers(&Town::of(&lines))
+        view.lines.iter().filter(|line| line.what != "asked" || expected(line)).cloned().collect();
+    audit::check_answers(&HistoryView::new(&lines))
 }
 
-/// Rule 1: a front that has sent a request to a server does not end the connection that it came on without an answer,
+/// Rule 1: a front that has sent a request to a server does not close the client's connection without an answer,
 /// unless its process was killed.
-fn sent_on_and_cut_off(town: &Town) -> Vec<(Duration, String)> {
+fn check_cut_off(view: &HistoryView) -> Vec<(Duration, String)> {
     let mut asked: HashMap<(usize, u64), Duration> = HashMap::new();
     let mut sent: HashMap<(usize, u64), Duration> = HashMap::new();
     let mut found = Vec::new();
-    for line in town.lines {
+    for line in view.lines {
         let key = (front(line), txn(line));
         match line.what.as_str() {
             "asked" => {
@@ -263,7 +263,7 @@
             "cut off" => {
                 let from = asked.get(&key).copied().unwrap_or_default();
                 let sent = sent.get(&key).filter(|&&at| at >= from);
-                let dead = killed(town).any(|(dead, at, to)| dead == key.0 && at <= line.at && from <= to);
+                let dead = kills(view).any(|(dead, at, to)| dead == key.0 && at <= line.at && from <= to);
                 if sent.is_some() && !dead {
                     let what = format!("front {} sent txn {} on and ended its connection", key.0, key.1);
                     found.push((line.at, what));
@@ -275,11 +275,11 @@
     found
 }
 
-/// Rule 1: nothing new is sent for a client that has gone.
-fn sent_after_leaving(town: &Town) -> Vec<(Duration, String)> {
+/// Rule 1: no new attempt is sent for a client that has left.
+fn check_sent_after_leaving(view: &HistoryView) -> Vec<(Duration, String)> {
     let mut left: HashMap<(usize, u64), Duration> = HashMap::new();
     let mut found = Vec::new();
-    for line in town.lines {
+    for line in view.lines {
         let key = (front(line), txn(line));
         match line.what.as_str() {
             "left" => {
@@ -287,7 +287,8 @@
             }
             "submitted" => {
                 let Some(&at) = left.get(&key) else { continue };
-                let allowed = if town.excused(key.0, at, line.at) { NOTICED } else { AFTER_LEAVING };
+                let allowed =
+                    if view.excused(key.0, at, line.at) { DISTURBED_AFTER_LEAVING } else { AFTER_LEAVING };
                 if line.at > at + allowed {
                     let late = (line.at - at).as_millis();
                     let what = format!("front {} sends txn {} {late} ms after its client left", key.0, key.1);
@@ -300,23 +301,23 @@
     found
 }
 
-/// What a front says of its own invariants at its end.
-fn counted(town: &Town) -> Vec<(Duration, String)> {
+/// The invariant violations and panics that a front counted and printed at exit.
+fn check_front_counters(view: &HistoryView) -> Vec<(Duration, String)> {
     let mut found = Vec::new();
-    for line in town.each("said").filter(|line| line.text("text").starts_with("counters: ")) {
-        let told: Vec<&str> = line.text("text").split_whitespace().collect();
-        let clean = told.contains(&"violations=0") && told.contains(&"panics=0");
+    for line in view.lines_of("said").filter(|line| line.text("text").starts_with("counters: ")) {
+        let words: Vec<&str> = line.text("text").split_whitespace().collect();
+        let clean = words.contains(&"violations=0") && words.contains(&"panics=0");
         if !clean {
-            let bad = told.iter().skip_while(|word| !word.starts_with("violations=")).copied();
+            let bad = words.iter().skip_while(|word| !word.starts_with("violations=")).copied();
             let bad: Vec<&str> =
-                bad.chain(told.iter().filter(|word| word.starts_with("panics=")).copied()).collect();
+                bad.chain(words.iter().filter(|word| word.starts_with("panics=")).copied()).collect();
             found.push((line.at, format!("front {}: {}", front(line), bad.join(" "))));
         }
     }
     found
 }
 
-fn crashed(town: &Town) -> Vec<(Duration, String)> {
-    let gone = town.each("crashed").chain(town.each("does not end"));
+fn crashed(view: &HistoryView) -> Vec<(Duration, String)> {
+    let gone = view.lines_of("crashed").chain(view.lines_of("does not end"));
     gone.map(|line| (line.at, format!("front {}: {}", front(line), line.what))).collect()
 }
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -1,5 +1,5 @@
-//! What a front under test speaks to: an agent that tells the server list, and servers that share a few listeners. They
-//! speak the real wire formats and keep no data.
+//! The environment of a front under test: a discovery agent, and servers that share a few listeners. They use the
+//! real wire formats and store no data.
 
 use juniperdock_test_support::wire::{Said, Store, parameter, ready, row, serve};
 use juniperdock_test_support::{address, unix_ms};
@@ -11,30 +11,30 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Servers of one group: a primary and two replicas.
+/// Servers in one group: a primary and two replicas.
 pub const GROUP: usize = 3;
-/// An agent shows that it lives this often.
+/// The interval of the agent's heartbeats.
 const HEARTBEAT: Duration = Duration::from_secs(2);
-/// How often an agent looks for something new to tell.
-const TICK: Duration = Duration::from_millis(2);
+/// The interval at which the agent checks for changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// What all servers do with a connection.
+/// How all servers treat a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, clap::ValueEnum)]
 #[serde(rename_all = "lowercase")]
 pub enum Behaviour {
-    /// They welcome, report and serve.
+    /// They accept, report and serve.
     Answer,
-    /// Nobody listens.
+    /// They refuse connections.
     Refuse,
-    /// They accept and say nothing.
+    /// They accept connections and send nothing.
     Silent,
 }
 
-struct Answering {
+struct AnsweringServer {
     primary: bool,
 }
 
-impl Store for Answering {
+impl Store for AnsweringServer {
     fn welcome(&self, _: &TcpStream) -> bool {
         true
     }
@@ -45,12 +45,12 @@
             let report = format!("x0={position:.3},x1={role},q=0,busy=0.1");
             return Said::Answer([row(report.as_bytes()), ready()].concat());
         }
-        let told = parameter("node_role", if self.primary { "leader" } else { "follower" });
-        Said::Answer([row(b"hollow"), told, ready()].concat())
+        let role = parameter("node_role", if self.primary { "leader" } else { "follower" });
+        Said::Answer([row(b"hollow"), role, ready()].concat())
     }
 }
 
-/// Where servers are reached; all primaries share an address, and all replicas.
+/// The addresses of the servers; all primaries share one, and all replicas another.
 pub struct Servers {
     primary: SocketAddr,
     replica: SocketAddr,
@@ -61,7 +61,7 @@
         Ok(Servers { primary: listen(behaviour, true)?, replica: listen(behaviour, false)? })
     }
 
-    /// Where the server with this number is.
+    /// The address of the server with this number.
     pub fn at(&self, number: usize) -> SocketAddr {
         if number.is_multiple_of(GROUP) { self.primary } else { self.replica }
     }
@@ -78,17 +78,17 @@
         for stream in listener.incoming().flatten() {
             if behaviour == Behaviour::Silent {
                 silent.push(stream);
-                // The oldest have been given up by now.
+                // The front has given up the oldest connections by now.
                 silent.drain(..silent.len().saturating_sub(4096));
             } else {
-                std::thread::spawn(move || serve(stream, &Answering { primary }));
+                std::thread::spawn(move || serve(stream, &AnsweringServer { primary }));
             }
         }
     });
     Ok(at)
 }
 
-/// One entry of a list, in the form in which the agent tells it.
+/// One entry of the server list in the agent's format.
 pub fn entry(number: usize, at: SocketAddr, state: &str) -> String {
     let group = number / GROUP;
     format!(
@@ -96,7 +96,7 @@
     )
 }
 
-/// A list, whole or of what changed.
+/// A server list, either full or only the changes.
 pub fn list(version: u64, full: bool, entries: impl Iterator<Item = String>) -> String {
     let mut text = format!(r#"{{"version":{version},"full":{full},"servers":["#);
     for (i, entry) in entries.enumerate() {
@@ -106,11 +106,11 @@
     text + "]}"
 }
 
-/// Tells each watch what has changed since the version that it names.
+/// A discovery agent that sends each watch the changes since the version that it names.
 pub struct Agent {
     pub at: SocketAddr,
     changes: Arc<Mutex<Vec<(u64, String)>>>,
-    /// Bytes told to all watches.
+    /// Bytes sent to all watches.
     pub bytes: Arc<AtomicU64>,
 }
 
@@ -122,7 +122,7 @@
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (changes, bytes) = (changes.clone(), bytes.clone());
-                std::thread::spawn(move || tell(stream, &changes, &bytes));
+                std::thread::spawn(move || serve_watch(stream, &changes, &bytes));
             }
         });
         Ok(agent)
@@ -134,28 +134,28 @@
 }
 
 /// Serves one watch until its connection ends.
-fn tell(mut stream: TcpStream, changes: &Mutex<Vec<(u64, String)>>, bytes: &AtomicU64) -> Option<()> {
+fn serve_watch(mut stream: TcpStream, changes: &Mutex<Vec<(u64, String)>>, bytes: &AtomicU64) -> Option<()> {
     let mut request = String::new();
     BufReader::new(&stream).read_line(&mut request).ok()?;
     let after = request.split_once("after=")?.1.split([' ', '&']).next()?;
     let mut after: u64 = after.parse().ok()?;
     stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
-    let mut said = Instant::now();
+    let mut last_write = Instant::now();
     loop {
-        let news: Vec<(u64, String)> = {
+        let updates: Vec<(u64, String)> = {
             let changes = changes.lock().unwrap_or_else(PoisonError::into_inner);
             let from = changes.partition_point(|(version, _)| *version <= after);
             changes[from..].to_vec()
         };
-        let lines = news.iter().map(|(_, list)| list.as_str());
-        let heartbeat = said.elapsed() >= HEARTBEAT;
+        let lines = updates.iter().map(|(_, list)| list.as_str());
+        let heartbeat = last_write.elapsed() >= HEARTBEAT;
         for line in lines.chain(heartbeat.then_some("")) {
             let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
             stream.write_all(chunk.as_bytes()).ok()?;
             bytes.fetch_add(chunk.len() as u64, Ordering::Relaxed);
-            said = Instant::now();
+            last_write = Instant::now();
         }
-        after = news.last().map_or(after, |(version, _)| *version);
-        std::thread::sleep(TICK);
+        after = updates.last().map_or(after, |(version, _)| *version);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
