--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -249,7 +249,7 @@
             fleet["since_ms"],
             fleet["view"]
         ),
-        format!("{:>6}  {:<8} {:>11}  {:>12}  reports", "front", "state", "incarnation", "seen ms ago"),
+        format!("{:>6}  {:<8} {:>11}  {:>12}  says", "front", "state", "incarnation", "heard ms ago"),
     ];
     for front in fleet["fronts"].as_array().into_iter().flatten() {
         let seen = front["heard_ms_ago"].as_u64().map_or_else(|| "-".to_owned(), |ms| ms.to_string());
@@ -258,7 +258,7 @@
         lines.push(format!("{index:>6}  {state:<8} {incarnation:>11}  {seen:>12}  {reported}"));
     }
     let (received, sent, refused) = (&fleet["datagrams_in"], &fleet["datagrams_out"], &fleet["refused"]);
-    lines.push(format!("datagrams: {received} received, {sent} sent, refused: {refused}"));
+    lines.push(format!("{received} datagrams came, {sent} went, refused: {refused}"));
     lines.join("\n")
 }
 
@@ -275,13 +275,13 @@
         let (effects, refused) = (number(&duty["effects"]), number(&duty["refused_stale"]));
         lines.push(format!("{name:<12} {term:>16} {owner:>6} {until:>9} {effects:>8} {refused:>8}"));
         if let Some(r) = duty["roll"].as_object() {
-            lines.push(format!(
-                "  rolling upgrade: done {}, in progress {}, result {}",
-                r["back"], r["under"], r["end"]
-            ));
+            lines.push(format!("  roll: through {}, under way {}, end {}", r["back"], r["under"], r["end"]));
         }
         if let Some(m) = duty["move"].as_object() {
-            lines.push(format!("  outcome {}, by front: {}, left: {}", m["outcome"], m["fronts"], m["gone"]));
+            lines.push(format!(
+                "  outcome {}, front by front: {}, gone: {}",
+                m["outcome"], m["fronts"], m["gone"]
+            ));
         }
     }
     lines.join("\n")
