--- a/crates/fault-controls/src/lib.rs
+++ b/crates/fault-controls/src/lib.rs
@@ -17,8 +17,8 @@
 /// Where it lies in neither place: the workspace has to be built.
 pub fn preload(file: &Path) -> Result<[(&'static str, PathBuf); 2], String> {
     let own = std::env::current_exe().map_err(|e| e.to_string())?;
-    let near = own.ancestors().skip(1).take(2).map(|dir| dir.join(LIBRARY));
-    let found = near.into_iter().find(|path| path.exists());
+    let candidates = own.ancestors().skip(1).take(2).map(|dir| dir.join(LIBRARY));
+    let found = candidates.into_iter().find(|path| path.exists());
     let library =
         found.ok_or_else(|| format!("{LIBRARY} is not beside {}: build the workspace", own.display()))?;
     Ok([("LD_PRELOAD", library), (VARIABLE, file.to_owned())])
--- a/crates/fault-shim/src/calls.rs
+++ b/crates/fault-shim/src/calls.rs
@@ -18,9 +18,9 @@
     }
 
     fn address(&self) -> usize {
-        let known = self.0.load(Ordering::Relaxed);
-        if known != 0 {
-            return known;
+        let cached = self.0.load(Ordering::Relaxed);
+        if cached != 0 {
+            return cached;
         }
         // SAFETY: the name is a C string; the result is only used with the type of that call.
         let found = unsafe { libc::dlsym(libc::RTLD_NEXT, self.1.as_ptr()) } as usize;
@@ -30,9 +30,9 @@
 }
 
 /// The mapped control file; address 0 without one.
-fn mapped() -> usize {
-    static AT: OnceLock<usize> = OnceLock::new();
-    *AT.get_or_init(|| {
+fn mapping() -> usize {
+    static ADDRESS: OnceLock<usize> = OnceLock::new();
+    *ADDRESS.get_or_init(|| {
         let mut name = VARIABLE.as_bytes().to_vec();
         name.push(0);
         // SAFETY: plain calls with valid C strings; the mapping is never undone.
@@ -54,7 +54,7 @@
 }
 
 fn controls() -> Controls {
-    match mapped() {
+    match mapping() {
         0 => Controls::default(),
         // SAFETY: mapped for good, of that size; another process writes it, hence volatile.
         at => unsafe { read_volatile(at as *const Controls) },
@@ -95,21 +95,21 @@
 }
 
 /// Stands still for a while, if it is this call's turn.
-fn hold_up(controls: &Controls) {
+fn delay(controls: &Controls) {
     if drawn(controls.held_up) {
         let nanos = random() % (u64::from(controls.held_up_us).max(1) * 1000);
-        let span =
+        let duration =
             timespec { tv_sec: (nanos / 1_000_000_000) as i64, tv_nsec: (nanos % 1_000_000_000) as i64 };
         // SAFETY: a valid span, and nothing is asked back.
-        unsafe { libc::syscall(libc::SYS_nanosleep, &raw const span, null::<timespec>()) };
+        unsafe { libc::syscall(libc::SYS_nanosleep, &raw const duration, null::<timespec>()) };
     }
 }
 
 /// Descriptors below this number that were connected here, a bit each.
-static OPENED: [AtomicU64; 64] = [const { AtomicU64::new(0) }; 64];
+static CONNECTED: [AtomicU64; 64] = [const { AtomicU64::new(0) }; 64];
 
-fn opened(fd: c_int, set: Option<bool>) -> bool {
-    let Some(word) = usize::try_from(fd).ok().and_then(|fd| OPENED.get(fd / 64)) else { return false };
+fn connected_here(fd: c_int, set: Option<bool>) -> bool {
+    let Some(word) = usize::try_from(fd).ok().and_then(|fd| CONNECTED.get(fd / 64)) else { return false };
     let bit = 1u64 << (fd % 64);
     match set {
         Some(true) => word.fetch_or(bit, Ordering::Relaxed) & bit != 0,
@@ -119,16 +119,16 @@
 }
 
 /// What a read or write of a socket meets: an error, or how many bytes it may move.
-fn meets(fd: c_int, length: size_t, short_of: c_int) -> Result<size_t, c_int> {
+fn inject(fd: c_int, length: size_t, exhausted: c_int) -> Result<size_t, c_int> {
     let controls = controls();
-    hold_up(&controls);
+    delay(&controls);
     if drawn(controls.fails) {
-        return Err(short_of);
+        return Err(exhausted);
     }
     if drawn(controls.interrupted) {
         return Err(libc::EINTR);
     }
-    if opened(fd, None) && drawn(controls.breaks) {
+    if connected_here(fd, None) && drawn(controls.breaks) {
         // SAFETY: whoever owns the descriptor is told that the connection is over.
         unsafe { libc::syscall(libc::SYS_shutdown, fd, libc::SHUT_RDWR) };
         return Err(one_of(&[libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET]));
@@ -144,15 +144,15 @@
     }
 }
 
-static CLOCK: Next = Next::of(c"clock_gettime");
-static ACCEPT: Next = Next::of(c"accept4");
+static CLOCK_GETTIME: Next = Next::of(c"clock_gettime");
+static ACCEPT4: Next = Next::of(c"accept4");
 static SOCKET: Next = Next::of(c"socket");
 static CONNECT: Next = Next::of(c"connect");
 static RECV: Next = Next::of(c"recv");
 static SEND: Next = Next::of(c"send");
 static WRITE: Next = Next::of(c"write");
 static FSYNC: Next = Next::of(c"fsync");
-static WAIT: Next = Next::of(c"epoll_wait");
+static EPOLL_WAIT: Next = Next::of(c"epoll_wait");
 static CLOSE: Next = Next::of(c"close");
 
 /// # Safety
@@ -161,12 +161,12 @@
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, at: *mut timespec) -> c_int {
     // SAFETY: the address is that of this call; the caller's pointers are passed on.
     unsafe {
-        let next: extern "C" fn(clockid_t, *mut timespec) -> c_int = transmute(CLOCK.address());
+        let next: extern "C" fn(clockid_t, *mut timespec) -> c_int = transmute(CLOCK_GETTIME.address());
         let done = next(clock, at);
         if done == 0 && clock == libc::CLOCK_REALTIME {
-            let off = controls().wall_clock_ms;
-            let nanos = (*at).tv_nsec + off.rem_euclid(1000) * 1_000_000;
-            (*at).tv_sec += off.div_euclid(1000) + nanos / 1_000_000_000;
+            let offset_ms = controls().wall_clock_ms;
+            let nanos = (*at).tv_nsec + offset_ms.rem_euclid(1000) * 1_000_000;
+            (*at).tv_sec += offset_ms.div_euclid(1000) + nanos / 1_000_000_000;
             (*at).tv_nsec = nanos % 1_000_000_000;
         }
         done
@@ -183,16 +183,16 @@
     flags: c_int,
 ) -> c_int {
     let controls = controls();
-    hold_up(&controls);
+    delay(&controls);
     if drawn(controls.fails) {
         return fail(one_of(&[libc::ECONNABORTED, libc::ENFILE, libc::ENOBUFS, libc::EINTR]));
     }
     // SAFETY: as above.
     unsafe {
         let next: extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int =
-            transmute(ACCEPT.address());
+            transmute(ACCEPT4.address());
         let accepted = next(fd, at, length, flags);
-        opened(accepted, Some(false));
+        connected_here(accepted, Some(false));
         accepted
     }
 }
@@ -216,13 +216,13 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn connect(fd: c_int, to: *const sockaddr, length: socklen_t) -> c_int {
     let controls = controls();
-    hold_up(&controls);
+    delay(&controls);
     // SAFETY: the caller's address is a valid one.
-    let remote = unsafe { c_int::from((*to).sa_family) == libc::AF_INET };
-    if remote && drawn(controls.fails) {
+    let is_inet = unsafe { c_int::from((*to).sa_family) == libc::AF_INET };
+    if is_inet && drawn(controls.fails) {
         return fail(one_of(&[libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::EHOSTUNREACH]));
     }
-    opened(fd, Some(remote));
+    connected_here(fd, Some(is_inet));
     // SAFETY: as above.
     unsafe {
         let next: extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int = transmute(CONNECT.address());
@@ -234,8 +234,8 @@
 /// As `recv(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn recv(fd: c_int, buffer: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
-    let peeks = flags & libc::MSG_PEEK != 0;
-    match if peeks { Ok(length) } else { meets(fd, length, libc::ENOMEM) } {
+    let is_peek = flags & libc::MSG_PEEK != 0;
+    match if is_peek { Ok(length) } else { inject(fd, length, libc::ENOMEM) } {
         Err(errno) => fail(errno) as ssize_t,
         // SAFETY: as above, with no more room than the caller has.
         Ok(length) => unsafe {
@@ -249,7 +249,7 @@
 /// As `send(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn send(fd: c_int, bytes: *const c_void, length: size_t, flags: c_int) -> ssize_t {
-    match meets(fd, length, libc::ENOBUFS) {
+    match inject(fd, length, libc::ENOBUFS) {
         Err(errno) => fail(errno) as ssize_t,
         // SAFETY: as above, with no more bytes than the caller has.
         Ok(length) => unsafe {
@@ -300,7 +300,7 @@
 pub unsafe extern "C" fn epoll_wait(
     fd: c_int,
     events: *mut epoll_event,
-    room: c_int,
+    max_events: c_int,
     timeout: c_int,
 ) -> c_int {
     let controls = controls();
@@ -309,10 +309,11 @@
     }
     // SAFETY: as above.
     let found = unsafe {
-        let next: extern "C" fn(c_int, *mut epoll_event, c_int, c_int) -> c_int = transmute(WAIT.address());
-        next(fd, events, room, timeout)
+        let next: extern "C" fn(c_int, *mut epoll_event, c_int, c_int) -> c_int =
+            transmute(EPOLL_WAIT.address());
+        next(fd, events, max_events, timeout)
     };
-    hold_up(&controls);
+    delay(&controls);
     found
 }
 
@@ -320,7 +321,7 @@
 /// As `close(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn close(fd: c_int) -> c_int {
-    opened(fd, Some(false));
+    connected_here(fd, Some(false));
     // SAFETY: as above.
     unsafe {
         let next: extern "C" fn(c_int) -> c_int = transmute(CLOSE.address());
--- a/crates/test-support/src/agent.rs
+++ b/crates/test-support/src/agent.rs
@@ -20,24 +20,24 @@
         let listener = TcpListener::bind(address()).expect("a free address");
         let at = listener.local_addr().expect("an address");
         let lists = Lists::default();
-        let (tell, asked) = channel();
+        let (requests, asked) = channel();
         let shared = lists.clone();
         std::thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
-                if shared.are_over() {
+                if shared.have_ended() {
                     break;
                 }
                 let mut line = String::new();
                 let _ = BufReader::new(&stream).read_line(&mut line);
-                let _ = tell.send(line);
+                let _ = requests.send(line);
                 let lists = shared.clone();
                 std::thread::spawn(move || {
                     if stream.write_all(head.as_bytes()).is_err() {
                         return;
                     }
-                    let mut told = 0;
-                    while let Some(line) = lists.wait_for(told) {
-                        told += 1;
+                    let mut sent = 0;
+                    while let Some(line) = lists.wait_for(sent) {
+                        sent += 1;
                         // In two chunks, so that a line is split.
                         let (one, two) = line.split_at(line.len() / 2);
                         let chunks =
@@ -70,17 +70,17 @@
 }
 
 #[derive(Default)]
-struct Told {
+struct Published {
     lines: Vec<String>,
-    is_over: bool,
+    has_ended: bool,
 }
 
 /// What an agent passes on; clones are the same one.
 #[derive(Clone, Default)]
-pub struct Lists(Arc<(Mutex<Told>, Condvar)>);
+pub struct Lists(Arc<(Mutex<Published>, Condvar)>);
 
 impl Lists {
-    fn lock(&self) -> MutexGuard<'_, Told> {
+    fn lock(&self) -> MutexGuard<'_, Published> {
         self.0.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -90,19 +90,19 @@
     }
 
     fn end(&self) {
-        self.lock().is_over = true;
+        self.lock().has_ended = true;
         self.0.1.notify_all();
     }
 
-    fn are_over(&self) -> bool {
-        self.lock().is_over
+    fn have_ended(&self) -> bool {
+        self.lock().has_ended
     }
 
     /// The line of a number, as soon as there is one; none once all is over.
     fn wait_for(&self, number: usize) -> Option<String> {
-        let waits = |told: &mut Told| !told.is_over && told.lines.len() <= number;
-        let told = self.0.1.wait_while(self.lock(), waits).unwrap_or_else(PoisonError::into_inner);
-        told.lines.get(number).filter(|_| !told.is_over).cloned()
+        let waits = |published: &mut Published| !published.has_ended && published.lines.len() <= number;
+        let published = self.0.1.wait_while(self.lock(), waits).unwrap_or_else(PoisonError::into_inner);
+        published.lines.get(number).filter(|_| !published.has_ended).cloned()
     }
 }
 
--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -27,17 +27,17 @@
     }
 
     /// The same, with so much patience for each thing that has to come.
-    pub fn open_within(at: SocketAddr, patience: Duration) -> Option<Client> {
-        let mut client = Client { stream: TcpStream::connect_timeout(&at, patience).ok()? };
+    pub fn open_within(at: SocketAddr, timeout: Duration) -> Option<Client> {
+        let mut client = Client { stream: TcpStream::connect_timeout(&at, timeout).ok()? };
         client.stream.set_nodelay(true).ok()?;
-        client.stream.set_read_timeout(Some(patience)).ok()?;
+        client.stream.set_read_timeout(Some(timeout)).ok()?;
         let names = b"user\0api\0database\0ledger\0\0";
-        let mut start = ((names.len() + 8) as u32).to_be_bytes().to_vec();
-        start.extend([0, 3, 0, 0]);
-        start.extend(names);
+        let mut startup = ((names.len() + 8) as u32).to_be_bytes().to_vec();
+        startup.extend([0, 3, 0, 0]);
+        startup.extend(names);
         // The first query comes straight behind.
-        start.extend(message(b'Q', b"\0"));
-        client.stream.write_all(&start).ok()?;
+        startup.extend(message(b'Q', b"\0"));
+        client.stream.write_all(&startup).ok()?;
         (client.reply().last == b'Z' && client.reply().last == b'Z').then_some(client)
     }
 
@@ -82,7 +82,7 @@
 
 /// As `txn`, of a group and with a mark.
 pub fn txn_of(kind: &str, ms: u32, id: &str, mark: &str, cell: u64) -> String {
-    let rest = if kind == "lookup" {
+    let query = if kind == "lookup" {
         "SELECT blob FROM rows WHERE handle = '7f3a'"
     } else {
         "INSERT INTO rows (handle, blob) VALUES ('7f3a', '\\x9f03') RETURNING blob"
--- a/crates/test-support/src/member.rs
+++ b/crates/test-support/src/member.rs
@@ -21,7 +21,7 @@
     Says(Vec<u8>),
 }
 
-struct Act {
+struct Script {
     primary: bool,
     /// Where its log stands, in seconds since 1970; else it is up to date.
     position: Option<f64>,
@@ -38,21 +38,21 @@
     pub at: SocketAddr,
     /// Statements that it was sent.
     pub seen: Receiver<String>,
-    act: Arc<Mutex<Act>>,
+    script: Arc<Mutex<Script>>,
 }
 
-struct Acting {
-    act: Arc<Mutex<Act>>,
-    tell: Mutex<Sender<String>>,
+struct ScriptedStore {
+    script: Arc<Mutex<Script>>,
+    seen: Mutex<Sender<String>>,
 }
 
-impl Store for Acting {
+impl Store for ScriptedStore {
     fn welcome(&self, stream: &TcpStream) -> bool {
-        let act = || self.act.lock().expect("no panic there");
+        let script = || self.script.lock().expect("no panic there");
         if let Ok(stream) = stream.try_clone() {
-            act().open.push(stream);
+            script().open.push(stream);
         }
-        while !act().welcomes {
+        while !script().welcomes {
             std::thread::sleep(Duration::from_millis(5));
         }
         true
@@ -60,28 +60,28 @@
 
     fn statement(&self, text: &str) -> Said {
         let (primary, position) = {
-            let act = self.act.lock().expect("no panic there");
-            (act.primary, act.position.unwrap_or(now()))
+            let script = self.script.lock().expect("no panic there");
+            (script.primary, script.position.unwrap_or(now()))
         };
         if text == "SHOW server_load" {
             let report = format!("x0={position:.3},x1={},q=0,busy=0.1", u8::from(primary));
             return Said::Answer([row(report.as_bytes()), ready()].concat());
         }
-        let _ = self.tell.lock().expect("no panic there").send(text.to_owned());
+        let _ = self.seen.lock().expect("no panic there").send(text.to_owned());
         let does = {
-            let mut act = self.act.lock().expect("no panic there");
-            let next = act.next.pop_front();
-            next.unwrap_or_else(|| act.does.clone())
+            let mut script = self.script.lock().expect("no panic there");
+            let next = script.next.pop_front();
+            next.unwrap_or_else(|| script.does.clone())
         };
-        let told = parameter("node_role", if primary { "leader" } else { "follower" });
+        let role = parameter("node_role", if primary { "leader" } else { "follower" });
         let answer = match does {
             _ if !primary && text.contains("INSERT") => error("25006"),
             Does::Serves => row(text.as_bytes()),
             Does::Fails(code) => error(code),
             Does::Hangs => {
-                let ends = || self.act.lock().expect("no panic there").hangs_ended;
-                let before = ends();
-                while ends() == before {
+                let hangs_ended = || self.script.lock().expect("no panic there").hangs_ended;
+                let before = hangs_ended();
+                while hangs_ended() == before {
                     std::thread::sleep(Duration::from_millis(5));
                 }
                 return Said::End(Vec::new());
@@ -89,7 +89,7 @@
             Does::Breaks(bytes) => return Said::End(bytes),
             Does::Says(bytes) => bytes,
         };
-        Said::Answer([answer, told, ready()].concat())
+        Said::Answer([answer, role, ready()].concat())
     }
 }
 
@@ -103,7 +103,7 @@
         let listener = TcpListener::bind(address()).expect("a free address");
         let at = listener.local_addr().expect("an address");
         let (does, next, open) = (Does::Serves, VecDeque::new(), Vec::new());
-        let act = Arc::new(Mutex::new(Act {
+        let script = Arc::new(Mutex::new(Script {
             primary,
             position: None,
             welcomes: true,
@@ -112,57 +112,57 @@
             open,
             hangs_ended: 0,
         }));
-        let (tell, seen) = channel();
-        let acting = Arc::new(Acting { act: act.clone(), tell: Mutex::new(tell) });
+        let (seen_sender, seen) = channel();
+        let store = Arc::new(ScriptedStore { script: script.clone(), seen: Mutex::new(seen_sender) });
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let acting = acting.clone();
-                std::thread::spawn(move || serve(stream, acting.as_ref()));
+                let store = store.clone();
+                std::thread::spawn(move || serve(stream, store.as_ref()));
             }
         });
-        Member { at, seen, act }
+        Member { at, seen, script }
     }
 
     pub fn set(&self, does: Does) {
-        self.act.lock().expect("no panic there").does = does;
+        self.script.lock().expect("no panic there").does = does;
     }
 
     /// For the next txn only.
     pub fn once(&self, does: Does) {
-        self.act.lock().expect("no panic there").next.push_back(does);
+        self.script.lock().expect("no panic there").next.push_back(does);
     }
 
     pub fn be_primary(&self, primary: bool) {
-        self.act.lock().expect("no panic there").primary = primary;
+        self.script.lock().expect("no panic there").primary = primary;
     }
 
     /// From now on its log does not move.
     pub fn stand_still(&self) {
-        self.act.lock().expect("no panic there").position = Some(now());
+        self.script.lock().expect("no panic there").position = Some(now());
     }
 
     /// From now on its log does not move, and its clock was so far ahead.
     pub fn stand_at(&self, ahead: Duration) {
-        self.act.lock().expect("no panic there").position = Some(now() + ahead.as_secs_f64());
+        self.script.lock().expect("no panic there").position = Some(now() + ahead.as_secs_f64());
     }
 
     pub fn welcome(&self, welcomes: bool) {
-        self.act.lock().expect("no panic there").welcomes = welcomes;
+        self.script.lock().expect("no panic there").welcomes = welcomes;
     }
 
     /// How many there were since the last cut.
     pub fn connections(&self) -> usize {
-        self.act.lock().expect("no panic there").open.len()
+        self.script.lock().expect("no panic there").open.len()
     }
 
     /// Ends the connections of all statements that hang, and no others.
     pub fn end_hanging(&self) {
-        self.act.lock().expect("no panic there").hangs_ended += 1;
+        self.script.lock().expect("no panic there").hangs_ended += 1;
     }
 
     /// Ends all its connections.
     pub fn cut(&self) {
-        for stream in self.act.lock().expect("no panic there").open.drain(..) {
+        for stream in self.script.lock().expect("no panic there").open.drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
--- a/crates/test-support/src/wire.rs
+++ b/crates/test-support/src/wire.rs
@@ -27,8 +27,8 @@
     let mut data = vec![0, 1];
     data.extend((value.len() as u32).to_be_bytes());
     data.extend(value);
-    let described = b"\0\x01blob\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01";
-    [message(b'T', described), message(b'D', &data), message(b'C', b"SELECT 1\0")].concat()
+    let description = b"\0\x01blob\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01";
+    [message(b'T', description), message(b'D', &data), message(b'C', b"SELECT 1\0")].concat()
 }
 
 pub fn error(code: &str) -> Vec<u8> {
--- a/crates/test-support/tests/agent.rs
+++ b/crates/test-support/tests/agent.rs
@@ -14,9 +14,9 @@
     agent.asked.recv_timeout(PATIENCE).expect("a watch");
     let at = agent.at;
     drop(agent);
-    let mut told = Vec::new();
-    watch.read_to_end(&mut told).expect("the watch ends");
-    assert!(told.starts_with(WATCH.as_bytes()));
+    let mut received = Vec::new();
+    watch.read_to_end(&mut received).expect("the watch ends");
+    assert!(received.starts_with(WATCH.as_bytes()));
     let refused = (0..100).any(|_| {
         std::thread::sleep(std::time::Duration::from_millis(20));
         TcpStream::connect(at).is_err()
