--- a/crates/fault-shim/src/calls.rs
+++ b/crates/fault-shim/src/calls.rs
@@ -1,4 +1,4 @@
-//! The calls of the C library that this one stands in for.
+//! The functions of the C library that this library replaces.
 
 use juniperdock_fault_controls::{Controls, LENGTH, VARIABLE};
 use libc::{c_char, c_int, c_void, clockid_t, epoll_event, size_t, sockaddr, socklen_t, ssize_t, timespec};
@@ -9,7 +9,7 @@
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
-/// The next definition of a call, the C library's own.
+/// The next definition of a function in the search order: the C library's. Resolved at the first use.
 struct Next(AtomicUsize, &'static CStr);
 
 impl Next {
@@ -22,20 +22,20 @@
         if cached != 0 {
             return cached;
         }
-        // SAFETY: the name is a C string; the result is only used with the type of that call.
+        // SAFETY: the name is a C string; callers use the result only with the type of that function.
         let found = unsafe { libc::dlsym(libc::RTLD_NEXT, self.1.as_ptr()) } as usize;
         self.0.store(found, Ordering::Relaxed);
         found
     }
 }
 
-/// The mapped control file; address 0 without one.
+/// Address of the mapped control file; 0 if there is none.
 fn mapping() -> usize {
     static ADDRESS: OnceLock<usize> = OnceLock::new();
     *ADDRESS.get_or_init(|| {
         let mut name = VARIABLE.as_bytes().to_vec();
         name.push(0);
-        // SAFETY: plain calls with valid C strings; the mapping is never undone.
+        // SAFETY: the calls get valid C strings; the file is never unmapped.
         unsafe {
             let path = libc::getenv(name.as_ptr().cast::<c_char>());
             if path.is_null() {
@@ -53,20 +53,21 @@
     })
 }
 
+/// The controls now in force.
 fn controls() -> Controls {
     match mapping() {
         0 => Controls::default(),
-        // SAFETY: mapped for good, of that size; another process writes it, hence volatile.
+        // SAFETY: the mapping has this size and is never removed. The read is volatile, since another process writes it.
         at => unsafe { read_volatile(at as *const Controls) },
     }
 }
 
-/// Whether a fault of this rate meets a call.
+/// Draws whether a fault with this rate, in parts of 65,536, applies to the present call.
 fn drawn(rate: u32) -> bool {
     rate > 0 && (random() & 0xffff) < u64::from(rate)
 }
 
-/// Each thread draws a sequence of its own.
+/// Returns 53 random bits. Each thread has its own xorshift sequence, derived from the seed and the thread's number.
 fn random() -> u64 {
     static THREADS: AtomicU64 = AtomicU64::new(1);
     thread_local!(static STATE: Cell<u64> = const { Cell::new(0) });
@@ -84,8 +85,9 @@
     })
 }
 
+/// Sets `errno` and returns -1.
 fn fail(errno: c_int) -> c_int {
-    // SAFETY: the thread's own variable.
+    // SAFETY: the pointer is to the calling thread's own variable.
     unsafe { *libc::__errno_location() = errno };
     -1
 }
@@ -94,20 +96,22 @@
     errors[random() as usize % errors.len()]
 }
 
-/// Stands still for a while, if it is this call's turn.
+/// Sleeps for a random time up to `held_up_us`, if this call is drawn for it.
 fn delay(controls: &Controls) {
     if drawn(controls.held_up) {
         let nanos = random() % (u64::from(controls.held_up_us).max(1) * 1000);
         let duration =
             timespec { tv_sec: (nanos / 1_000_000_000) as i64, tv_nsec: (nanos % 1_000_000_000) as i64 };
-        // SAFETY: a valid span, and nothing is asked back.
+        // SAFETY: the duration is valid, and a null pointer for the remaining time is allowed.
         unsafe { libc::syscall(libc::SYS_nanosleep, &raw const duration, null::<timespec>()) };
     }
 }
 
-/// Descriptors below this number that were connected here, a bit each.
+/// One bit for each descriptor below 4096: set if this process connected it.
 static CONNECTED: [AtomicU64; 64] = [const { AtomicU64::new(0) }; 64];
 
+/// Returns whether this process connected the descriptor; `set` replaces the stored value. Descriptors beyond the
+/// table count as not connected.
 fn connected_here(fd: c_int, set: Option<bool>) -> bool {
     let Some(word) = usize::try_from(fd).ok().and_then(|fd| CONNECTED.get(fd / 64)) else { return false };
     let bit = 1u64 << (fd % 64);
@@ -118,7 +122,8 @@
     }
 }
 
-/// What a read or write of a socket meets: an error, or how many bytes it may move.
+/// Draws the fault for a read or write of a socket: an error, or the number of bytes that it may transfer.
+/// `exhausted` is the error for lack of memory or buffers.
 fn inject(fd: c_int, length: size_t, exhausted: c_int) -> Result<size_t, c_int> {
     let controls = controls();
     delay(&controls);
@@ -129,7 +134,7 @@
         return Err(libc::EINTR);
     }
     if connected_here(fd, None) && drawn(controls.breaks) {
-        // SAFETY: whoever owns the descriptor is told that the connection is over.
+        // SAFETY: the descriptor is the caller's, who gets an error that says that the connection has ended.
         unsafe { libc::syscall(libc::SYS_shutdown, fd, libc::SHUT_RDWR) };
         return Err(one_of(&[libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET]));
     }
@@ -138,7 +143,7 @@
 
 fn is_regular(fd: c_int) -> bool {
     let mut stat = std::mem::MaybeUninit::<libc::stat>::zeroed();
-    // SAFETY: room for the answer; read only when the call succeeded.
+    // SAFETY: the buffer has the size of the result and is read only if the call succeeded.
     unsafe {
         libc::fstat(fd, stat.as_mut_ptr()) == 0 && stat.assume_init().st_mode & libc::S_IFMT == libc::S_IFREG
     }
@@ -159,7 +164,7 @@
 /// As `clock_gettime(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, at: *mut timespec) -> c_int {
-    // SAFETY: the address is that of this call; the caller's pointers are passed on.
+    // SAFETY: the address is that of the C library's function, with this type; the caller's pointers are passed on.
     unsafe {
         let next: extern "C" fn(clockid_t, *mut timespec) -> c_int = transmute(CLOCK_GETTIME.address());
         let done = next(clock, at);
@@ -217,7 +222,7 @@
 pub unsafe extern "C" fn connect(fd: c_int, to: *const sockaddr, length: socklen_t) -> c_int {
     let controls = controls();
     delay(&controls);
-    // SAFETY: the caller's address is a valid one.
+    // SAFETY: the caller passes a valid address.
     let is_inet = unsafe { c_int::from((*to).sa_family) == libc::AF_INET };
     if is_inet && drawn(controls.fails) {
         return fail(one_of(&[libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::EHOSTUNREACH]));
@@ -237,7 +242,7 @@
     let is_peek = flags & libc::MSG_PEEK != 0;
     match if is_peek { Ok(length) } else { inject(fd, length, libc::ENOMEM) } {
         Err(errno) => fail(errno) as ssize_t,
-        // SAFETY: as above, with no more room than the caller has.
+        // SAFETY: as above; the length is at most that of the caller's buffer.
         Ok(length) => unsafe {
             let next: extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t = transmute(RECV.address());
             next(fd, buffer, length, flags)
@@ -251,7 +256,7 @@
 pub unsafe extern "C" fn send(fd: c_int, bytes: *const c_void, length: size_t, flags: c_int) -> ssize_t {
     match inject(fd, length, libc::ENOBUFS) {
         Err(errno) => fail(errno) as ssize_t,
-        // SAFETY: as above, with no more bytes than the caller has.
+        // SAFETY: as above; the length is at most the caller's.
         Ok(length) => unsafe {
             let next: extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t =
                 transmute(SEND.address());
@@ -265,7 +270,7 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn write(fd: c_int, bytes: *const c_void, length: size_t) -> ssize_t {
     let mut length = length;
-    // Standard error goes to a file, too, and is no part of what has to last.
+    // Standard output and error are left alone: they may go to a file, too, but are not stored data.
     let rate = if fd > 2 { controls().disk } else { 0 };
     if rate > 0 && is_regular(fd) && drawn(rate) {
         if length < 2 || random().is_multiple_of(2) {
@@ -273,7 +278,7 @@
         }
         length = 1 + random() as usize % (length - 1);
     }
-    // SAFETY: as above, with no more bytes than the caller has.
+    // SAFETY: as above; the length is at most the caller's.
     unsafe {
         let next: extern "C" fn(c_int, *const c_void, size_t) -> ssize_t = transmute(WRITE.address());
         next(fd, bytes, length)
--- a/crates/test-support/src/agent.rs
+++ b/crates/test-support/src/agent.rs
@@ -1,4 +1,4 @@
-//! The list's agent.
+//! A discovery service that publishes server lists under the control of a test.
 
 use crate::address;
 use std::io::{BufRead, BufReader, Write};
@@ -6,16 +6,17 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 
-/// The list's agent: answers each watch with the whole list, then passes on what the story says. Its watches end with it.
+/// A discovery service. It sends every published list, in order, to each watch; watches end when it is dropped.
 pub struct Agent {
     pub at: SocketAddr,
     lists: Lists,
-    /// Requests seen.
+    /// Request lines received.
     pub asked: Receiver<String>,
 }
 
 impl Agent {
-    /// Each answer starts with `head`; a watch is sent the lines so far, and those still to come.
+    /// Starts to listen. Each response begins with `head`, followed by the lists published so far and by later ones as
+    /// they are published.
     pub fn start(head: &'static str) -> Agent {
         let listener = TcpListener::bind(address()).expect("a free address");
         let at = listener.local_addr().expect("an address");
@@ -38,7 +39,7 @@
                     let mut sent = 0;
                     while let Some(line) = lists.wait_for(sent) {
                         sent += 1;
-                        // In two chunks, so that a line is split.
+                        // Sent as two chunks, so that the front has to join the parts of a line.
                         let (one, two) = line.split_at(line.len() / 2);
                         let chunks =
                             format!("{:x}\r\n{one}\r\n{:x}\r\n{two}\n\r\n", one.len(), two.len() + 1);
@@ -52,10 +53,12 @@
         Agent { at, lists, asked }
     }
 
+    /// Publishes a list to all watches.
     pub fn tell(&self, list: String) {
         self.lists.tell(list);
     }
 
+    /// Returns a handle that can publish lists from another thread.
     pub fn lists(&self) -> Lists {
         self.lists.clone()
     }
@@ -64,7 +67,7 @@
 impl Drop for Agent {
     fn drop(&mut self) {
         self.lists.end();
-        // Whoever waits for connections looks whether all is over.
+        // A connection wakes the accept loop, which then sees that the agent has ended.
         drop(TcpStream::connect(self.at));
     }
 }
@@ -75,7 +78,7 @@
     has_ended: bool,
 }
 
-/// What an agent passes on; clones are the same one.
+/// The lists that an agent publishes; clones share them.
 #[derive(Clone, Default)]
 pub struct Lists(Arc<(Mutex<Published>, Condvar)>);
 
@@ -84,6 +87,7 @@
         self.0.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Publishes a list to all watches.
     pub fn tell(&self, list: String) {
         self.lock().lines.push(list);
         self.0.1.notify_all();
@@ -98,7 +102,7 @@
         self.lock().has_ended
     }
 
-    /// The line of a number, as soon as there is one; none once all is over.
+    /// Waits for the list with the given index; returns `None` once the agent has ended.
     fn wait_for(&self, number: usize) -> Option<String> {
         let waits = |published: &mut Published| !published.has_ended && published.lines.len() <= number;
         let published = self.0.1.wait_while(self.lock(), waits).unwrap_or_else(PoisonError::into_inner);
@@ -106,25 +110,26 @@
     }
 }
 
+/// The response head for a watch that succeeds.
 pub const WATCH: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// One member of a list.
+/// One member in a server list.
 pub struct Entry<'a> {
     pub id: &'a str,
     pub at: SocketAddr,
     pub cell: u64,
     pub state: &'a str,
-    /// When it last started, in milliseconds since 1970; 0 for long ago.
+    /// Time of its last start, in milliseconds since 1970; 0 if it started long ago.
     pub started: u128,
 }
 
-/// A list in which all members are of one group.
+/// Formats a list whose members all belong to one group and started long ago.
 pub fn list(version: u64, full: bool, members: &[(&str, SocketAddr, &str)]) -> String {
     let entry = |&(id, at, state)| Entry { id, at, cell: 2, state, started: 0 };
     entries(version, full, &members.iter().map(entry).collect::<Vec<_>>())
 }
 
-/// A list of any members.
+/// Formats a list of the given members.
 pub fn entries(version: u64, full: bool, members: &[Entry]) -> String {
     let entries: Vec<String> = members
         .iter()
--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -1,4 +1,4 @@
-//! A client, one txn at a time.
+//! A blocking client that sends one txn at a time.
 
 use crate::PATIENCE;
 use crate::wire::{message, read_message};
@@ -6,27 +6,31 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
+/// The front's reply to one statement.
 #[derive(Debug, Default, PartialEq)]
 pub struct Reply {
+    /// The value of the row, if there was one.
     pub value: Option<Vec<u8>>,
-    /// The code of an error, and its field D.
+    /// The code of an error.
     pub code: Option<String>,
+    /// The field D (detail) of an error.
     pub detail: Option<String>,
-    /// The last message's type; 0 where the connection ended instead.
+    /// The type of the last message; 0 if the connection ended instead.
     pub last: u8,
 }
 
+/// A client connection to a front.
 pub struct Client {
     pub stream: TcpStream,
 }
 
 impl Client {
-    /// One that has been welcomed, or none.
+    /// Connects and completes the startup exchange and an empty query; `None` if any step fails.
     pub fn open(at: SocketAddr) -> Option<Client> {
         Client::open_within(at, PATIENCE)
     }
 
-    /// The same, with so much patience for each thing that has to come.
+    /// Like [`Client::open`], with `timeout` as the limit for connecting and for each read.
     pub fn open_within(at: SocketAddr, timeout: Duration) -> Option<Client> {
         let mut client = Client { stream: TcpStream::connect_timeout(&at, timeout).ok()? };
         client.stream.set_nodelay(true).ok()?;
@@ -35,12 +39,13 @@
         let mut startup = ((names.len() + 8) as u32).to_be_bytes().to_vec();
         startup.extend([0, 3, 0, 0]);
         startup.extend(names);
-        // The first query comes straight behind.
+        // The first query is sent in the same write as the startup message.
         startup.extend(message(b'Q', b"\0"));
         client.stream.write_all(&startup).ok()?;
         (client.reply().last == b'Z' && client.reply().last == b'Z').then_some(client)
     }
 
+    /// Reads up to the next ReadyForQuery, or to the end of the connection.
     pub fn reply(&mut self) -> Reply {
         let mut reply = Reply::default();
         while let Some((kind, body)) = read_message(&mut self.stream, true) {
@@ -60,27 +65,29 @@
         reply
     }
 
+    /// Sends a statement; panics if the connection has ended.
     pub fn say(&mut self, text: &str) {
         assert!(self.tell(text), "the front reads");
     }
 
-    /// Sends a statement; false if the connection has ended.
+    /// Sends a statement; returns false if the connection has ended.
     pub fn tell(&mut self, text: &str) -> bool {
         self.stream.write_all(&message(b'Q', format!("{text}\0").as_bytes())).is_ok()
     }
 
+    /// Sends a statement and waits for its reply.
     pub fn ask(&mut self, text: &str) -> Reply {
         self.say(text);
         self.reply()
     }
 }
 
-/// A txn of a type, with so many ms to live.
+/// The text of a txn of the given type that expires after `ms` milliseconds.
 pub fn txn(kind: &str, ms: u32, id: &str) -> String {
     txn_of(kind, ms, id, "5c0f", 2)
 }
 
-/// As `txn`, of a group and with a mark.
+/// Like [`txn`], for a given group and with a given reference (`k`).
 pub fn txn_of(kind: &str, ms: u32, id: &str, mark: &str, cell: u64) -> String {
     let query = if kind == "lookup" {
         "SELECT blob FROM rows WHERE handle = '7f3a'"
--- a/crates/test-support/src/front.rs
+++ b/crates/test-support/src/front.rs
@@ -1,4 +1,4 @@
-//! The program under test, and what it is told at its start.
+//! Starts and controls the front, the program under test.
 
 use crate::client::Client;
 use crate::{PATIENCE, address};
@@ -7,6 +7,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
+/// A running front. Dropping it kills the process and removes its folder.
 pub struct Front {
     pub at: SocketAddr,
     child: Child,
@@ -14,12 +15,12 @@
 }
 
 impl Front {
-    /// Starts the program at an address of its own.
+    /// Starts the program at an unused address.
     pub fn start(program: &str, agent: SocketAddr, known: &str, sockets: u32) -> Front {
         Front::again(program, address(), agent, known, sockets, None)
     }
 
-    /// Starts it at a given address; `charter` is the text of the operators' file.
+    /// Starts the program at a given address; `charter` is the text of the operator's configuration file.
     pub fn again(
         program: &str,
         at: SocketAddr,
@@ -31,7 +32,7 @@
         Front::with(program, at, agent, &Front::config(known, sockets), charter)
     }
 
-    /// A small configuration: one zone, three txn types, limits as a machine's would be.
+    /// Returns a small configuration: one zone, three txn types and the limits of a small machine.
     pub fn config(known: &str, sockets: u32) -> String {
         let kind = |name: &str, effect: &str| {
             format!(
@@ -49,7 +50,7 @@
         )
     }
 
-    /// Starts it with any configuration.
+    /// Starts the program with a given configuration.
     pub fn with(
         program: &str,
         at: SocketAddr,
@@ -60,7 +61,7 @@
         Front::with_environment(program, at, agent, config, charter, &[])
     }
 
-    /// The same, with more variables.
+    /// Like [`Front::with`], with additional environment variables.
     pub fn with_environment(
         program: &str,
         at: SocketAddr,
@@ -88,21 +89,22 @@
         Front { at, child, dir }
     }
 
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// A path inside its own folder.
+    /// Returns a path inside the folder of this front.
     pub fn path(&self, name: &str) -> std::path::PathBuf {
         self.dir.join(name)
     }
 
-    /// Where the folder of a front at this address lies.
+    /// Returns the folder of a front at this address.
     pub fn folder(at: SocketAddr) -> std::path::PathBuf {
         std::env::temp_dir().join(format!("juniperdock-{}-{}", at.ip(), at.port()))
     }
 
-    /// A client, once the front answers the empty query.
+    /// Opens a client, retrying until the front answers an empty query.
     pub fn client(&self) -> Client {
         let begun = Instant::now();
         loop {
@@ -114,23 +116,25 @@
         }
     }
 
-    /// Replaces the configuration's file and says so.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reconfigure(&self, text: &str) {
         let (file, new) = (self.dir.join("config.json"), self.dir.join("new.json"));
         std::fs::write(&new, text).and_then(|()| std::fs::rename(new, file)).expect("a file");
         self.signal("-HUP");
     }
 
+    /// Sends a signal, given as an option of `kill` (`-HUP`).
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill").args([name, &id]).status().expect("kill").success());
     }
 
+    /// The number of open file descriptors.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("its descriptors").count()
     }
 
-    /// Stacks of this many bytes that it has mapped, used or free.
+    /// The number of private writable mappings of exactly this many bytes: thread stacks, in use or cached.
     pub fn stacks(&self, size: u64) -> usize {
         let maps = std::fs::read_to_string(format!("/proc/{}/maps", self.child.id())).expect("its memory");
         let span = |line: &str| {
@@ -141,7 +145,7 @@
         maps.lines().filter(|line| span(line) == Some(size)).count()
     }
 
-    /// Whether it stands still, all of it.
+    /// Whether all of its threads are stopped (state T).
     pub fn stopped(&self) -> bool {
         let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("its threads");
         tasks.flatten().all(|task| {
@@ -150,7 +154,7 @@
         })
     }
 
-    /// Waits for its end: whether it ended well, and what it wrote to standard error.
+    /// Waits for the process to exit. Returns whether its status was success, and what it wrote to standard error.
     pub fn end(mut self) -> (bool, String) {
         let mut text = String::new();
         let mut err = self.child.stderr.take().expect("piped");
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for what lies round a front, on loopback: members that say what a story tells them to say, byte by
-//! byte, the list's agent, the front itself, and clients. Each is a few threads. None is a model: members with
-//! work, a log and elections are the emulator's, put on sockets by the laboratory.
+//! Test doubles for the processes around a front, on loopback: members with scripted responses, the discovery
+//! service, a handle on the front's own process, and clients. Each runs on a few threads. None of them models a
+//! database: members with work, a log and elections belong to the emulator, which the laboratory puts on sockets.
 
 pub mod agent;
 pub mod client;
@@ -18,7 +18,8 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, SystemTime};
 
-/// Long enough for any machine; no story waits this long unless it fails.
+/// Time limit for anything that a test waits for. It is long enough for a slow machine, so only a failing test
+/// waits this long.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
 /// Milliseconds since 1970.
@@ -26,7 +27,8 @@
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).expect("after 1970").as_millis()
 }
 
-/// An address on loopback that no other test of this run uses: another port once a run has used up its part.
+/// Returns a loopback address that no other test of this run uses. The IP address is derived from the process id and
+/// a counter; the port moves on by one after each 250 addresses of a process.
 pub fn address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let (pid, n) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
--- a/crates/test-support/src/member.rs
+++ b/crates/test-support/src/member.rs
@@ -1,4 +1,4 @@
-//! A member that says what a story tells it to say: bytes on a connection. It models nothing.
+//! A member whose responses a test sets, down to the bytes on the connection. It models no database.
 
 use crate::wire::{Said, Store, error, parameter, ready, row, serve};
 use crate::{address, unix_ms};
@@ -8,35 +8,39 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// What a member does with a txn.
+/// How a member responds to a txn.
 #[derive(Clone, Debug)]
 pub enum Does {
+    /// Answers with the statement's text as the row.
     Serves,
+    /// Answers with an error of this SQLSTATE.
     Fails(&'static str),
-    /// Takes it and says nothing.
+    /// Reads it and never answers.
     Hangs,
-    /// Takes it and ends the connection, perhaps after these bytes.
+    /// Reads it, sends these bytes and closes the connection.
     Breaks(Vec<u8>),
-    /// Answers with these bytes.
+    /// Answers with these bytes in place of a row.
     Says(Vec<u8>),
 }
 
 struct Script {
     primary: bool,
-    /// Where its log stands, in seconds since 1970; else it is up to date.
+    /// Position of its log, in seconds since 1970; `None` if it is up to date.
     position: Option<f64>,
-    /// Welcomes new connections; else it accepts and stays silent.
+    /// Whether it answers new connections. If not, it accepts them and sends nothing.
     welcomes: bool,
     does: Does,
+    /// Responses to the next txns, before `does` applies again.
     next: VecDeque<Does>,
     open: Vec<TcpStream>,
-    /// How often all that hung was ended.
+    /// How many times `end_hanging` was called.
     hangs_ended: u32,
 }
 
+/// A scripted member, listening on loopback.
 pub struct Member {
     pub at: SocketAddr,
-    /// Statements that it was sent.
+    /// Statements received, except probes.
     pub seen: Receiver<String>,
     script: Arc<Mutex<Script>>,
 }
@@ -99,6 +103,7 @@
 }
 
 impl Member {
+    /// Starts a member that serves all txns, as a primary or as a replica.
     pub fn start(primary: bool) -> Member {
         let listener = TcpListener::bind(address()).expect("a free address");
         let at = listener.local_addr().expect("an address");
@@ -123,44 +128,47 @@
         Member { at, seen, script }
     }
 
+    /// Sets the response to all later txns.
     pub fn set(&self, does: Does) {
         self.script.lock().expect("no panic there").does = does;
     }
 
-    /// For the next txn only.
+    /// Queues a response for one txn.
     pub fn once(&self, does: Does) {
         self.script.lock().expect("no panic there").next.push_back(does);
     }
 
+    /// Sets the role that it reports; a replica refuses inserts with 25006.
     pub fn be_primary(&self, primary: bool) {
         self.script.lock().expect("no panic there").primary = primary;
     }
 
-    /// From now on its log does not move.
+    /// Freezes the reported log position at the present.
     pub fn stand_still(&self) {
         self.script.lock().expect("no panic there").position = Some(now());
     }
 
-    /// From now on its log does not move, and its clock was so far ahead.
+    /// Freezes the reported log position `ahead` of the present, as a member whose clock runs ahead reports it.
     pub fn stand_at(&self, ahead: Duration) {
         self.script.lock().expect("no panic there").position = Some(now() + ahead.as_secs_f64());
     }
 
+    /// Sets whether new connections are answered; if not, they are accepted and stay silent.
     pub fn welcome(&self, welcomes: bool) {
         self.script.lock().expect("no panic there").welcomes = welcomes;
     }
 
-    /// How many there were since the last cut.
+    /// The number of connections accepted since the last [`Member::cut`].
     pub fn connections(&self) -> usize {
         self.script.lock().expect("no panic there").open.len()
     }
 
-    /// Ends the connections of all statements that hang, and no others.
+    /// Closes the connections of all statements that hang, and no others.
     pub fn end_hanging(&self) {
         self.script.lock().expect("no panic there").hangs_ended += 1;
     }
 
-    /// Ends all its connections.
+    /// Closes all connections.
     pub fn cut(&self) {
         for stream in self.script.lock().expect("no panic there").open.drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
--- a/crates/test-support/src/wire.rs
+++ b/crates/test-support/src/wire.rs
@@ -1,8 +1,9 @@
-//! PostgreSQL's wire protocol as a member and a client speak it, as far as stories need it.
+//! The parts of PostgreSQL's wire protocol that tests need, for clients and for members.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
+/// Encodes a message: type, length, body.
 pub fn message(kind: u8, body: &[u8]) -> Vec<u8> {
     let mut out = vec![kind];
     out.extend((body.len() as u32 + 4).to_be_bytes());
@@ -10,7 +11,8 @@
     out
 }
 
-/// Reads one message; an untyped one has the type 0.
+/// Reads one message. A startup message has no type byte (`typed` is false) and is returned with type 0. Returns
+/// `None` if the connection ends first.
 pub fn read_message(from: &mut impl Read, typed: bool) -> Option<(u8, Vec<u8>)> {
     let mut head = [0; 4];
     let mut kind = [0];
@@ -23,6 +25,7 @@
     Some((kind[0], body))
 }
 
+/// The messages that answer a query with one row of one `bytea` column.
 pub fn row(value: &[u8]) -> Vec<u8> {
     let mut data = vec![0, 1];
     data.extend((value.len() as u32).to_be_bytes());
@@ -31,37 +34,40 @@
     [message(b'T', description), message(b'D', &data), message(b'C', b"SELECT 1\0")].concat()
 }
 
+/// An ErrorResponse with the given SQLSTATE.
 pub fn error(code: &str) -> Vec<u8> {
     message(b'E', format!("SERROR\0VERROR\0C{code}\0Mno\0\0").as_bytes())
 }
 
+/// ReadyForQuery, outside a transaction.
 pub fn ready() -> Vec<u8> {
     message(b'Z', b"I")
 }
 
+/// A ParameterStatus message.
 pub fn parameter(name: &str, value: &str) -> Vec<u8> {
     message(b'S', format!("{name}\0{value}\0").as_bytes())
 }
 
-/// The value of a field in the comment that leads a statement.
+/// Returns the value of a field in the comment at the head of a statement.
 pub fn field<'a>(statement: &'a str, name: &str) -> Option<&'a str> {
     let comment = statement.split("*/").next()?.trim_start_matches("/*");
     comment.split(',').find_map(|part| part.trim().strip_prefix(name)?.strip_prefix('=')).map(str::trim)
 }
 
-/// What comes of a statement at a member.
+/// A member's response to a statement.
 pub enum Said {
-    /// The connection goes on after these bytes.
+    /// Sends these bytes and keeps the connection.
     Answer(Vec<u8>),
-    /// It ends after these.
+    /// Sends these bytes and closes the connection.
     End(Vec<u8>),
 }
 
-/// What a member does on its connections.
+/// The behaviour of a member on its connections.
 pub trait Store: Send + Sync {
-    /// A connection has come; false if it ends at once. May wait.
+    /// Called once for each new connection; false closes it at once. May block.
     fn welcome(&self, stream: &TcpStream) -> bool;
-    /// A statement, probes too. May wait.
+    /// Answers a statement, which may be a probe. May block.
     fn statement(&self, text: &str) -> Said;
 }
 
--- a/crates/test-support/tests/agent.rs
+++ b/crates/test-support/tests/agent.rs
@@ -1,4 +1,5 @@
-//! The list's agent: watches end with it, so that many plays in one process do not slow each other down.
+//! Guards against watches that outlive their agent: their threads would pile up and slow down later tests of the same
+//! process.
 
 use juniperdock_test_support::{Agent, PATIENCE, WATCH};
 use std::io::{Read, Write};
