--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -67,7 +67,7 @@
 
     /// Sends a statement; panics if the connection has ended.
     pub fn say(&mut self, text: &str) {
-        assert!(self.tell(text), "the front reads");
+        assert!(self.tell(text), "the front closed the connection before a statement was sent");
     }
 
     /// Sends a statement; returns false if the connection has ended.
@@ -94,5 +94,5 @@
     } else {
         "INSERT INTO rows (handle, blob) VALUES ('7f3a', '\\x9f03') RETURNING blob"
     };
-    format!("/* id={id},c={kind},d={ms},k={mark},cluster={cell} */ {rest}")
+    format!("/* id={id},c={kind},d={ms},k={mark},cluster={cell} */ {query}")
 }
--- a/crates/test-support/src/front.rs
+++ b/crates/test-support/src/front.rs
@@ -71,11 +71,11 @@
         environment: &[(&str, std::path::PathBuf)],
     ) -> Front {
         let dir = Front::folder(at);
-        std::fs::create_dir_all(&dir).expect("a folder");
-        std::fs::write(dir.join("config.json"), config).expect("a file");
+        std::fs::create_dir_all(&dir).expect("cannot create the folder of the front");
+        std::fs::write(dir.join("config.json"), config).expect("cannot write config.json");
         let mut command = Command::new(program);
         if let Some(text) = charter {
-            std::fs::write(dir.join("charter.json5"), text).expect("a file");
+            std::fs::write(dir.join("charter.json5"), text).expect("cannot write charter.json5");
             command.env("JUNIPERDOCK_CHARTER", dir.join("charter.json5"));
         }
         let child = command
@@ -85,7 +85,7 @@
             .env("GW_CONFIG", dir.join("config.json"))
             .stderr(Stdio::piped())
             .spawn()
-            .expect("the front starts");
+            .expect("cannot start the front");
         Front { at, child, dir }
     }
 
@@ -111,7 +111,7 @@
             if let Some(client) = Client::open(self.at) {
                 return client;
             }
-            assert!(begun.elapsed() < PATIENCE, "the front does not come up");
+            assert!(begun.elapsed() < PATIENCE, "the front accepted no client within the time limit");
             std::thread::sleep(Duration::from_millis(2));
         }
     }
@@ -119,24 +119,29 @@
     /// Replaces the configuration file and sends SIGHUP.
     pub fn reconfigure(&self, text: &str) {
         let (file, new) = (self.dir.join("config.json"), self.dir.join("new.json"));
-        std::fs::write(&new, text).and_then(|()| std::fs::rename(new, file)).expect("a file");
+        std::fs::write(&new, text)
+            .and_then(|()| std::fs::rename(new, file))
+            .expect("cannot replace config.json");
         self.signal("-HUP");
     }
 
     /// Sends a signal, given as an option of `kill` (`-HUP`).
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
-        assert!(Command::new("kill").args([name, &id]).status().expect("kill").success());
+        assert!(Command::new("kill").args([name, &id]).status().expect("cannot run kill").success());
     }
 
     /// The number of open file descriptors.
     pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("its descriptors").count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
+            .expect("cannot read the descriptors of the front")
+            .count()
     }
 
     /// The number of private writable mappings of exactly this many bytes: thread stacks, in use or cached.
     pub fn stacks(&self, size: u64) -> usize {
-        let maps = std::fs::read_to_string(format!("/proc/{}/maps", self.child.id())).expect("its memory");
+        let maps = std::fs::read_to_string(format!("/proc/{}/maps", self.child.id()))
+            .expect("cannot read the memory map of the front");
         let span = |line: &str| {
             let (from, to) =
                 line.split_once(' ').filter(|(_, rest)| rest.starts_with("rw-p"))?.0.split_once('-')?;
@@ -147,7 +152,8 @@
 
     /// Whether all of its threads are stopped (state T).
     pub fn stopped(&self) -> bool {
-        let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("its threads");
+        let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id()))
+            .expect("cannot read the threads of the front");
         tasks.flatten().all(|task| {
             let stat = std::fs::read_to_string(task.path().join("stat")).unwrap_or_default();
             stat.rsplit(')').next().is_some_and(|rest| rest.trim_start().starts_with('T'))
@@ -157,9 +163,9 @@
     /// Waits for the process to exit. Returns whether its status was success, and what it wrote to standard error.
     pub fn end(mut self) -> (bool, String) {
         let mut text = String::new();
-        let mut err = self.child.stderr.take().expect("piped");
+        let mut err = self.child.stderr.take().expect("standard error is piped");
         let _ = err.read_to_string(&mut text);
-        (self.child.wait().expect("an end").success(), text)
+        (self.child.wait().expect("cannot wait for the front").success(), text)
     }
 }
 
--- a/crates/test-support/src/member.rs
+++ b/crates/test-support/src/member.rs
@@ -52,7 +52,7 @@
 
 impl Store for ScriptedStore {
     fn welcome(&self, stream: &TcpStream) -> bool {
-        let script = || self.script.lock().expect("no panic there");
+        let script = || self.script.lock().expect("no thread panicked with the lock");
         if let Ok(stream) = stream.try_clone() {
             script().open.push(stream);
         }
@@ -64,16 +64,16 @@
 
     fn statement(&self, text: &str) -> Said {
         let (primary, position) = {
-            let script = self.script.lock().expect("no panic there");
+            let script = self.script.lock().expect("no thread panicked with the lock");
             (script.primary, script.position.unwrap_or(now()))
         };
         if text == "SHOW server_load" {
             let report = format!("x0={position:.3},x1={},q=0,busy=0.1", u8::from(primary));
             return Said::Answer([row(report.as_bytes()), ready()].concat());
         }
-        let _ = self.seen.lock().expect("no panic there").send(text.to_owned());
+        let _ = self.seen.lock().expect("no thread panicked with the lock").send(text.to_owned());
         let does = {
-            let mut script = self.script.lock().expect("no panic there");
+            let mut script = self.script.lock().expect("no thread panicked with the lock");
             let next = script.next.pop_front();
             next.unwrap_or_else(|| script.does.clone())
         };
@@ -83,7 +83,8 @@
             Does::Serves => row(text.as_bytes()),
             Does::Fails(code) => error(code),
             Does::Hangs => {
-                let hangs_ended = || self.script.lock().expect("no panic there").hangs_ended;
+                let hangs_ended =
+                    || self.script.lock().expect("no thread panicked with the lock").hangs_ended;
                 let before = hangs_ended();
                 while hangs_ended() == before {
                     std::thread::sleep(Duration::from_millis(5));
@@ -130,47 +131,48 @@
 
     /// Sets the response to all later txns.
     pub fn set(&self, does: Does) {
-        self.script.lock().expect("no panic there").does = does;
+        self.script.lock().expect("no thread panicked with the lock").does = does;
     }
 
     /// Queues a response for one txn.
     pub fn once(&self, does: Does) {
-        self.script.lock().expect("no panic there").next.push_back(does);
+        self.script.lock().expect("no thread panicked with the lock").next.push_back(does);
     }
 
     /// Sets the role that it reports; a replica refuses inserts with 25006.
     pub fn be_primary(&self, primary: bool) {
-        self.script.lock().expect("no panic there").primary = primary;
+        self.script.lock().expect("no thread panicked with the lock").primary = primary;
     }
 
     /// Freezes the reported log position at the present.
     pub fn stand_still(&self) {
-        self.script.lock().expect("no panic there").position = Some(now());
+        self.script.lock().expect("no thread panicked with the lock").position = Some(now());
     }
 
     /// Freezes the reported log position `ahead` of the present, as a member whose clock runs ahead reports it.
     pub fn stand_at(&self, ahead: Duration) {
-        self.script.lock().expect("no panic there").position = Some(now() + ahead.as_secs_f64());
+        self.script.lock().expect("no thread panicked with the lock").position =
+            Some(now() + ahead.as_secs_f64());
     }
 
     /// Sets whether new connections are answered; if not, they are accepted and stay silent.
     pub fn welcome(&self, welcomes: bool) {
-        self.script.lock().expect("no panic there").welcomes = welcomes;
+        self.script.lock().expect("no thread panicked with the lock").welcomes = welcomes;
     }
 
     /// The number of connections accepted since the last [`Member::cut`].
     pub fn connections(&self) -> usize {
-        self.script.lock().expect("no panic there").open.len()
+        self.script.lock().expect("no thread panicked with the lock").open.len()
     }
 
     /// Closes the connections of all statements that hang, and no others.
     pub fn end_hanging(&self) {
-        self.script.lock().expect("no panic there").hangs_ended += 1;
+        self.script.lock().expect("no thread panicked with the lock").hangs_ended += 1;
     }
 
     /// Closes all connections.
     pub fn cut(&self) {
-        for stream in self.script.lock().expect("no panic there").open.drain(..) {
+        for stream in self.script.lock().expect("no thread panicked with the lock").open.drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
--- a/crates/test-support/tests/agent.rs
+++ b/crates/test-support/tests/agent.rs
@@ -8,11 +8,11 @@
 #[test]
 fn watches_end_with_their_agent() {
     let agent = Agent::start(WATCH);
-    let mut watch = TcpStream::connect(agent.at).expect("a connection");
-    watch.set_read_timeout(Some(PATIENCE)).expect("a limit");
-    watch.write_all(b"GET /watch HTTP/1.1\r\n\r\n").expect("sent");
+    let mut watch = TcpStream::connect(agent.at).expect("cannot connect to the agent");
+    watch.set_read_timeout(Some(PATIENCE)).expect("cannot set the read timeout");
+    watch.write_all(b"GET /watch HTTP/1.1\r\n\r\n").expect("cannot send the request");
     agent.tell("one".to_owned());
-    agent.asked.recv_timeout(PATIENCE).expect("a watch");
+    agent.asked.recv_timeout(PATIENCE).expect("the agent reports the request");
     let at = agent.at;
     drop(agent);
     let mut received = Vec::new();
@@ -22,5 +22,5 @@
         std::thread::sleep(std::time::Duration::from_millis(20));
         TcpStream::connect(at).is_err()
     });
-    assert!(refused, "nobody listens any more");
+    assert!(refused, "the agent still accepts connections after it was dropped");
 }
