--- a/crates/emulator/benches/calendar.rs
+++ b/crates/emulator/benches/calendar.rs
@@ -16,26 +16,26 @@
 }
 
 fn events(c: &mut Criterion) {
-    let mut of = c.benchmark_group("next event");
+    let mut group = c.benchmark_group("next event");
     for pending in [10_000, 100_000, 1_000_000] {
-        of.bench_function(BenchmarkId::new("calendar", pending), |b| {
+        group.bench_function(BenchmarkId::new("calendar", pending), |b| {
             let (mut rng, mut calendar) = (Rand64::new(7), Calendar::new(Duration::from_micros(250), 8192));
             (0..pending).for_each(|i| calendar.set(gap(&mut rng), i));
             b.iter(|| {
-                let (now, what) = calendar.take().expect("one is pending");
-                calendar.set(now + gap(&mut rng), black_box(what));
+                let (now, event) = calendar.take().expect("one is pending");
+                calendar.set(now + gap(&mut rng), black_box(event));
             });
         });
-        of.bench_function(BenchmarkId::new("heap", pending), |b| {
-            let (mut rng, mut heap, mut turn) = (Rand64::new(7), BinaryHeap::new(), 0u64);
+        group.bench_function(BenchmarkId::new("heap", pending), |b| {
+            let (mut rng, mut heap, mut sequence) = (Rand64::new(7), BinaryHeap::new(), 0u64);
             for i in 0..pending {
-                turn += 1;
-                heap.push(Reverse((gap(&mut rng), turn, i)));
+                sequence += 1;
+                heap.push(Reverse((gap(&mut rng), sequence, i)));
             }
             b.iter(|| {
-                let Reverse((now, _, what)) = heap.pop().expect("one is pending");
-                turn += 1;
-                heap.push(Reverse((now + gap(&mut rng), turn, black_box(what))));
+                let Reverse((now, _, event)) = heap.pop().expect("one is pending");
+                sequence += 1;
+                heap.push(Reverse((now + gap(&mut rng), sequence, black_box(event))));
             });
         });
     }
--- a/crates/emulator/src/audit.rs
+++ b/crates/emulator/src/audit.rs
@@ -14,7 +14,7 @@
 ];
 
 /// Broken rules that are kept with their words; all are counted.
-const KEPT: usize = 50;
+const MAX_STORED: usize = 50;
 
 /// One rule, broken once.
 #[derive(Clone, Debug, PartialEq)]
@@ -38,9 +38,9 @@
     pub counts: [usize; 5],
     pub broken: Vec<Broken>,
     /// Since when a front knows that nothing new may go to a member.
-    stopped: HashMap<(usize, usize), Duration>,
+    excluded_since: HashMap<(usize, usize), Duration>,
     /// The epoch in which a member has told a front that it is a replica.
-    told: HashMap<(usize, usize), u32>,
+    replica_epochs: HashMap<(usize, usize), u32>,
 }
 
 fn may_have_run(earlier: &Earlier) -> bool {
@@ -60,39 +60,39 @@
         self.counts.iter().all(|&count| count == 0)
     }
 
-    pub(crate) fn breaks(&mut self, rule: usize, at: Duration, what: impl FnOnce() -> String) {
+    pub(crate) fn record_violation(&mut self, rule: usize, at: Duration, what: impl FnOnce() -> String) {
         self.counts[rule - 1] += 1;
-        if self.broken.len() < KEPT {
+        if self.broken.len() < MAX_STORED {
             self.broken.push(Broken { rule, at, what: what() });
         }
     }
 
     pub(crate) fn forget_front(&mut self, front: usize) {
-        self.stopped.retain(|&(f, _), _| f != front);
-        self.told.retain(|&(f, _), _| f != front);
+        self.excluded_since.retain(|&(f, _), _| f != front);
+        self.replica_epochs.retain(|&(f, _), _| f != front);
     }
 
     /// The list has told a front whether a member may be sent anything new.
-    pub(crate) fn listed(&mut self, now: Duration, front: usize, member: usize, stopped: bool) {
+    pub(crate) fn observe_listed(&mut self, now: Duration, front: usize, member: usize, stopped: bool) {
         if stopped {
-            self.stopped.entry((front, member)).or_insert(now);
+            self.excluded_since.entry((front, member)).or_insert(now);
         } else {
-            self.stopped.remove(&(front, member));
+            self.excluded_since.remove(&(front, member));
         }
     }
 
     /// A member has told a front that it is a replica.
-    pub(crate) fn heard_replica(&mut self, front: usize, member: usize, epoch: u32) {
-        self.told.insert((front, member), epoch);
+    pub(crate) fn observe_replica(&mut self, front: usize, member: usize, epoch: u32) {
+        self.replica_epochs.insert((front, member), epoch);
     }
 
     /// A front may still take a former primary for one.
     pub(crate) fn excused(&self, front: usize, member: usize, was_primary: bool, epoch: u32) -> bool {
-        was_primary && self.told.get(&(front, member)) != Some(&epoch)
+        was_primary && self.replica_epochs.get(&(front, member)) != Some(&epoch)
     }
 
     /// Rules 1 to 3 on a submission that is about to leave.
-    pub(crate) fn sends(
+    pub(crate) fn check_send(
         &mut self,
         now: Duration,
         front: usize,
@@ -105,16 +105,18 @@
     ) {
         let (to, group, zone) = member;
         if !open {
-            self.breaks(1, now, || format!("front {front} sends txn {txn} to member {to} after its end"));
+            self.record_violation(1, now, || {
+                format!("front {front} sends txn {txn} to member {to} after its end")
+            });
         }
         if earlier.iter().any(|e| e.ended.is_none()) {
-            self.breaks(2, now, || format!("front {front} has two submissions of txn {txn} out"));
+            self.record_violation(2, now, || format!("front {front} has two submissions of txn {txn} out"));
         }
-        let again = earlier.iter().filter(|e| may_have_run(e));
-        let barred = match effect {
+        let maybe_run = earlier.iter().filter(|e| may_have_run(e));
+        let forbidden = match effect {
             Effect::Repeatable => false,
-            Effect::OnceOnly => again.count() > 0,
-            Effect::Referenced { window, scope } => again.into_iter().any(|e| {
+            Effect::OnceOnly => maybe_run.count() > 0,
+            Effect::Referenced { window, scope } => maybe_run.into_iter().any(|e| {
                 let inside = match scope {
                     Scope::Everywhere => true,
                     Scope::Zone => e.zone == zone,
@@ -123,18 +125,20 @@
                 !inside || now > e.sent + window
             }),
         };
-        if barred {
-            self.breaks(2, now, || format!("front {front} sends txn {txn} again, which may have run"));
+        if forbidden {
+            self.record_violation(2, now, || {
+                format!("front {front} sends txn {txn} again, which may have run")
+            });
         }
-        if self.stopped.get(&(front, to)).is_some_and(|&told| now > told + drain_grace) {
-            self.breaks(3, now, || {
+        if self.excluded_since.get(&(front, to)).is_some_and(|&since| now > since + drain_grace) {
+            self.record_violation(3, now, || {
                 format!("front {front} sends txn {txn} to member {to}, which is to get none")
             });
         }
     }
 
     /// Rule 2 on a decline.
-    pub(crate) fn declines(
+    pub(crate) fn check_decline(
         &mut self,
         now: Duration,
         front: usize,
@@ -147,7 +151,7 @@
             _ => !earlier.iter().any(may_have_run),
         };
         if !harmless {
-            self.breaks(2, now, || format!("front {front} declines txn {txn}, which may have run"));
+            self.record_violation(2, now, || format!("front {front} declines txn {txn}, which may have run"));
         }
     }
 }
--- a/crates/emulator/src/calendar.rs
+++ b/crates/emulator/src/calendar.rs
@@ -26,19 +26,19 @@
 struct Entry<T> {
     /// Nanoseconds.
     at: u64,
-    turn: u64,
-    what: T,
+    sequence: u64,
+    event: T,
 }
 
 impl<T> Entry<T> {
-    fn key(&self) -> (u64, u64) {
-        (self.at, self.turn)
+    fn order(&self) -> (u64, u64) {
+        (self.at, self.sequence)
     }
 }
 
 impl<T> PartialEq for Entry<T> {
     fn eq(&self, other: &Self) -> bool {
-        self.key() == other.key()
+        self.order() == other.order()
     }
 }
 
@@ -52,7 +52,7 @@
 
 impl<T> Ord for Entry<T> {
     fn cmp(&self, other: &Self) -> Ordering {
-        self.key().cmp(&other.key())
+        self.order().cmp(&other.order())
     }
 }
 
@@ -62,14 +62,14 @@
     /// Length of a day, in nanoseconds.
     length: u64,
     /// The day whose events are being taken: the latest first, and those set since it began.
-    today: u64,
+    current_day: u64,
     sorted: Vec<Entry<T>>,
-    late: BinaryHeap<Reverse<Entry<T>>>,
+    inserted: BinaryHeap<Reverse<Entry<T>>>,
     days: Vec<Vec<Entry<T>>>,
     /// Which of `days` hold anything.
-    full: Vec<u64>,
-    far: BinaryHeap<Reverse<Entry<T>>>,
-    turn: u64,
+    occupied: Vec<u64>,
+    overflow: BinaryHeap<Reverse<Entry<T>>>,
+    sequence: u64,
     len: usize,
 }
 
@@ -79,13 +79,13 @@
         let words = days.div_ceil(64).max(1);
         Calendar {
             length: (length.as_nanos() as u64).max(1),
-            today: 0,
+            current_day: 0,
             sorted: Vec::new(),
-            late: BinaryHeap::new(),
+            inserted: BinaryHeap::new(),
             days: (0..64 * words).map(|_| Vec::new()).collect(),
-            full: vec![0; words],
-            far: BinaryHeap::new(),
-            turn: 0,
+            occupied: vec![0; words],
+            overflow: BinaryHeap::new(),
+            sequence: 0,
             len: 0,
         }
     }
@@ -99,64 +99,65 @@
     }
 
     /// Sets an event. One in the past comes next, in its order.
-    pub fn set(&mut self, at: Duration, what: T) {
+    pub fn set(&mut self, at: Duration, event: T) {
         let at = u64::try_from(at.as_nanos()).unwrap_or(u64::MAX);
-        self.turn += 1;
+        self.sequence += 1;
         self.len += 1;
-        self.put(Entry { at, turn: self.turn, what });
+        self.insert(Entry { at, sequence: self.sequence, event });
     }
 
-    fn put(&mut self, entry: Entry<T>) {
+    fn insert(&mut self, entry: Entry<T>) {
         let day = entry.at / self.length;
-        if day <= self.today {
-            self.late.push(Reverse(entry));
-        } else if day - self.today < self.days.len() as u64 {
+        if day <= self.current_day {
+            self.inserted.push(Reverse(entry));
+        } else if day - self.current_day < self.days.len() as u64 {
             let at = (day % self.days.len() as u64) as usize;
             self.days[at].push(entry);
-            self.full[at / 64] |= 1 << (at % 64);
+            self.occupied[at / 64] |= 1 << (at % 64);
         } else {
-            self.far.push(Reverse(entry));
+            self.overflow.push(Reverse(entry));
         }
     }
 
     /// When the next event comes.
     pub fn next_at(&mut self) -> Option<Duration> {
-        self.turn_to_next();
+        self.advance_to_next();
         let sorted = self.sorted.last().map(|entry| entry.at);
-        let late = self.late.peek().map(|entry| entry.0.at);
-        sorted.into_iter().chain(late).min().map(Duration::from_nanos)
+        let inserted = self.inserted.peek().map(|entry| entry.0.at);
+        sorted.into_iter().chain(inserted).min().map(Duration::from_nanos)
     }
 
     /// Takes the next event.
     pub fn take(&mut self) -> Option<(Duration, T)> {
-        self.turn_to_next();
-        let late = match (self.sorted.last(), self.late.peek()) {
-            (Some(sorted), Some(late)) => late.0.key() < sorted.key(),
-            (None, late) => late.is_some(),
+        self.advance_to_next();
+        let inserted = match (self.sorted.last(), self.inserted.peek()) {
+            (Some(sorted), Some(inserted)) => inserted.0.order() < sorted.order(),
+            (None, inserted) => inserted.is_some(),
             (Some(_), None) => false,
         };
-        let entry = if late { self.late.pop().map(|late| late.0) } else { self.sorted.pop() }?;
+        let entry =
+            if inserted { self.inserted.pop().map(|inserted| inserted.0) } else { self.sorted.pop() }?;
         self.len -= 1;
-        Some((Duration::from_nanos(entry.at), entry.what))
+        Some((Duration::from_nanos(entry.at), entry.event))
     }
 
     /// Goes on to the next day that holds anything, if today does not.
-    fn turn_to_next(&mut self) {
-        while self.sorted.is_empty() && self.late.is_empty() && self.len > 0 {
+    fn advance_to_next(&mut self) {
+        while self.sorted.is_empty() && self.inserted.is_empty() && self.len > 0 {
             let next = self.next_day();
-            let far = self.far.peek().map(|entry| entry.0.at / self.length);
-            self.today = next.into_iter().chain(far).min().unwrap_or(self.today);
-            let at = (self.today % self.days.len() as u64) as usize;
-            if next == Some(self.today) {
+            let overflow = self.overflow.peek().map(|entry| entry.0.at / self.length);
+            self.current_day = next.into_iter().chain(overflow).min().unwrap_or(self.current_day);
+            let at = (self.current_day % self.days.len() as u64) as usize;
+            if next == Some(self.current_day) {
                 std::mem::swap(&mut self.sorted, &mut self.days[at]);
-                self.full[at / 64] &= !(1 << (at % 64));
-                self.sorted.sort_unstable_by_key(|entry| Reverse(entry.key()));
+                self.occupied[at / 64] &= !(1 << (at % 64));
+                self.sorted.sort_unstable_by_key(|entry| Reverse(entry.order()));
             }
             // What was far off comes into reach.
-            let reach = self.today + self.days.len() as u64;
-            while self.far.peek().is_some_and(|entry| entry.0.at / self.length < reach) {
-                if let Some(Reverse(entry)) = self.far.pop() {
-                    self.put(entry);
+            let reach = self.current_day + self.days.len() as u64;
+            while self.overflow.peek().is_some_and(|entry| entry.0.at / self.length < reach) {
+                if let Some(Reverse(entry)) = self.overflow.pop() {
+                    self.insert(entry);
                 }
             }
         }
@@ -164,19 +165,19 @@
 
     /// The next day in reach that holds anything.
     fn next_day(&self) -> Option<u64> {
-        let (days, words) = (self.days.len() as u64, self.full.len());
-        let first = ((self.today + 1) % days) as usize;
+        let (days, words) = (self.days.len() as u64, self.occupied.len());
+        let first = ((self.current_day + 1) % days) as usize;
         let found = (0..=words).find_map(|step| {
             let word = (first / 64 + step) % words;
-            let mut full = self.full[word];
+            let mut occupied = self.occupied[word];
             if step == 0 {
-                full &= u64::MAX << (first % 64);
+                occupied &= u64::MAX << (first % 64);
             } else if step == words {
-                full &= !(u64::MAX << (first % 64));
+                occupied &= !(u64::MAX << (first % 64));
             }
-            (full != 0).then(|| word * 64 + full.trailing_zeros() as usize)
+            (occupied != 0).then(|| word * 64 + occupied.trailing_zeros() as usize)
         })?;
         let ahead = (found as u64 + days - first as u64) % days;
-        Some(self.today + 1 + ahead)
+        Some(self.current_day + 1 + ahead)
     }
 }
--- a/crates/emulator/src/group.rs
+++ b/crates/emulator/src/group.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 /// Writes are kept in the log for so long; no member is further behind and still of use.
-const KEPT: Duration = Duration::from_secs(30);
+const LOG_RETENTION: Duration = Duration::from_secs(30);
 
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Write {
@@ -20,28 +20,28 @@
     pub term: u32,
     log: VecDeque<Write>,
     /// The place of the first write that is kept.
-    first: u64,
+    first_index: u64,
     /// When the write of a mark ran.
     marks: HashMap<u64, Duration>,
     /// Answers that wait until a replica has their write: submission and place.
     pub unanswered: Vec<(u32, u64)>,
     /// The pending election; older ones are void.
-    pub turn: u32,
+    pub generation: u32,
     pub electing: bool,
     /// It hands over by itself.
-    pub handing: bool,
+    pub handing_over: bool,
 }
 
 impl Group {
     /// The place that the next write gets.
-    pub fn end(&self) -> u64 {
-        self.first + self.log.len() as u64
+    pub fn next_index(&self) -> u64 {
+        self.first_index + self.log.len() as u64
     }
 
     pub fn commit(&mut self, now: Duration, mark: u64, txn: u32) -> u64 {
-        while self.log.front().is_some_and(|old| old.at + KEPT < now) {
+        while self.log.front().is_some_and(|old| old.at + LOG_RETENTION < now) {
             if let Some(old) = self.log.pop_front() {
-                self.first += 1;
+                self.first_index += 1;
                 if self.marks.get(&old.mark) == Some(&old.at) {
                     self.marks.remove(&old.mark);
                 }
@@ -51,23 +51,23 @@
         if mark != 0 {
             self.marks.insert(mark, now);
         }
-        self.end() - 1
+        self.next_index() - 1
     }
 
     /// Whether the write of a mark has run and is remembered.
-    pub fn knows(&self, mark: u64, arrived: Duration, remembered: Duration) -> bool {
+    pub fn has_run(&self, mark: u64, arrived: Duration, remembered: Duration) -> bool {
         self.marks.get(&mark).is_some_and(|&at| at + remembered >= arrived)
     }
 
     /// Where the write of a mark lies in the log, while it is kept.
-    pub fn place_of(&self, mark: u64) -> Option<u64> {
-        let index = self.log.iter().rposition(|write| write.mark == mark)?;
-        Some(self.first + index as u64)
+    pub fn index_of(&self, mark: u64) -> Option<u64> {
+        let offset = self.log.iter().rposition(|write| write.mark == mark)?;
+        Some(self.first_index + offset as u64)
     }
 
     /// Drops the branch from a place on; gives what was in it.
-    pub fn drop_from(&mut self, place: u64) -> Vec<Write> {
-        let keep = place.saturating_sub(self.first) as usize;
+    pub fn truncate_from(&mut self, index: u64) -> Vec<Write> {
+        let keep = index.saturating_sub(self.first_index) as usize;
         let dropped: Vec<Write> = self.log.drain(keep.min(self.log.len())..).collect();
         for write in &dropped {
             if self.marks.get(&write.mark) == Some(&write.at) {
@@ -78,8 +78,8 @@
     }
 
     /// The writes after a time, with their places.
-    pub fn since(&self, at: Duration) -> impl Iterator<Item = (u64, Duration)> + '_ {
+    pub fn writes_after(&self, at: Duration) -> impl Iterator<Item = (u64, Duration)> + '_ {
         let from = self.log.partition_point(|write| write.at <= at);
-        (from..self.log.len()).map(move |i| (self.first + i as u64, self.log[i].at))
+        (from..self.log.len()).map(move |i| (self.first_index + i as u64, self.log[i].at))
     }
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -10,14 +10,14 @@
 
 mod audit;
 mod calendar;
-mod chance;
 mod group;
 mod member;
+mod random;
 mod shape;
 mod world;
 
 pub use audit::{Audit, Broken, RULES};
 pub use calendar::Calendar;
-pub use chance::{Stream, Zipf};
+pub use random::{Stream, Zipf};
 pub use shape::{Crowd, Election, Ill, Kind, Log, Node, Shape, Trouble, What, Whom};
 pub use world::{Entry, How, Note, Out, Told, World};
--- a/crates/emulator/src/member.rs
+++ b/crates/emulator/src/member.rs
@@ -9,16 +9,16 @@
 use std::time::Duration;
 
 /// Capacity rises in so many steps while a member is cold.
-const STEPS: u32 = 20;
+const WARM_UP_STEPS: u32 = 20;
 /// Work shorter than this, in seconds, is done.
-const DONE: f64 = 1e-9;
+const WORK_EPSILON_S: f64 = 1e-9;
 
 /// A write that a replica has still to apply: its place in the log, when it was committed, and when it is here.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Pending {
-    pub place: u64,
+    pub index: u64,
     pub at: Duration,
-    pub here: Duration,
+    pub arrives_at: Duration,
 }
 
 /// Idle connections of a front: since when each rests, the last used last.
@@ -33,7 +33,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Said {
+pub(crate) struct LoadReport {
     pub made: Option<Duration>,
     pub primary: bool,
     pub position: Duration,
@@ -53,27 +53,27 @@
     pub cut_from_fronts: u32,
     pub cut_from_peers: u32,
     pub speed: f64,
-    pub lag: f64,
-    pub errors: f64,
-    pub loses: f64,
-    pub lies: bool,
+    pub lag_factor: f64,
+    pub error_rate: f64,
+    pub answer_loss: f64,
+    pub hides_load: bool,
     /// Cold since then.
     pub started: Option<Duration>,
     /// Work done for each that is at work since the start, in seconds, up to `at`.
-    served: f64,
+    progress: f64,
     at: Duration,
-    /// By the `served` at which each is done, in billionths.
+    /// By the `progress` at which each is done, in billionths.
     work: BinaryHeap<Reverse<(u64, u32)>>,
     pub waiting: VecDeque<u32>,
     /// Read by nobody yet: it hangs.
     pub unread: Vec<u32>,
     /// Writes at one that has lost its slot and does not know.
-    pub limbo: Vec<u32>,
+    pub orphaned: Vec<u32>,
     /// Reads at work that keep the log from being applied.
-    pub blockers: usize,
+    pub blocking_reads: usize,
     /// Its pending step, older ones are void.
-    pub turn: u32,
-    pub believes: bool,
+    pub generation: u32,
+    pub claims_primary: bool,
     pub was_primary: bool,
     /// How often it has been primary.
     pub epoch: u32,
@@ -82,7 +82,7 @@
     pub position: Duration,
     pub open: usize,
     pub pools: BTreeMap<usize, Pool>,
-    pub said: Said,
+    pub load_report: LoadReport,
     /// Work that came in while it was cold: when, and how much in seconds, of which kind.
     pub pressure: VecDeque<(Duration, f64, Load)>,
 }
@@ -99,20 +99,20 @@
             cut_from_fronts: 0,
             cut_from_peers: 0,
             speed: 1.0,
-            lag: 1.0,
-            errors: 0.0,
-            loses: 0.0,
-            lies: false,
+            lag_factor: 1.0,
+            error_rate: 0.0,
+            answer_loss: 0.0,
+            hides_load: false,
             started: None,
-            served: 0.0,
+            progress: 0.0,
             at: Duration::ZERO,
             work: BinaryHeap::new(),
             waiting: VecDeque::new(),
             unread: Vec::new(),
-            limbo: Vec::new(),
-            blockers: 0,
-            turn: 0,
-            believes: false,
+            orphaned: Vec::new(),
+            blocking_reads: 0,
+            generation: 0,
+            claims_primary: false,
             was_primary: false,
             epoch: 0,
             pending: VecDeque::new(),
@@ -120,17 +120,17 @@
             position: Duration::ZERO,
             open: 0,
             pools: BTreeMap::new(),
-            said: Said::default(),
+            load_report: LoadReport::default(),
             pressure: VecDeque::new(),
         }
     }
 
-    pub fn runs(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.up && self.hung == 0
     }
 
     pub fn reaches_peers(&self) -> bool {
-        self.runs() && self.cut_from_peers == 0
+        self.is_running() && self.cut_from_peers == 0
     }
 
     pub fn at_work(&self) -> usize {
@@ -146,12 +146,13 @@
 
     /// Work done for each that is at work, in a second.
     fn rate(&self, now: Duration, shape: &Shape) -> f64 {
-        let n = self.work.len() as f64 + f64::from(u8::from(self.applying.is_some() && self.blockers == 0));
-        if !self.runs() || n == 0.0 {
+        let n =
+            self.work.len() as f64 + f64::from(u8::from(self.applying.is_some() && self.blocking_reads == 0));
+        if !self.is_running() || n == 0.0 {
             return 0.0;
         }
-        let held = self.work.len() + self.waiting.len();
-        let over = (held as f64 / shape.cores - shape.thrash).max(0.0);
+        let total = self.work.len() + self.waiting.len();
+        let over = (total as f64 / shape.cores - shape.thrash).max(0.0);
         self.speed * self.warmth(now, shape) * (shape.cores / n).min(1.0) / (1.0 + 0.02 * over)
     }
 
@@ -160,22 +161,22 @@
         let rate = self.rate(self.at, shape);
         let done = rate * now.saturating_sub(self.at).as_secs_f64();
         self.at = self.at.max(now);
-        self.served += done;
-        if let Some(left) = self.applying.as_mut().filter(|_| self.blockers == 0) {
+        self.progress += done;
+        if let Some(left) = self.applying.as_mut().filter(|_| self.blocking_reads == 0) {
             *left -= done;
         }
     }
 
     /// Sets a txn to work that takes so many seconds of one core.
-    pub fn begin(&mut self, sub: u32, seconds: f64) {
-        let ends = ((self.served + seconds) * 1e9) as u64;
+    pub fn start_work(&mut self, sub: u32, seconds: f64) {
+        let ends = ((self.progress + seconds) * 1e9) as u64;
         self.work.push(Reverse((ends, sub)));
     }
 
     /// The next txn that is done.
-    pub fn done(&mut self) -> Option<u32> {
+    pub fn pop_done(&mut self) -> Option<u32> {
         let Reverse((ends, _)) = *self.work.peek()?;
-        (ends as f64 <= (self.served + DONE) * 1e9 + 1.0)
+        (ends as f64 <= (self.progress + WORK_EPSILON_S) * 1e9 + 1.0)
             .then(|| self.work.pop().map(|Reverse((_, sub))| sub))?
     }
 
@@ -184,7 +185,7 @@
         let mut applied = false;
         loop {
             match self.applying {
-                Some(left) if left <= DONE => {
+                Some(left) if left <= WORK_EPSILON_S => {
                     self.applying = None;
                     if let Some(pending) = self.pending.pop_front() {
                         self.position = self.position.max(pending.at);
@@ -193,8 +194,8 @@
                 }
                 Some(_) => return applied,
                 None => match self.pending.front() {
-                    Some(next) if next.here <= now && self.runs() => {
-                        self.applying = Some(shape.log.apply.as_secs_f64() * self.lag);
+                    Some(next) if next.arrives_at <= now && self.is_running() => {
+                        self.applying = Some(shape.log.apply.as_secs_f64() * self.lag_factor);
                     }
                     _ => return applied,
                 },
@@ -208,8 +209,8 @@
     }
 
     /// When it is to be looked at again.
-    pub fn next(&self, now: Duration, shape: &Shape) -> Option<Duration> {
-        if !self.runs() {
+    pub fn next_step_at(&self, now: Duration, shape: &Shape) -> Option<Duration> {
+        if !self.is_running() {
             return None;
         }
         let rate = self.rate(now, shape);
@@ -217,23 +218,24 @@
             (rate > 0.0)
                 .then(|| now + Duration::from_nanos((work.max(0.0) / rate * 1e9).ceil().min(1e18) as u64 + 1))
         };
-        let txn = self.work.peek().and_then(|Reverse((ends, _))| after(*ends as f64 / 1e9 - self.served));
-        let applied = self.applying.filter(|_| self.blockers == 0).and_then(after);
-        let here = self.pending.front().filter(|_| self.applying.is_none()).map(|next| next.here);
-        let here = here.filter(|&here| here < Duration::MAX).map(|here| here.max(now));
+        let txn = self.work.peek().and_then(|Reverse((ends, _))| after(*ends as f64 / 1e9 - self.progress));
+        let applied = self.applying.filter(|_| self.blocking_reads == 0).and_then(after);
+        let arrives_at = self.pending.front().filter(|_| self.applying.is_none()).map(|next| next.arrives_at);
+        let arrives_at =
+            arrives_at.filter(|&arrives_at| arrives_at < Duration::MAX).map(|arrives_at| arrives_at.max(now));
         let cold = self.started.filter(|&at| now < at + shape.cold.warm_up);
-        let warmer = cold.map(|_| now + (shape.cold.warm_up / STEPS).max(Duration::from_millis(1)));
-        [txn, applied, here, warmer.filter(|_| rate > 0.0)].into_iter().flatten().min()
+        let warmer = cold.map(|_| now + (shape.cold.warm_up / WARM_UP_STEPS).max(Duration::from_millis(1)));
+        [txn, applied, arrives_at, warmer.filter(|_| rate > 0.0)].into_iter().flatten().min()
     }
 
     /// All that it had in hand, which is lost with it.
-    pub fn drop_all(&mut self) -> Vec<u32> {
+    pub fn drop_all_work(&mut self) -> Vec<u32> {
         let mut all: Vec<u32> = self.work.drain().map(|Reverse((_, sub))| sub).collect();
         all.sort_unstable();
         all.extend(self.waiting.drain(..));
         all.append(&mut self.unread);
-        all.append(&mut self.limbo);
-        (self.blockers, self.applying, self.open) = (0, None, 0);
+        all.append(&mut self.orphaned);
+        (self.blocking_reads, self.applying, self.open) = (0, None, 0);
         self.pools.clear();
         all
     }
@@ -241,19 +243,19 @@
     /// Takes an idle connection of a front, or opens one; `None` if it has no connection left. Says whether
     /// it was opened.
     pub fn connect(&mut self, now: Duration, front: usize, shape: &Shape) -> Option<bool> {
-        let fresh = |pool: &mut Pool| {
+        let close_expired = |pool: &mut Pool| {
             let before = pool.len();
             pool.retain(|&since| since + shape.idle > now);
             before - pool.len()
         };
         let pool = self.pools.entry(front).or_default();
-        self.open -= fresh(pool).min(self.open);
+        self.open -= close_expired(pool).min(self.open);
         if pool.pop().is_some() {
             return Some(false);
         }
         if self.open >= shape.connections {
             // The idle ones of others may have ended by now.
-            let ended: usize = self.pools.values_mut().map(fresh).sum();
+            let ended: usize = self.pools.values_mut().map(close_expired).sum();
             self.open -= ended.min(self.open);
         }
         (self.open < shape.connections).then(|| {
@@ -263,7 +265,7 @@
     }
 
     /// A connection rests, or has ended.
-    pub fn rest(&mut self, now: Duration, front: usize, ended: bool) {
+    pub fn release_connection(&mut self, now: Duration, front: usize, ended: bool) {
         if ended {
             self.open = self.open.saturating_sub(1);
         } else {
@@ -273,7 +275,13 @@
 
     /// Notes work that has come in. If the budget of some window is spent the cold member falls: then it tells,
     /// in seconds, what came in that window as txns, handshakes and probes, and what it could bear.
-    pub fn press(&mut self, now: Duration, seconds: f64, load: Load, shape: &Shape) -> Option<[f64; 4]> {
+    pub fn add_cold_load(
+        &mut self,
+        now: Duration,
+        seconds: f64,
+        load: Load,
+        shape: &Shape,
+    ) -> Option<[f64; 4]> {
         if self.started.is_none_or(|at| now >= at + shape.cold.warm_up) {
             self.pressure.clear();
             return None;
@@ -282,10 +290,10 @@
         while self.pressure.front().is_some_and(|&(at, ..)| at + shape.cold.window < now) {
             self.pressure.pop_front();
         }
-        let of = |load: Load| self.pressure.iter().filter(|p| p.2 == load).map(|p| p.1).sum::<f64>();
-        let [txns, handshakes, probes] = [Load::Txn, Load::Handshake, Load::Probe].map(of);
-        let can = shape.cores * self.warmth(now, shape) * shape.cold.window.as_secs_f64();
-        let most = shape.cold.multiple * can;
-        (txns + handshakes + probes > most).then_some([txns, handshakes, probes, most])
+        let sum_of = |load: Load| self.pressure.iter().filter(|p| p.2 == load).map(|p| p.1).sum::<f64>();
+        let [txns, handshakes, probes] = [Load::Txn, Load::Handshake, Load::Probe].map(sum_of);
+        let capacity = shape.cores * self.warmth(now, shape) * shape.cold.window.as_secs_f64();
+        let limit = shape.cold.multiple * capacity;
+        (txns + handshakes + probes > limit).then_some([txns, handshakes, probes, limit])
     }
 }
--- a/crates/emulator/src/chance.rs
+++ b/crates/emulator/src/random.rs
@@ -25,13 +25,13 @@
     }
 
     /// Below a number, which is at least 1.
-    pub fn below(&mut self, most: usize) -> usize {
-        self.0.rand_range(0..most.max(1) as u64) as usize
+    pub fn below(&mut self, bound: usize) -> usize {
+        self.0.rand_range(0..bound.max(1) as u64) as usize
     }
 
     /// Evenly between two spans.
-    pub fn span(&mut self, (least, most): (Duration, Duration)) -> Duration {
-        least + most.saturating_sub(least).mul_f64(self.share())
+    pub fn span(&mut self, (min, max): (Duration, Duration)) -> Duration {
+        min + max.saturating_sub(min).mul_f64(self.share())
     }
 
     /// The time to the next of what comes so often a second, independent of all before.
@@ -47,9 +47,9 @@
 
 impl Zipf {
     /// Over so many numbers; 0 draws all alike.
-    pub fn new(over: usize, skew: f64) -> Zipf {
+    pub fn new(count: usize, skew: f64) -> Zipf {
         let mut sum = 0.0;
-        let sums = (0..over.max(1)).map(|n| {
+        let sums = (0..count.max(1)).map(|n| {
             sum += libm::pow(n as f64 + 1.0, -skew);
             sum
         });
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -2,9 +2,9 @@
 
 use crate::audit::{Audit, Earlier};
 use crate::calendar::Calendar;
-use crate::chance::{Stream, Zipf};
 use crate::group::Group;
-use crate::member::{Load, Member, Pending, Said};
+use crate::member::{Load, LoadReport, Member, Pending};
+use crate::random::{Stream, Zipf};
 use crate::shape::{Ill, Shape, Trouble, What, Whom};
 use juniperdock_router::host::{AttemptOutcome, Consistency, Effect, ListedState, Report, Role};
 use std::collections::{BTreeSet, VecDeque};
@@ -12,10 +12,10 @@
 use xxhash_rust::xxh3::Xxh3;
 
 /// A day of the calendar, and how many of them lie before what is far off.
-const DAY: Duration = Duration::from_micros(250);
-const DAYS: usize = 8192;
+const CALENDAR_DAY: Duration = Duration::from_micros(250);
+const CALENDAR_DAYS: usize = 8192;
 /// An election that finds nobody is tried again.
-const NOBODY: Duration = Duration::from_millis(100);
+const ELECTION_RETRY: Duration = Duration::from_millis(100);
 /// What a front finds in its list of a member that started long ago.
 const LONG_AGO: Option<Duration> = None;
 
@@ -180,25 +180,25 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    Next,
-    Again(u32),
+    Arrival,
+    Retry(u32),
     Expire(u32),
-    Overdue(u32),
-    Reach(u32),
-    Back(u32, AttemptOutcome),
-    Late(u32),
-    ProbeReach(usize, u32, usize, Duration),
-    ProbeBack(usize, u32, usize, Option<Said>),
+    AnswerOverdue(u32),
+    SubmissionArrives(u32),
+    SubmissionEnds(u32, AttemptOutcome),
+    SubmissionTimeout(u32),
+    ProbeArrives(usize, u32, usize, Duration),
+    ProbeEnds(usize, u32, usize, Option<LoadReport>),
     Step(usize, u32),
-    Acked(u32),
-    Lost(usize, u32),
+    Replicated(u32),
+    PrimaryLost(usize, u32),
     Elect(usize, u32),
-    Learn(usize, u32),
-    List(usize, u32, u32),
-    Begin(u32),
-    End(u32),
-    Due(usize, u32, u64),
-    Share(usize, usize, u32),
+    LearnDemotion(usize, u32),
+    ListChange(usize, u32, u32),
+    FaultBegins(u32),
+    FaultEnds(u32),
+    TimerDue(usize, u32, u64),
+    MessageArrives(usize, usize, u32),
 }
 
 struct Call {
@@ -211,19 +211,19 @@
     done: bool,
 }
 
-struct Try {
+struct Txn {
     call: u32,
     front: usize,
-    life: u32,
+    incarnation: u32,
     begun: Duration,
     expiry: Duration,
-    subs: Vec<u32>,
+    submissions: Vec<u32>,
     /// Times that its write took effect in the branch that lives.
-    ran: u32,
+    effects: u32,
     told: Option<Told>,
 }
 
-struct Sub {
+struct Submission {
     txn: u32,
     member: usize,
     sent: Duration,
@@ -232,7 +232,7 @@
     /// It came by a connection that was opened for it, or none came up.
     opened: bool,
     /// Its answer is on the way, or never will be.
-    settled: bool,
+    outcome_decided: bool,
     role: Option<Role>,
     position: Option<Duration>,
 }
@@ -240,10 +240,10 @@
 struct Front {
     zone: usize,
     up: bool,
-    life: u32,
-    stands: u32,
+    incarnation: u32,
+    pauses: u32,
     /// What has come while it stood still.
-    kept: VecDeque<Out>,
+    delayed: VecDeque<Out>,
     open: BTreeSet<u32>,
 }
 
@@ -256,23 +256,23 @@
     groups: Vec<Group>,
     fronts: Vec<Front>,
     calls: Vec<Call>,
-    tries: Vec<Try>,
-    subs: Vec<Sub>,
-    changes: Vec<Entry>,
+    txns: Vec<Txn>,
+    submissions: Vec<Submission>,
+    list_changes: Vec<Entry>,
     entries: Vec<Entry>,
     ready: VecDeque<Out>,
     /// Which members a trouble has met.
-    met: Vec<Vec<usize>>,
-    cut: Vec<u32>,
-    silent: u32,
-    unsaid: BTreeSet<usize>,
-    late: Duration,
+    affected: Vec<Vec<usize>>,
+    zone_cuts: Vec<u32>,
+    list_silences: u32,
+    unannounced: BTreeSet<usize>,
+    list_delay: Duration,
     surge: f64,
     zipf: Zipf,
-    parts: Vec<f64>,
+    cumulative_parts: Vec<f64>,
     arrivals: Stream,
     /// When the arrival being handled was due: another clock may be past it.
-    due: Duration,
+    next_arrival_at: Duration,
     clients: Stream,
     works: Stream,
     elections: Stream,
@@ -292,33 +292,33 @@
     /// Which members a front does not reach, beyond troubles.
     unreached: BTreeSet<(usize, usize)>,
     /// What fronts have sent each other and is under way, and places that are free again.
-    letters: Vec<Option<Box<[u8]>>>,
-    unused: Vec<u32>,
+    payloads: Vec<Option<Box<[u8]>>>,
+    free_payloads: Vec<u32>,
 }
 
 impl World {
     pub fn new(shape: Shape) -> World {
         let stream = |name| Stream::of(shape.seed, name, 0);
         let groups = shape.members.iter().map(|node| node.group + 1).max().unwrap_or(0);
-        let mut parts = Vec::new();
+        let mut cumulative_parts = Vec::new();
         shape.kinds.iter().fold(0.0, |sum, kind| {
-            parts.push(sum + kind.part);
+            cumulative_parts.push(sum + kind.part);
             sum + kind.part
         });
         let mut world = World {
             now: Duration::ZERO,
-            calendar: Calendar::new(DAY, DAYS),
+            calendar: Calendar::new(CALENDAR_DAY, CALENDAR_DAYS),
             members: Vec::new(),
             groups: (0..groups).map(|_| Group::default()).collect(),
             fronts: Vec::new(),
             calls: Vec::new(),
-            tries: Vec::new(),
-            subs: Vec::new(),
-            changes: Vec::new(),
+            txns: Vec::new(),
+            submissions: Vec::new(),
+            list_changes: Vec::new(),
             entries: Vec::new(),
             ready: VecDeque::new(),
-            met: vec![Vec::new(); shape.troubles.len()],
-            cut: vec![
+            affected: vec![Vec::new(); shape.troubles.len()],
+            zone_cuts: vec![
                 0;
                 shape
                     .fronts
@@ -327,14 +327,14 @@
                     .max()
                     .map_or(1, |z| z + 1)
             ],
-            silent: 0,
-            unsaid: BTreeSet::new(),
-            late: Duration::ZERO,
+            list_silences: 0,
+            unannounced: BTreeSet::new(),
+            list_delay: Duration::ZERO,
             surge: 1.0,
             zipf: Zipf::new(groups, shape.crowd.skew),
-            parts,
+            cumulative_parts,
             arrivals: stream("arrivals"),
-            due: Duration::ZERO,
+            next_arrival_at: Duration::ZERO,
             clients: stream("clients"),
             works: stream("works"),
             elections: stream("elections"),
@@ -347,8 +347,8 @@
             remote: false,
             notes: None,
             unreached: BTreeSet::new(),
-            letters: Vec::new(),
-            unused: Vec::new(),
+            payloads: Vec::new(),
+            free_payloads: Vec::new(),
             shape,
         };
         for node in world.shape.members.clone() {
@@ -360,7 +360,7 @@
             if primary {
                 (group.primary, group.term) = (Some(member), 1);
                 let member = &mut world.members[member];
-                (member.believes, member.was_primary, member.epoch) = (true, true, 1);
+                (member.claims_primary, member.was_primary, member.epoch) = (true, true, 1);
             }
             let crate::shape::Node { group, zone } = node;
             world.entries.push(Entry {
@@ -373,16 +373,23 @@
             });
         }
         for (front, zone) in world.shape.fronts.clone().into_iter().enumerate() {
-            let kept = VecDeque::new();
-            world.fronts.push(Front { zone, up: true, life: 0, stands: 0, kept, open: BTreeSet::new() });
+            let delayed = VecDeque::new();
+            world.fronts.push(Front {
+                zone,
+                up: true,
+                incarnation: 0,
+                pauses: 0,
+                delayed,
+                open: BTreeSet::new(),
+            });
             let known = world.entries.clone();
             world.ready.push_back(Out::Born { front, known });
         }
         for (i, trouble) in world.shape.troubles.clone().into_iter().enumerate() {
-            world.calendar.set(trouble.from, Event::Begin(i as u32));
-            world.calendar.set(trouble.from + trouble.lasts, Event::End(i as u32));
+            world.calendar.set(trouble.from, Event::FaultBegins(i as u32));
+            world.calendar.set(trouble.from + trouble.lasts, Event::FaultEnds(i as u32));
         }
-        world.calendar.set(Duration::ZERO, Event::Next);
+        world.calendar.set(Duration::ZERO, Event::Arrival);
         world
     }
 
@@ -404,7 +411,7 @@
         self.notes.as_mut().map(std::mem::take).unwrap_or_default()
     }
 
-    fn jot(&mut self, note: Note) {
+    fn record_note(&mut self, note: Note) {
         let now = self.now;
         self.notes.iter_mut().for_each(|notes| notes.push((now, note)));
     }
@@ -412,7 +419,7 @@
     /// A group's primary hands over, and nobody is told.
     pub fn hand_over(&mut self, group: usize) {
         if let Some(primary) = self.groups[group].primary {
-            self.strike(primary, Ill::Moved);
+            self.inject_fault(primary, Ill::Moved);
         }
     }
 
@@ -432,7 +439,7 @@
 
     /// Who is primary of a group.
     pub fn primary(&self, group: usize) -> Option<usize> {
-        self.groups[group].primary.filter(|&p| self.members[p].runs())
+        self.groups[group].primary.filter(|&p| self.members[p].is_running())
     }
 
     pub fn groups(&self) -> usize {
@@ -454,12 +461,12 @@
 
     /// How old a member's data is; nothing for one that does not run.
     pub fn age(&self, member: usize) -> Option<Duration> {
-        self.members[member].runs().then(|| self.now.saturating_sub(self.truth(member)))
+        self.members[member].is_running().then(|| self.now.saturating_sub(self.applied_until(member)))
     }
 
     /// Whether a member would take txns of a front now.
     pub fn reachable(&self, front: usize, member: usize) -> bool {
-        self.members[member].runs() && !self.apart(front, member)
+        self.members[member].is_running() && !self.is_cut_off(front, member)
     }
 
     pub fn group_of(&self, member: usize) -> usize {
@@ -491,7 +498,7 @@
             let (at, event) = self.calendar.take()?;
             self.now = self.now.max(at);
             self.events += 1;
-            self.note(&event);
+            self.hash_event(&event);
             self.handle(event);
         }
     }
@@ -508,8 +515,8 @@
             | Out::Due { front, .. } => &mut self.fronts[front],
             Out::Born { .. } | Out::Done { .. } | Out::Answered { .. } => return Some(out),
         };
-        if front.stands > 0 {
-            front.kept.push_back(out);
+        if front.pauses > 0 {
+            front.delayed.push_back(out);
             return None;
         }
         if !front.up {
@@ -518,45 +525,45 @@
         match out {
             Out::Listed { front, entry } => {
                 let stopped = entry.state != ListedState::Up;
-                self.audit.listed(self.now, front, entry.member, stopped);
+                self.audit.observe_listed(self.now, front, entry.member, stopped);
             }
             Out::Ended { front, member, role: Some(Role::Replica), .. } => {
                 let epoch = self.members[member].epoch;
-                self.audit.heard_replica(front, member, epoch);
-                self.jot(Note::Replica { front, member, epoch });
+                self.audit.observe_replica(front, member, epoch);
+                self.record_note(Note::Replica { front, member, epoch });
             }
             _ => {}
         }
         Some(out)
     }
 
-    fn note(&mut self, event: &Event) {
+    fn hash_event(&mut self, event: &Event) {
         let (tag, a, b) = match *event {
-            Event::Next => (0, 0, 0),
-            Event::Again(call) => (1, call.into(), 0),
+            Event::Arrival => (0, 0, 0),
+            Event::Retry(call) => (1, call.into(), 0),
             Event::Expire(txn) => (2, txn.into(), 0),
-            Event::Overdue(txn) => (3, txn.into(), 0),
-            Event::Reach(sub) => (4, sub.into(), 0),
-            Event::Back(sub, ending) => (5, sub.into(), ending as u64),
-            Event::Late(sub) => (6, sub.into(), 0),
-            Event::ProbeReach(front, _, member, _) => (7, front as u64, member as u64),
-            Event::ProbeBack(front, _, member, said) => {
-                (8, front as u64, member as u64 * 2 + u64::from(said.is_some()))
+            Event::AnswerOverdue(txn) => (3, txn.into(), 0),
+            Event::SubmissionArrives(sub) => (4, sub.into(), 0),
+            Event::SubmissionEnds(sub, ending) => (5, sub.into(), ending as u64),
+            Event::SubmissionTimeout(sub) => (6, sub.into(), 0),
+            Event::ProbeArrives(front, _, member, _) => (7, front as u64, member as u64),
+            Event::ProbeEnds(front, _, member, load_report) => {
+                (8, front as u64, member as u64 * 2 + u64::from(load_report.is_some()))
             }
-            Event::Step(member, turn) => (9, member as u64, turn.into()),
-            Event::Acked(sub) => (10, sub.into(), 0),
-            Event::Lost(group, turn) => (11, group as u64, turn.into()),
-            Event::Elect(group, turn) => (12, group as u64, turn.into()),
-            Event::Learn(member, epoch) => (13, member as u64, epoch.into()),
-            Event::List(front, _, change) => (14, front as u64, change.into()),
-            Event::Begin(trouble) => (15, trouble.into(), 0),
-            Event::End(trouble) => (16, trouble.into(), 0),
-            Event::Due(front, _, handle) => (17, front as u64, handle),
-            Event::Share(from, to, _) => (18, from as u64, to as u64),
+            Event::Step(member, generation) => (9, member as u64, generation.into()),
+            Event::Replicated(sub) => (10, sub.into(), 0),
+            Event::PrimaryLost(group, generation) => (11, group as u64, generation.into()),
+            Event::Elect(group, generation) => (12, group as u64, generation.into()),
+            Event::LearnDemotion(member, epoch) => (13, member as u64, epoch.into()),
+            Event::ListChange(front, _, change) => (14, front as u64, change.into()),
+            Event::FaultBegins(trouble) => (15, trouble.into(), 0),
+            Event::FaultEnds(trouble) => (16, trouble.into(), 0),
+            Event::TimerDue(front, _, handle) => (17, front as u64, handle),
+            Event::MessageArrives(from, to, _) => (18, from as u64, to as u64),
         };
         let mut bytes = [0; 32];
-        for (word, place) in [self.now.as_nanos() as u64, tag, a, b].iter().zip(bytes.chunks_mut(8)) {
-            place.copy_from_slice(&word.to_le_bytes());
+        for (word, chunk) in [self.now.as_nanos() as u64, tag, a, b].iter().zip(bytes.chunks_mut(8)) {
+            chunk.copy_from_slice(&word.to_le_bytes());
         }
         self.hash.update(&bytes);
     }
@@ -566,7 +573,7 @@
     /// A front submits a txn to a member.
     pub fn submit(&mut self, front: usize, txn: u32, member: usize) {
         let now = self.now;
-        let Try { call, expiry, told, front: its, life, .. } = self.tries[txn as usize];
+        let Txn { call, expiry, told, front: its, incarnation, .. } = self.txns[txn as usize];
         let Call { kind, group, .. } = self.calls[call as usize];
         let terms = self.shape.kinds[kind].terms;
         let mut earlier = self.earlier(txn);
@@ -574,131 +581,144 @@
             // A member hears that a front has given one up only after the next may have come.
             earlier.iter_mut().for_each(|e| e.ended = e.ended.or(Some(AttemptOutcome::Cancelled)));
         }
-        let open = told.is_none() && now < expiry && its == front && life == self.fronts[front].life;
+        let open =
+            told.is_none() && now < expiry && its == front && incarnation == self.fronts[front].incarnation;
         let to = (member, self.members[member].group, self.members[member].zone);
         let grace = self.shape.drain_grace;
-        self.audit.sends(now, front, txn, to, open, terms.effect, &earlier, grace);
+        self.audit.check_send(now, front, txn, to, open, terms.effect, &earlier, grace);
         if to.1 != group {
-            self.audit.breaks(2, now, || format!("front {front} sends txn {txn} to another group"));
+            self.audit.record_violation(2, now, || format!("front {front} sends txn {txn} to another group"));
         }
         if let Consistency::Bounded(bound) = terms.consistency {
             let m = &self.members[member];
-            let excused = m.believes || self.audit.excused(front, member, m.was_primary, m.epoch);
-            let age = now.saturating_sub(self.truth(member));
+            let excused = m.claims_primary || self.audit.excused(front, member, m.was_primary, m.epoch);
+            let age = now.saturating_sub(self.applied_until(member));
             // What a member tells is as old as its report: the front can only have known less.
             if !excused && age > bound {
                 let ms = age.as_millis();
-                self.audit
-                    .breaks(5, now, || format!("front {front} reads data {ms} ms old at member {member}"));
+                self.audit.record_violation(5, now, || {
+                    format!("front {front} reads data {ms} ms old at member {member}")
+                });
             }
         }
         let m = &self.members[member];
-        let (leads, epoch) = (m.believes, m.was_primary.then_some(m.epoch));
-        let age = m.runs().then(|| now.saturating_sub(self.truth(member)));
-        self.jot(Note::Submitted { front, txn, member, group: to.1, age, leads, epoch });
-        let sub = self.subs.len() as u32;
-        let hop = self.hop(front, member);
-        let (ended, settled, role, position) = (None, false, None, None);
-        self.subs.push(Sub { txn, member, sent: now, ended, opened: false, settled, role, position });
-        self.tries[txn as usize].subs.push(sub);
-        self.calendar.set(expiry.max(now), Event::Late(sub));
-        let apart = self.apart(front, member);
+        let (leads, epoch) = (m.claims_primary, m.was_primary.then_some(m.epoch));
+        let age = m.is_running().then(|| now.saturating_sub(self.applied_until(member)));
+        self.record_note(Note::Submitted { front, txn, member, group: to.1, age, leads, epoch });
+        let sub = self.submissions.len() as u32;
+        let hop = self.one_way_delay(front, member);
+        let (ended, outcome_decided, role, position) = (None, false, None, None);
+        self.submissions.push(Submission {
+            txn,
+            member,
+            sent: now,
+            ended,
+            opened: false,
+            outcome_decided,
+            role,
+            position,
+        });
+        self.txns[txn as usize].submissions.push(sub);
+        self.calendar.set(expiry.max(now), Event::SubmissionTimeout(sub));
+        let is_cut_off = self.is_cut_off(front, member);
         if !self.members[member].up {
-            self.back(sub, AttemptOutcome::Unreachable, now + 2 * hop);
+            self.end_submission_at(sub, AttemptOutcome::Unreachable, now + 2 * hop);
             return;
         }
         match self.members[member].connect(now, front, &self.shape) {
-            None => self.back(sub, AttemptOutcome::Full, now + 4 * hop),
+            None => self.end_submission_at(sub, AttemptOutcome::Full, now + 4 * hop),
             Some(true) => {
-                self.subs[sub as usize].opened = true;
-                if apart || self.members[member].hung > 0 {
-                    self.members[member].rest(now, front, true);
-                    self.back(sub, AttemptOutcome::Unreachable, now + self.shape.connect);
+                self.submissions[sub as usize].opened = true;
+                if is_cut_off || self.members[member].hung > 0 {
+                    self.members[member].release_connection(now, front, true);
+                    self.end_submission_at(sub, AttemptOutcome::Unreachable, now + self.shape.connect);
                 } else {
-                    self.calendar.set(now + 3 * hop, Event::Reach(sub));
+                    self.calendar.set(now + 3 * hop, Event::SubmissionArrives(sub));
                 }
             }
             // Into a line that is cut nothing goes, and nothing comes back.
-            Some(false) if apart => self.subs[sub as usize].settled = true,
-            Some(false) => self.calendar.set(now + hop, Event::Reach(sub)),
+            Some(false) if is_cut_off => self.submissions[sub as usize].outcome_decided = true,
+            Some(false) => self.calendar.set(now + hop, Event::SubmissionArrives(sub)),
         }
     }
 
     /// A front stops waiting for a submission: its connection ends.
     pub fn cancel(&mut self, front: usize, txn: u32, submission: u32) {
-        let Some(&sub) = self.tries[txn as usize].subs.get(submission as usize) else { return };
-        if self.subs[sub as usize].ended.is_some() || self.tries[txn as usize].front != front {
+        let Some(&sub) = self.txns[txn as usize].submissions.get(submission as usize) else { return };
+        if self.submissions[sub as usize].ended.is_some() || self.txns[txn as usize].front != front {
             return;
         }
-        let member = self.subs[sub as usize].member;
-        self.members[member].rest(self.now, front, true);
-        self.end(sub, AttemptOutcome::Cancelled);
+        let member = self.submissions[sub as usize].member;
+        self.members[member].release_connection(self.now, front, true);
+        self.end_submission(sub, AttemptOutcome::Cancelled);
     }
 
     /// A final answer of a front that is no row of a member.
-    pub fn answer(&mut self, front: usize, txn: u32, told: Told, come_back: Option<Duration>) {
-        let Try { call, told: before, front: its, .. } = self.tries[txn as usize];
+    pub fn answer(&mut self, front: usize, txn: u32, told: Told, retry_after: Option<Duration>) {
+        let Txn { call, told: before, front: its, .. } = self.txns[txn as usize];
         if before.is_some() || its != front {
             return;
         }
         if told == Told::Declined {
             let effect = self.shape.kinds[self.calls[call as usize].kind].terms.effect;
             let (earlier, now) = (self.earlier(txn), self.now);
-            self.audit.declines(now, front, txn, effect, &earlier);
-            if effect != Effect::Repeatable && self.tries[txn as usize].ran > 0 {
-                self.audit.breaks(2, now, || format!("front {front} declines txn {txn}, which has run"));
+            self.audit.check_decline(now, front, txn, effect, &earlier);
+            if effect != Effect::Repeatable && self.txns[txn as usize].effects > 0 {
+                self.audit
+                    .record_violation(2, now, || format!("front {front} declines txn {txn}, which has run"));
             }
         }
-        self.settle(txn, told, come_back);
+        self.record_answer(txn, told, retry_after);
     }
 
     /// A front asks a member for its report.
     pub fn probe(&mut self, front: usize, member: usize) {
-        let (now, life, hop) = (self.now, self.fronts[front].life, self.hop(front, member));
+        let (now, incarnation, hop) =
+            (self.now, self.fronts[front].incarnation, self.one_way_delay(front, member));
         if !self.members[member].up {
-            self.calendar.set(now + 2 * hop, Event::ProbeBack(front, life, member, None));
-        } else if self.apart(front, member) {
-            self.calendar.set(now + self.shape.connect, Event::ProbeBack(front, life, member, None));
+            self.calendar.set(now + 2 * hop, Event::ProbeEnds(front, incarnation, member, None));
+        } else if self.is_cut_off(front, member) {
+            self.calendar.set(now + self.shape.connect, Event::ProbeEnds(front, incarnation, member, None));
         } else {
-            self.calendar.set(now + hop, Event::ProbeReach(front, life, member, now));
+            self.calendar.set(now + hop, Event::ProbeArrives(front, incarnation, member, now));
         }
     }
 
     /// A front wants to be reminded.
     pub fn remind(&mut self, front: usize, at: Duration, handle: u64) {
-        let life = self.fronts[front].life;
-        self.calendar.set(at.max(self.now), Event::Due(front, life, handle));
+        let incarnation = self.fronts[front].incarnation;
+        self.calendar.set(at.max(self.now), Event::TimerDue(front, incarnation, handle));
     }
 
     /// A front sends something to another: it comes after the way between their zones, or never.
     pub fn share(&mut self, from: usize, to: usize, bytes: &[u8]) {
         let (a, b) = (self.fronts[from].zone, self.fronts[to].zone);
-        if self.zones_apart(a, b) {
+        if self.zones_cut_off(a, b) {
             return;
         }
         let way = if a == b { self.shape.near } else { self.shape.far };
-        let letter = self.unused.pop().unwrap_or_else(|| {
-            self.letters.push(None);
-            self.letters.len() as u32 - 1
+        let payload = self.free_payloads.pop().unwrap_or_else(|| {
+            self.payloads.push(None);
+            self.payloads.len() as u32 - 1
         });
-        self.letters[letter as usize] = Some(bytes.into());
-        self.calendar.set(self.now + way, Event::Share(from, to, letter));
+        self.payloads[payload as usize] = Some(bytes.into());
+        self.calendar.set(self.now + way, Event::MessageArrives(from, to, payload));
     }
 
     /// The mark of a txn's wish.
     pub fn mark(&self, txn: u32) -> u64 {
-        self.calls[self.tries[txn as usize].call as usize].mark
+        self.calls[self.txns[txn as usize].call as usize].mark
     }
 
     /// Whether a txn is a write.
     pub fn writes(&self, txn: u32) -> bool {
-        let kind = self.calls[self.tries[txn as usize].call as usize].kind;
+        let kind = self.calls[self.txns[txn as usize].call as usize].kind;
         self.shape.kinds[kind].terms.consistency == Consistency::Write
     }
 
     /// How many submissions of a txn there were.
     pub fn submissions(&self, txn: u32) -> u32 {
-        self.tries[txn as usize].subs.len() as u32
+        self.txns[txn as usize].submissions.len() as u32
     }
 
     /// Goes on to a time at which nothing is to happen any more: that of another clock.
@@ -710,123 +730,123 @@
 
     fn earlier(&self, txn: u32) -> Vec<Earlier> {
         let earlier = |&sub: &u32| {
-            let Sub { member, sent, ended, .. } = self.subs[sub as usize];
+            let Submission { member, sent, ended, .. } = self.submissions[sub as usize];
             let Member { group, zone, .. } = self.members[member];
             Earlier { sent, group, zone, ended }
         };
-        self.tries[txn as usize].subs.iter().map(earlier).collect()
+        self.txns[txn as usize].submissions.iter().map(earlier).collect()
     }
 
-    fn hop(&self, front: usize, member: usize) -> Duration {
+    fn one_way_delay(&self, front: usize, member: usize) -> Duration {
         let near = self.fronts[front].zone == self.members[member].zone;
         if near { self.shape.near } else { self.shape.far }
     }
 
-    fn zones_apart(&self, a: usize, b: usize) -> bool {
-        a != b && (self.cut[a] > 0 || self.cut[b] > 0)
+    fn zones_cut_off(&self, a: usize, b: usize) -> bool {
+        a != b && (self.zone_cuts[a] > 0 || self.zone_cuts[b] > 0)
     }
 
-    fn apart(&self, front: usize, member: usize) -> bool {
+    fn is_cut_off(&self, front: usize, member: usize) -> bool {
         let m = &self.members[member];
         m.cut_from_fronts > 0
             || self.unreached.contains(&(front, member))
-            || self.zones_apart(self.fronts[front].zone, m.zone)
+            || self.zones_cut_off(self.fronts[front].zone, m.zone)
     }
 
     /// Whether a member gets the log of its group's primary.
-    fn follows(&self, member: usize) -> bool {
+    fn receives_log(&self, member: usize) -> bool {
         let m = &self.members[member];
         let Some(p) = self.groups[m.group].primary.filter(|&p| p != member) else { return false };
         let p = &self.members[p];
-        m.reaches_peers() && p.reaches_peers() && !self.zones_apart(m.zone, p.zone)
+        m.reaches_peers() && p.reaches_peers() && !self.zones_cut_off(m.zone, p.zone)
     }
 
-    fn ship(&self, from: usize, to: usize) -> Duration {
+    fn shipping_delay(&self, from: usize, to: usize) -> Duration {
         let near = self.members[from].zone == self.members[to].zone;
         self.shape.log.ship + if near { self.shape.near } else { self.shape.far }
     }
 
     /// Up to when a member has applied all.
-    fn truth(&self, member: usize) -> Duration {
+    fn applied_until(&self, member: usize) -> Duration {
         let m = &self.members[member];
         let group = &self.groups[m.group];
-        if group.primary == Some(member) && m.runs() {
+        if group.primary == Some(member) && m.is_running() {
             return self.now;
         }
         if let Some(next) = m.pending.front() {
             return m.position.max(next.at.saturating_sub(Duration::from_micros(1)));
         }
-        match group.primary.filter(|_| self.follows(member)) {
-            Some(p) => m.position.max(self.now.saturating_sub(self.ship(p, member))),
+        match group.primary.filter(|_| self.receives_log(member)) {
+            Some(p) => m.position.max(self.now.saturating_sub(self.shipping_delay(p, member))),
             None => m.position,
         }
     }
 
     /// What a member says of itself: one that believes it is primary stands at the present.
-    fn stand(&self, member: usize) -> (Role, Duration) {
-        if self.members[member].believes {
+    fn reported_state(&self, member: usize) -> (Role, Duration) {
+        if self.members[member].claims_primary {
             (Role::Primary, self.now)
         } else {
-            (Role::Replica, self.truth(member))
+            (Role::Replica, self.applied_until(member))
         }
     }
 
     /// Notes where all members of a group stand, before that changes.
-    fn fix(&mut self, group: usize) {
+    fn fix_positions(&mut self, group: usize) {
         for at in 0..self.groups[group].members.len() {
             let member = self.groups[group].members[at];
-            self.members[member].position = self.truth(member);
+            self.members[member].position = self.applied_until(member);
         }
     }
 
     /// What was kept from members that follow again is on its way.
-    fn reship(&mut self, group: usize) {
+    fn resume_shipping(&mut self, group: usize) {
         let Some(p) = self.groups[group].primary else { return };
         for at in 0..self.groups[group].members.len() {
             let member = self.groups[group].members[at];
-            if self.follows(member) {
-                let here = self.now + self.ship(p, member);
+            if self.receives_log(member) {
+                let arrives_at = self.now + self.shipping_delay(p, member);
                 self.members[member]
                     .pending
                     .iter_mut()
-                    .filter(|w| w.here == Duration::MAX)
-                    .for_each(|w| w.here = here);
+                    .filter(|w| w.arrives_at == Duration::MAX)
+                    .for_each(|w| w.arrives_at = arrives_at);
             }
-            self.wake(member);
+            self.schedule_step(member);
         }
         // Answers that had no replica to wait for.
-        let waits = std::mem::take(&mut self.groups[group].unanswered);
-        for (sub, place) in waits {
-            self.await_replica(sub, group, place);
+        let unanswered = std::mem::take(&mut self.groups[group].unanswered);
+        for (sub, index) in unanswered {
+            self.await_replica(sub, group, index);
         }
     }
 
     /// A write is answered once a replica has it; it waits as long as there is none.
-    fn await_replica(&mut self, sub: u32, group: usize, place: u64) {
-        let here = self.groups[group].members.iter().filter_map(|&m| {
+    fn await_replica(&mut self, sub: u32, group: usize, index: u64) {
+        let arrives_at = self.groups[group].members.iter().filter_map(|&m| {
             self.members[m]
                 .pending
                 .iter()
-                .find(|w| w.place == place)
-                .map(|w| w.here)
+                .find(|w| w.index == index)
+                .map(|w| w.arrives_at)
                 .filter(|&at| at < Duration::MAX)
         });
-        match here.min() {
-            Some(here) => self.calendar.set(here + self.shape.log.ship, Event::Acked(sub)),
-            None => self.groups[group].unanswered.push((sub, place)),
+        match arrives_at.min() {
+            Some(arrives_at) => self.calendar.set(arrives_at + self.shape.log.ship, Event::Replicated(sub)),
+            None => self.groups[group].unanswered.push((sub, index)),
         }
     }
 
     /// Sets the next step of a member.
-    fn wake(&mut self, member: usize) {
+    fn schedule_step(&mut self, member: usize) {
         let now = self.now;
         let m = &mut self.members[member];
         m.advance(now, &self.shape);
         m.apply(now, &self.shape);
-        m.turn += 1;
-        if let Some(at) = m.next(now, &self.shape) {
-            let turn = m.turn;
-            self.calendar.set(at.max(now), Event::Step(member, turn));
+        m.generation += 1;
+        if let Some(at) = m.next_step_at(now, &self.shape) {
+            let generation = m.generation;
+            self.calendar.set(at.max(now), Event::Step(member, generation));
         }
     }
 
@@ -834,76 +854,82 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Next => self.arrive(),
-            Event::Again(call) => self.try_again(call),
+            Event::Arrival => self.next_arrival(),
+            Event::Retry(call) => self.send_txn(call),
             Event::Expire(txn) => {
-                if self.tries[txn as usize].told.is_none() {
-                    self.client_gives_up(txn);
+                if self.txns[txn as usize].told.is_none() {
+                    self.client_times_out(txn);
                 }
             }
-            Event::Overdue(txn) => {
-                let Try { front, life, .. } = self.tries[txn as usize];
-                if self.fronts[front].open.remove(&txn) && self.fronts[front].life == life {
+            Event::AnswerOverdue(txn) => {
+                let Txn { front, incarnation, .. } = self.txns[txn as usize];
+                if self.fronts[front].open.remove(&txn) && self.fronts[front].incarnation == incarnation {
                     let now = self.now;
-                    if self.fronts[front].stands == 0 {
-                        self.audit
-                            .breaks(1, now, || format!("front {front} leaves txn {txn} without an answer"));
+                    if self.fronts[front].pauses == 0 {
+                        self.audit.record_violation(1, now, || {
+                            format!("front {front} leaves txn {txn} without an answer")
+                        });
                     }
                     self.ready.push_back(Out::Left { front, txn });
                 }
             }
-            Event::Reach(sub) => self.reach(sub),
-            Event::Back(sub, ending) => self.come_back(sub, ending),
-            Event::Late(sub) => {
-                let Sub { txn, member, ended, .. } = self.subs[sub as usize];
+            Event::SubmissionArrives(sub) => self.submission_arrives(sub),
+            Event::SubmissionEnds(sub, ending) => self.submission_returns(sub, ending),
+            Event::SubmissionTimeout(sub) => {
+                let Submission { txn, member, ended, .. } = self.submissions[sub as usize];
                 if ended.is_none() {
-                    let front = self.tries[txn as usize].front;
-                    self.members[member].rest(self.now, front, true);
-                    self.end(sub, AttemptOutcome::TimedOut);
+                    let front = self.txns[txn as usize].front;
+                    self.members[member].release_connection(self.now, front, true);
+                    self.end_submission(sub, AttemptOutcome::TimedOut);
                 }
             }
-            Event::ProbeReach(front, life, member, sent) => self.probe_reaches(front, life, member, sent),
-            Event::ProbeBack(front, life, member, said) => {
-                if self.fronts[front].life == life {
-                    let ending =
-                        if said.is_some() { AttemptOutcome::Committed } else { AttemptOutcome::Unreachable };
-                    let report = said.map(|said| Report {
-                        position: Some(said.position),
-                        role: Some(if said.primary { Role::Primary } else { Role::Replica }),
-                        queue: Some(said.waiting),
-                        busy: Some(said.busy),
+            Event::ProbeArrives(front, incarnation, member, sent) => {
+                self.probe_arrives(front, incarnation, member, sent)
+            }
+            Event::ProbeEnds(front, incarnation, member, load_report) => {
+                if self.fronts[front].incarnation == incarnation {
+                    let ending = if load_report.is_some() {
+                        AttemptOutcome::Committed
+                    } else {
+                        AttemptOutcome::Unreachable
+                    };
+                    let report = load_report.map(|load_report| Report {
+                        position: Some(load_report.position),
+                        role: Some(if load_report.primary { Role::Primary } else { Role::Replica }),
+                        queue: Some(load_report.waiting),
+                        busy: Some(load_report.busy),
                     });
                     let report = report.unwrap_or_default();
                     self.ready.push_back(Out::Probed { front, member, ending, report });
                 }
             }
-            Event::Step(member, turn) => {
-                if self.members[member].turn == turn {
+            Event::Step(member, generation) => {
+                if self.members[member].generation == generation {
                     self.step(member);
                 }
             }
-            Event::Acked(sub) => self.acked(sub),
-            Event::Lost(group, turn) => self.lost(group, turn),
-            Event::Elect(group, turn) => self.elect(group, turn),
-            Event::Learn(member, epoch) => self.learn(member, epoch),
-            Event::List(front, life, change) => {
-                if self.fronts[front].life == life {
-                    let entry = self.changes[change as usize];
+            Event::Replicated(sub) => self.write_replicated(sub),
+            Event::PrimaryLost(group, generation) => self.confirm_loss(group, generation),
+            Event::Elect(group, generation) => self.elect(group, generation),
+            Event::LearnDemotion(member, epoch) => self.learn_demotion(member, epoch),
+            Event::ListChange(front, incarnation, change) => {
+                if self.fronts[front].incarnation == incarnation {
+                    let entry = self.list_changes[change as usize];
                     self.ready.push_back(Out::Listed { front, entry });
                 }
             }
-            Event::Begin(trouble) => self.begin(trouble as usize),
-            Event::End(trouble) => self.heal(trouble as usize),
-            Event::Due(front, life, handle) => {
-                if self.fronts[front].life == life {
+            Event::FaultBegins(trouble) => self.begin_fault(trouble as usize),
+            Event::FaultEnds(trouble) => self.end_fault(trouble as usize),
+            Event::TimerDue(front, incarnation, handle) => {
+                if self.fronts[front].incarnation == incarnation {
                     self.ready.push_back(Out::Due { front, handle });
                 }
             }
-            Event::Share(from, front, letter) => {
-                if let Some(bytes) = self.letters[letter as usize].take() {
-                    self.unused.push(letter);
+            Event::MessageArrives(from, front, payload) => {
+                if let Some(bytes) = self.payloads[payload as usize].take() {
+                    self.free_payloads.push(payload);
                     // What is under way when the line is cut is lost.
-                    if !self.zones_apart(self.fronts[from].zone, self.fronts[front].zone) {
+                    if !self.zones_cut_off(self.fronts[from].zone, self.fronts[front].zone) {
                         self.ready.push_back(Out::Shared { front, from, bytes });
                     }
                 }
@@ -911,71 +937,81 @@
         }
     }
 
-    fn arrive(&mut self) {
+    fn next_arrival(&mut self) {
         let crowd = &self.shape.crowd;
         let second = self.now.as_secs() as usize;
-        let of_series = crowd.series.get(second).or(crowd.series.last()).copied().unwrap_or(1.0);
-        let per_second = crowd.per_second * of_series * self.surge;
+        let series_factor = crowd.series.get(second).or(crowd.series.last()).copied().unwrap_or(1.0);
+        let per_second = crowd.per_second * series_factor * self.surge;
         if self.now >= self.shape.lasts {
             return;
         }
         let gap = self.arrivals.gap(per_second);
         // None comes at the very start, nor while none are to come.
-        let waits =
+        let wait =
             if per_second > 0.0 { gap.min(Duration::from_secs(1)) } else { Duration::from_millis(100) };
-        self.due += waits;
-        self.calendar.set(self.due, Event::Next);
-        if per_second <= 0.0 || gap > waits || self.now.is_zero() {
+        self.next_arrival_at += wait;
+        self.calendar.set(self.next_arrival_at, Event::Arrival);
+        if per_second <= 0.0 || gap > wait || self.now.is_zero() {
             return;
         }
-        let draw = self.arrivals.share() * self.parts.last().copied().unwrap_or(0.0);
-        let kind = self.parts.partition_point(|&sum| sum <= draw).min(self.parts.len() - 1);
+        let draw = self.arrivals.share() * self.cumulative_parts.last().copied().unwrap_or(0.0);
+        let kind =
+            self.cumulative_parts.partition_point(|&sum| sum <= draw).min(self.cumulative_parts.len() - 1);
         let group = self.zipf.draw(&mut self.arrivals);
         let zone = self.shape.fronts[self.arrivals.below(self.shape.fronts.len())];
         let mark = self.arrivals.number() | 1;
         let call = self.calls.len() as u32;
         self.calls.push(Call { kind, group, zone, begun: self.now, mark, tries: 0, done: false });
-        self.try_again(call);
+        self.send_txn(call);
     }
 
     /// A client asks a front of its zone, or any that is there.
-    fn try_again(&mut self, call: u32) {
+    fn send_txn(&mut self, call: u32) {
         let Call { kind, group, zone, tries, .. } = self.calls[call as usize];
-        let there = |&f: &usize| self.fronts[f].up;
+        let is_there = |&f: &usize| self.fronts[f].up;
         let near = |f: &usize| self.fronts[*f].zone == zone;
-        let all: Vec<usize> = (0..self.fronts.len()).filter(there).collect();
+        let all: Vec<usize> = (0..self.fronts.len()).filter(is_there).collect();
         let same: Vec<usize> = all.iter().copied().filter(near).collect();
         let among = if same.is_empty() { all } else { same };
         self.calls[call as usize].tries += 1;
         if among.is_empty() {
-            self.give_up_call(call, How::Unanswered);
+            self.finish_call(call, How::Unanswered);
             return;
         }
         let front = among[self.clients.below(among.len())];
         let (least, most) = self.shape.crowd.patience;
         let share = least + (most - least) * self.clients.share();
         let left = self.shape.kinds[kind].expiry.mul_f64(share);
-        let (txn, expiry) = (self.tries.len() as u32, self.now + left);
-        let (life, begun) = (self.fronts[front].life, self.now);
-        self.tries.push(Try { call, front, life, begun, expiry, subs: Vec::new(), ran: 0, told: None });
+        let (txn, expiry) = (self.txns.len() as u32, self.now + left);
+        let (incarnation, begun) = (self.fronts[front].incarnation, self.now);
+        self.txns.push(Txn {
+            call,
+            front,
+            incarnation,
+            begun,
+            expiry,
+            submissions: Vec::new(),
+            effects: 0,
+            told: None,
+        });
         self.fronts[front].open.insert(txn);
         self.calendar.set(expiry, Event::Expire(txn));
-        self.calendar.set(expiry + self.shape.answer_grace, Event::Overdue(txn));
+        self.calendar.set(expiry + self.shape.answer_grace, Event::AnswerOverdue(txn));
         self.ready.push_back(Out::Arrived { front, txn, kind, group, left, retried: tries > 0 });
     }
 
     /// The client's time is up; the front may still answer within the grace.
-    fn client_gives_up(&mut self, txn: u32) {
-        let Try { call, .. } = self.tries[txn as usize];
+    fn client_times_out(&mut self, txn: u32) {
+        let Txn { call, .. } = self.txns[txn as usize];
         let effect = self.shape.kinds[self.calls[call as usize].kind].terms.effect;
-        self.after(call, effect == Effect::Repeatable, None, How::Unanswered);
+        self.retry_or_finish(call, effect == Effect::Repeatable, None, How::Unanswered);
     }
 
     /// Notes the final answer of a try, and what its client does then.
-    fn settle(&mut self, txn: u32, told: Told, come_back: Option<Duration>) {
+    fn record_answer(&mut self, txn: u32, told: Told, retry_after: Option<Duration>) {
         let now = self.now;
-        let Try { call, front, begun, expiry, .. } = self.tries[txn as usize];
-        self.tries[txn as usize].told = Some(told);
+        let Txn { call, front, begun, expiry, .. } = self.txns[txn as usize];
+        self.txns[txn as usize].told = Some(told);
         self.fronts[front].open.remove(&txn);
         let Call { kind, group, begun: first, tries, done, .. } = self.calls[call as usize];
         self.ready.push_back(Out::Answered { front, kind, told, took: now - begun });
@@ -992,23 +1028,23 @@
                     if now - first <= self.shape.kinds[kind].terms.sla { How::InTime } else { How::Late };
                 self.ready.push_back(Out::Done { kind, group, begun: first, took: now - first, how, tries });
             }
-            Told::Declined => self.after(call, true, come_back, How::Declined),
-            Told::Unknown => self.after(call, effect == Effect::Repeatable, None, How::Unknown),
-            Told::Nothing => self.after(call, true, None, How::Unanswered),
+            Told::Declined => self.retry_or_finish(call, true, retry_after, How::Declined),
+            Told::Unknown => self.retry_or_finish(call, effect == Effect::Repeatable, None, How::Unknown),
+            Told::Nothing => self.retry_or_finish(call, true, None, How::Unanswered),
         }
     }
 
     /// Tries again, if that is harmless and it still wants to; else its wish ends so.
-    fn after(&mut self, call: u32, harmless: bool, come_back: Option<Duration>, how: How) {
+    fn retry_or_finish(&mut self, call: u32, harmless: bool, retry_after: Option<Duration>, how: How) {
         if harmless && self.calls[call as usize].tries <= self.shape.crowd.retries {
-            let wait = self.clients.span(self.shape.crowd.back_off).max(come_back.unwrap_or_default());
-            self.calendar.set(self.now + wait, Event::Again(call));
+            let wait = self.clients.span(self.shape.crowd.back_off).max(retry_after.unwrap_or_default());
+            self.calendar.set(self.now + wait, Event::Retry(call));
         } else {
-            self.give_up_call(call, how);
+            self.finish_call(call, how);
         }
     }
 
-    fn give_up_call(&mut self, call: u32, how: How) {
+    fn finish_call(&mut self, call: u32, how: How) {
         let Call { kind, group, begun, tries, done, .. } = self.calls[call as usize];
         if !std::mem::replace(&mut self.calls[call as usize].done, true) && !done {
             self.ready.push_back(Out::Done { kind, group, begun, took: self.now - begun, how, tries });
@@ -1016,21 +1052,22 @@
     }
 
     /// The answer of a submission sets out, or is known to its front at that time.
-    fn back(&mut self, sub: u32, ending: AttemptOutcome, at: Duration) {
-        self.subs[sub as usize].settled = true;
-        self.calendar.set(at, Event::Back(sub, ending));
+    fn end_submission_at(&mut self, sub: u32, ending: AttemptOutcome, at: Duration) {
+        self.submissions[sub as usize].outcome_decided = true;
+        self.calendar.set(at, Event::SubmissionEnds(sub, ending));
     }
 
     /// A member answers; what it says of itself goes along, unless its connection breaks.
     fn reply(&mut self, sub: u32, ending: AttemptOutcome) {
-        let Sub { txn, member, settled, .. } = self.subs[sub as usize];
-        if settled {
+        let Submission { txn, member, outcome_decided, .. } = self.submissions[sub as usize];
+        if outcome_decided {
             return;
         }
-        let front = self.tries[txn as usize].front;
-        let lost = self.members[member].loses > 0.0 && self.faults.share() < self.members[member].loses;
-        if self.apart(front, member) || lost {
-            self.subs[sub as usize].settled = true;
+        let front = self.txns[txn as usize].front;
+        let lost =
+            self.members[member].answer_loss > 0.0 && self.faults.share() < self.members[member].answer_loss;
+        if self.is_cut_off(front, member) || lost {
+            self.submissions[sub as usize].outcome_decided = true;
             return;
         }
         if matches!(
@@ -1040,58 +1077,58 @@
                 | AttemptOutcome::Full
                 | AttemptOutcome::Misplaced
         ) {
-            let (role, position) = self.stand(member);
-            let s = &mut self.subs[sub as usize];
+            let (role, position) = self.reported_state(member);
+            let s = &mut self.submissions[sub as usize];
             (s.role, s.position) = (Some(role), Some(position));
         }
-        let hop = self.hop(front, member);
-        self.back(sub, ending, self.now + hop);
+        let hop = self.one_way_delay(front, member);
+        self.end_submission_at(sub, ending, self.now + hop);
     }
 
-    fn come_back(&mut self, sub: u32, ending: AttemptOutcome) {
-        let Sub { txn, member, ended, .. } = self.subs[sub as usize];
+    fn submission_returns(&mut self, sub: u32, ending: AttemptOutcome) {
+        let Submission { txn, member, ended, .. } = self.submissions[sub as usize];
         if ended.is_some() {
             return;
         }
-        let Try { front, life, .. } = self.tries[txn as usize];
-        if self.fronts[front].life == life && !matches!(ending, AttemptOutcome::Unreachable) {
-            self.members[member].rest(self.now, front, ending == AttemptOutcome::Dropped);
+        let Txn { front, incarnation, .. } = self.txns[txn as usize];
+        if self.fronts[front].incarnation == incarnation && !matches!(ending, AttemptOutcome::Unreachable) {
+            self.members[member].release_connection(self.now, front, ending == AttemptOutcome::Dropped);
         }
-        self.end(sub, ending);
+        self.end_submission(sub, ending);
     }
 
     /// The front hears how a submission ended. A row goes to the client at once.
-    fn end(&mut self, sub: u32, ending: AttemptOutcome) {
-        let Sub { txn, member, sent, role, position, .. } = self.subs[sub as usize];
-        self.subs[sub as usize].ended = Some(ending);
-        self.jot(Note::Over { front: self.tries[txn as usize].front, txn, member, ending });
-        let Try { front, life, told, expiry, .. } = self.tries[txn as usize];
-        if self.fronts[front].life != life {
+    fn end_submission(&mut self, sub: u32, ending: AttemptOutcome) {
+        let Submission { txn, member, sent, role, position, .. } = self.submissions[sub as usize];
+        self.submissions[sub as usize].ended = Some(ending);
+        self.record_note(Note::Over { front: self.txns[txn as usize].front, txn, member, ending });
+        let Txn { front, incarnation, told, expiry, .. } = self.txns[txn as usize];
+        if self.fronts[front].incarnation != incarnation {
             return;
         }
-        let here = !self.remote && self.fronts[front].stands == 0;
-        if ending == AttemptOutcome::Committed && told.is_none() && here && self.now <= expiry {
-            self.settle(txn, Told::Committed, None);
+        let answers_client = !self.remote && self.fronts[front].pauses == 0;
+        if ending == AttemptOutcome::Committed && told.is_none() && answers_client && self.now <= expiry {
+            self.record_answer(txn, Told::Committed, None);
         }
-        let over = self.tries[txn as usize].told.is_some();
+        let over = self.txns[txn as usize].told.is_some();
         let took = self.now - sent;
         self.ready.push_back(Out::Ended { front, txn, member, ending, role, position, took, over });
     }
 
     /// A submission is at its member.
-    fn reach(&mut self, sub: u32) {
-        let Sub { txn, member, opened, settled, .. } = self.subs[sub as usize];
-        if settled {
+    fn submission_arrives(&mut self, sub: u32) {
+        let Submission { txn, member, opened, outcome_decided, .. } = self.submissions[sub as usize];
+        if outcome_decided {
             return;
         }
-        let Try { call, front, .. } = self.tries[txn as usize];
+        let Txn { call, front, .. } = self.txns[txn as usize];
         let kind = self.calls[call as usize].kind;
         if !self.members[member].up {
             let ending = if opened { AttemptOutcome::Unreachable } else { AttemptOutcome::Dropped };
-            return self.back(sub, ending, self.now + self.hop(front, member));
+            return self.end_submission_at(sub, ending, self.now + self.one_way_delay(front, member));
         }
-        if self.apart(front, member) {
-            self.subs[sub as usize].settled = true;
+        if self.is_cut_off(front, member) {
+            self.submissions[sub as usize].outcome_decided = true;
             return;
         }
         if self.members[member].hung > 0 {
@@ -1100,48 +1137,48 @@
         }
         let handshake = if opened { self.shape.handshake.as_secs_f64() } else { 0.0 };
         let work = self.works.span(self.shape.kinds[kind].work).as_secs_f64();
-        self.press(member, work, Load::Txn);
+        self.add_cold_load(member, work, Load::Txn);
         if opened && self.members[member].up {
-            self.press(member, handshake, Load::Handshake);
+            self.add_cold_load(member, handshake, Load::Handshake);
         }
         let work = work + handshake;
         if !self.members[member].up {
             return;
         }
-        let errors = self.members[member].errors;
-        if errors > 0.0 && self.faults.share() < errors {
+        let error_rate = self.members[member].error_rate;
+        if error_rate > 0.0 && self.faults.share() < error_rate {
             return self.reply(sub, AttemptOutcome::Errored);
         }
         let write = self.shape.kinds[kind].terms.consistency == Consistency::Write;
         let m = &self.members[member];
-        if write && !m.believes {
+        if write && !m.claims_primary {
             return self.reply(sub, AttemptOutcome::Misplaced);
         }
         if write && m.drains || m.at_work() >= self.shape.slots && m.waiting.len() >= self.shape.waiting {
             return self.reply(sub, AttemptOutcome::Full);
         }
         if m.at_work() < self.shape.slots {
-            self.set_to_work(sub, work);
+            self.start_work(sub, work);
         } else {
             // What waits has its work drawn anew when it begins: no client knows the difference.
             self.members[member].advance(self.now, &self.shape);
             self.members[member].waiting.push_back(sub);
         }
-        self.wake(member);
+        self.schedule_step(member);
     }
 
-    fn press(&mut self, member: usize, work: f64, load: Load) {
+    fn add_cold_load(&mut self, member: usize, work: f64, load: Load) {
         let now = self.now;
         let m = &self.members[member];
         if m.started.is_some_and(|at| now < at + self.shape.cold.warm_up) {
             let window = self.shape.cold.window.as_secs_f64();
             let can = self.shape.cores * m.warmth(now, &self.shape) * window;
-            self.jot(Note::Pressed { member, work, can });
+            self.record_note(Note::Pressed { member, work, can });
         }
         if let Some([txns, handshakes, probes, most]) =
-            self.members[member].press(now, work, load, &self.shape)
+            self.members[member].add_cold_load(now, work, load, &self.shape)
         {
-            self.audit.breaks(4, now, || {
+            self.audit.record_violation(4, now, || {
                 format!(
                     "member {member} fell over while it was cold: {txns:.3} s of txns, {handshakes:.3} of \
                      handshakes, {probes:.3} of probes, it bears {most:.3}"
@@ -1149,60 +1186,60 @@
             });
             self.members[member].gone = true;
             self.kill(member);
-            self.jot(Note::Fell { member });
+            self.record_note(Note::Fell { member });
         }
     }
 
-    fn set_to_work(&mut self, sub: u32, work: f64) {
+    fn start_work(&mut self, sub: u32, work: f64) {
         let long = work > self.shape.log.blocks.as_secs_f64() && self.is_read(sub);
-        let m = &mut self.members[self.subs[sub as usize].member];
+        let m = &mut self.members[self.submissions[sub as usize].member];
         m.advance(self.now, &self.shape);
-        m.begin(sub, work);
+        m.start_work(sub, work);
         if long {
-            m.blockers += 1;
-            self.subs[sub as usize].position = Some(Duration::MAX);
+            m.blocking_reads += 1;
+            self.submissions[sub as usize].position = Some(Duration::MAX);
         }
     }
 
     fn is_read(&self, sub: u32) -> bool {
-        let call = self.tries[self.subs[sub as usize].txn as usize].call;
+        let call = self.txns[self.submissions[sub as usize].txn as usize].call;
         self.shape.kinds[self.calls[call as usize].kind].terms.consistency != Consistency::Write
     }
 
     /// What is done at a member leaves it, and what waits begins.
     fn step(&mut self, member: usize) {
         self.members[member].advance(self.now, &self.shape);
-        while let Some(sub) = self.members[member].done() {
+        while let Some(sub) = self.members[member].pop_done() {
             // Its mark that it has kept the log from being applied.
-            if self.subs[sub as usize].position == Some(Duration::MAX) {
-                self.subs[sub as usize].position = None;
-                self.members[member].blockers -= 1;
+            if self.submissions[sub as usize].position == Some(Duration::MAX) {
+                self.submissions[sub as usize].position = None;
+                self.members[member].blocking_reads -= 1;
             }
             if self.is_read(sub) {
                 self.reply(sub, AttemptOutcome::Committed)
             } else {
-                self.write_ends(sub)
+                self.finish_write(sub)
             }
             if let Some(next) = self.members[member].waiting.pop_front() {
-                let Try { call, .. } = self.tries[self.subs[next as usize].txn as usize];
+                let Txn { call, .. } = self.txns[self.submissions[next as usize].txn as usize];
                 let range = self.shape.kinds[self.calls[call as usize].kind].work;
                 let work = self.works.span(range).as_secs_f64();
-                self.set_to_work(next, work);
+                self.start_work(next, work);
             }
         }
-        self.wake(member);
+        self.schedule_step(member);
     }
 
     /// A write has done its work at a member that takes itself for the primary.
-    fn write_ends(&mut self, sub: u32) {
-        let Sub { txn, member, sent, .. } = self.subs[sub as usize];
-        let Try { call, told, .. } = self.tries[txn as usize];
+    fn finish_write(&mut self, sub: u32) {
+        let Submission { txn, member, sent, .. } = self.submissions[sub as usize];
+        let Txn { call, told, .. } = self.txns[txn as usize];
         let Call { mark, kind, .. } = self.calls[call as usize];
         let (now, group) = (self.now, self.members[member].group);
-        if self.groups[group].primary != Some(member) || !self.members[member].believes {
+        if self.groups[group].primary != Some(member) || !self.members[member].claims_primary {
             // None of the others takes what it has; it ends in an error once it knows.
-            if self.members[member].believes {
-                self.members[member].limbo.push(sub);
+            if self.members[member].claims_primary {
+                self.members[member].orphaned.push(sub);
             } else {
                 self.reply(sub, AttemptOutcome::Errored);
             }
@@ -1210,45 +1247,49 @@
         }
         let effect = self.shape.kinds[kind].terms.effect;
         let marked = matches!(effect, Effect::Referenced { .. });
-        if marked && self.groups[group].knows(mark, sent, self.shape.log.marks) {
-            return match self.groups[group].place_of(mark).filter(|_| self.shape.log.synchronous) {
-                Some(place) => self.reply_once_replicated(sub, member, place),
+        if marked && self.groups[group].has_run(mark, sent, self.shape.log.marks) {
+            return match self.groups[group].index_of(mark).filter(|_| self.shape.log.synchronous) {
+                Some(index) => self.reply_once_replicated(sub, member, index),
                 None => self.reply(sub, AttemptOutcome::Committed),
             };
         }
-        let place = self.groups[group].commit(now, if marked { mark } else { 0 }, txn);
-        self.tries[txn as usize].ran += 1;
-        self.jot(Note::Ran { txn, member });
-        if self.tries[txn as usize].ran > 1 && effect != Effect::Repeatable {
-            self.audit.breaks(2, now, || format!("txn {txn} took effect twice"));
+        let index = self.groups[group].commit(now, if marked { mark } else { 0 }, txn);
+        self.txns[txn as usize].effects += 1;
+        self.record_note(Note::Ran { txn, member });
+        if self.txns[txn as usize].effects > 1 && effect != Effect::Repeatable {
+            self.audit.record_violation(2, now, || format!("txn {txn} took effect twice"));
         }
         if told == Some(Told::Declined) && effect != Effect::Repeatable {
-            self.audit.breaks(2, now, || format!("txn {txn} ran after it was declined"));
+            self.audit.record_violation(2, now, || format!("txn {txn} ran after it was declined"));
         }
         for at in 0..self.groups[group].members.len() {
             let other = self.groups[group].members[at];
             if other == member || self.members[other].gone {
                 continue;
             }
-            let here = if self.follows(other) { now + self.ship(member, other) } else { Duration::MAX };
+            let arrives_at = if self.receives_log(other) {
+                now + self.shipping_delay(member, other)
+            } else {
+                Duration::MAX
+            };
             let idle = self.members[other].pending.is_empty();
             if idle {
-                self.members[other].position = self.truth(other);
+                self.members[other].position = self.applied_until(other);
             }
-            self.members[other].pending.push_back(Pending { place, at: now, here });
+            self.members[other].pending.push_back(Pending { index, at: now, arrives_at });
             if idle {
-                self.wake(other);
+                self.schedule_step(other);
             }
         }
         if self.shape.log.synchronous {
-            self.reply_once_replicated(sub, member, place);
+            self.reply_once_replicated(sub, member, index);
         } else {
             self.reply(sub, AttemptOutcome::Committed);
         }
     }
 
     /// A primary answers a write once a replica has it; one that has no replicas, at once.
-    fn reply_once_replicated(&mut self, sub: u32, member: usize, place: u64) {
+    fn reply_once_replicated(&mut self, sub: u32, member: usize, index: u64) {
         let (now, group) = (self.now, self.members[member].group);
         let others: Vec<usize> = self.groups[group]
             .members
@@ -1261,131 +1302,134 @@
             self.members[*m]
                 .pending
                 .iter()
-                .find(|write| write.place == place)
-                .is_none_or(|write| write.here <= now)
+                .find(|write| write.index == index)
+                .is_none_or(|write| write.arrives_at <= now)
         };
         if others.is_empty() || others.iter().any(has) {
             self.reply(sub, AttemptOutcome::Committed);
         } else {
-            self.await_replica(sub, group, place);
+            self.await_replica(sub, group, index);
         }
     }
 
     /// A replica has a write: its primary answers, if it still is one.
-    fn acked(&mut self, sub: u32) {
-        let member = self.subs[sub as usize].member;
+    fn write_replicated(&mut self, sub: u32) {
+        let member = self.submissions[sub as usize].member;
         let m = &self.members[member];
         if !m.up {
             return;
         }
         if m.hung > 0 {
             self.members[member].unread.push(sub);
-        } else if m.believes && self.groups[m.group].primary == Some(member) {
+        } else if m.claims_primary && self.groups[m.group].primary == Some(member) {
             self.reply(sub, AttemptOutcome::Committed);
-        } else if m.believes {
-            self.members[member].limbo.push(sub);
+        } else if m.claims_primary {
+            self.members[member].orphaned.push(sub);
         } else {
             self.reply(sub, AttemptOutcome::Errored);
         }
     }
 
-    fn probe_reaches(&mut self, front: usize, life: u32, member: usize, sent: Duration) {
-        let (now, hop) = (self.now, self.hop(front, member));
+    fn probe_arrives(&mut self, front: usize, incarnation: u32, member: usize, sent: Duration) {
+        let (now, hop) = (self.now, self.one_way_delay(front, member));
         let work = self.shape.probe.as_secs_f64();
         if self.members[member].up {
-            self.press(member, work, Load::Probe);
+            self.add_cold_load(member, work, Load::Probe);
         }
         let m = &self.members[member];
-        let lost = m.loses > 0.0 && self.faults.share() < m.loses;
-        if !m.runs() || self.apart(front, member) || lost {
+        let lost = m.answer_loss > 0.0 && self.faults.share() < m.answer_loss;
+        if !m.is_running() || self.is_cut_off(front, member) || lost {
             let at = (sent + self.shape.connect).max(now);
-            self.calendar.set(at, Event::ProbeBack(front, life, member, None));
+            self.calendar.set(at, Event::ProbeEnds(front, incarnation, member, None));
             return;
         }
-        let old = m.said.made.is_none_or(|made| made + self.shape.report_every <= now);
+        let old = m.load_report.made.is_none_or(|made| made + self.shape.report_every <= now);
         if old {
-            let (role, position) = self.stand(member);
+            let (role, position) = self.reported_state(member);
             let m = &self.members[member];
             let busy = (m.at_work() as f64 / self.shape.cores).min(1.0);
-            let (waiting, busy) = if m.lies { (0.0, 0.0) } else { (m.waiting.len() as f64, busy) };
-            let said = Said { made: Some(now), primary: role == Role::Primary, position, waiting, busy };
-            self.members[member].said = said;
+            let (waiting, busy) = if m.hides_load { (0.0, 0.0) } else { (m.waiting.len() as f64, busy) };
+            let load_report =
+                LoadReport { made: Some(now), primary: role == Role::Primary, position, waiting, busy };
+            self.members[member].load_report = load_report;
         }
-        let said = Some(self.members[member].said);
-        self.calendar.set(now + hop, Event::ProbeBack(front, life, member, said));
+        let load_report = Some(self.members[member].load_report);
+        self.calendar.set(now + hop, Event::ProbeEnds(front, incarnation, member, load_report));
     }
 
     // Primaries.
 
     /// A group has lost its primary, or it may have.
-    fn doubt(&mut self, group: usize) {
+    fn check_primary(&mut self, group: usize) {
         let g = &self.groups[group];
-        let sound = g.primary.is_some_and(|p| self.members[p].reaches_peers() && !self.alone(p));
+        let sound = g.primary.is_some_and(|p| self.members[p].reaches_peers() && !self.is_isolated(p));
         if sound || g.electing {
             return;
         }
         let noticed = self.elections.span(self.shape.election.noticed);
         let g = &mut self.groups[group];
-        (g.electing, g.turn) = (true, g.turn + 1);
-        let turn = g.turn;
-        self.calendar.set(self.now + noticed, Event::Lost(group, turn));
+        (g.electing, g.generation) = (true, g.generation + 1);
+        let generation = g.generation;
+        self.calendar.set(self.now + noticed, Event::PrimaryLost(group, generation));
     }
 
     /// Whether a primary reaches none of the others, of which there are some.
-    fn alone(&self, primary: usize) -> bool {
+    fn is_isolated(&self, primary: usize) -> bool {
         let group = self.members[primary].group;
         let mut others =
             self.groups[group].members.iter().filter(|&&m| m != primary && !self.members[m].gone).peekable();
-        others.peek().is_some() && others.all(|&m| self.members[m].up && !self.follows(m))
+        others.peek().is_some() && others.all(|&m| self.members[m].up && !self.receives_log(m))
     }
 
-    fn lost(&mut self, group: usize, turn: u32) {
-        if self.groups[group].turn != turn {
+    fn confirm_loss(&mut self, group: usize, generation: u32) {
+        if self.groups[group].generation != generation {
             return;
         }
-        if self.groups[group].primary.is_some_and(|p| self.members[p].reaches_peers() && !self.alone(p)) {
+        if self.groups[group].primary.is_some_and(|p| self.members[p].reaches_peers() && !self.is_isolated(p))
+        {
             self.groups[group].electing = false;
             return;
         }
         let elected = self.elections.span(self.shape.election.elected);
-        self.calendar.set(self.now + elected, Event::Elect(group, turn));
+        self.calendar.set(self.now + elected, Event::Elect(group, generation));
     }
 
-    fn elect(&mut self, group: usize, turn: u32) {
-        if self.groups[group].turn != turn {
+    fn elect(&mut self, group: usize, generation: u32) {
+        if self.groups[group].generation != generation {
             return;
         }
-        let handing = std::mem::take(&mut self.groups[group].handing);
+        let handing_over = std::mem::take(&mut self.groups[group].handing_over);
         let old = self.groups[group].primary;
-        let sound = old.is_some_and(|p| self.members[p].reaches_peers() && !self.alone(p));
+        let sound = old.is_some_and(|p| self.members[p].reaches_peers() && !self.is_isolated(p));
         self.groups[group].electing = false;
-        if sound && !handing {
+        if sound && !handing_over {
             return;
         }
         let now = self.now;
-        let end = self.groups[group].end();
-        let has = |m: usize| self.members[m].pending.iter().find(|w| w.here > now).map_or(end, |w| w.place);
+        let end = self.groups[group].next_index();
+        let has =
+            |m: usize| self.members[m].pending.iter().find(|w| w.arrives_at > now).map_or(end, |w| w.index);
         let fit = |&m: &usize| Some(m) != old && self.members[m].reaches_peers() && !self.members[m].drains;
         let fits = self.groups[group].members.iter().copied().filter(fit);
         let Some(next) = fits.max_by_key(|&m| (has(m), std::cmp::Reverse(m))) else {
             if !sound {
                 self.groups[group].electing = true;
-                self.calendar.set(now + NOBODY, Event::Elect(group, turn));
+                self.calendar.set(now + ELECTION_RETRY, Event::Elect(group, generation));
             }
             return;
         };
         let has = has(next);
-        self.fix(group);
-        let dropped = self.groups[group].drop_from(has);
+        self.fix_positions(group);
+        let dropped = self.groups[group].truncate_from(has);
         for write in dropped {
-            let ran = &mut self.tries[write.txn as usize].ran;
-            *ran = ran.saturating_sub(1);
-            self.jot(Note::Undone { txn: write.txn });
+            let effects = &mut self.txns[write.txn as usize].effects;
+            *effects = effects.saturating_sub(1);
+            self.record_note(Note::Undone { txn: write.txn });
         }
         for at in 0..self.groups[group].members.len() {
             let m = self.groups[group].members[at];
             self.members[m].advance(now, &self.shape);
-            while self.members[m].pending.back().is_some_and(|w| w.place >= has) {
+            while self.members[m].pending.back().is_some_and(|w| w.index >= has) {
                 self.members[m].pending.pop_back();
             }
             if self.members[m].pending.is_empty() {
@@ -1396,41 +1440,41 @@
         let m = &mut self.members[next];
         m.pending.clear();
         m.stop_applying();
-        (m.believes, m.was_primary, m.position) = (true, true, now);
+        (m.claims_primary, m.was_primary, m.position) = (true, true, now);
         m.epoch += 1;
         (self.groups[group].primary, self.groups[group].term) = (Some(next), self.groups[group].term + 1);
-        self.jot(Note::Primary { group, member: next });
+        self.record_note(Note::Primary { group, member: next });
         if let Some(old) = old {
             let m = &mut self.members[old];
             m.position = m.position.min(now);
             if m.reaches_peers() {
-                if handing {
+                if handing_over {
                     self.step_down(old);
                 } else {
-                    self.learns(old);
+                    self.schedule_learning(old);
                 }
             }
         }
         for (sub, _) in unanswered {
-            let member = self.subs[sub as usize].member;
-            if self.members[member].believes {
-                self.members[member].limbo.push(sub)
+            let member = self.submissions[sub as usize].member;
+            if self.members[member].claims_primary {
+                self.members[member].orphaned.push(sub)
             } else {
                 self.reply(sub, AttemptOutcome::Errored)
             }
         }
-        self.reship(group);
+        self.resume_shipping(group);
     }
 
-    fn learns(&mut self, member: usize) {
+    fn schedule_learning(&mut self, member: usize) {
         let wait = self.elections.span(self.shape.election.learns);
         let epoch = self.members[member].epoch;
-        self.calendar.set(self.now + wait, Event::Learn(member, epoch));
+        self.calendar.set(self.now + wait, Event::LearnDemotion(member, epoch));
     }
 
-    fn learn(&mut self, member: usize, epoch: u32) {
+    fn learn_demotion(&mut self, member: usize, epoch: u32) {
         let m = &self.members[member];
-        let deposed = m.believes && self.groups[m.group].primary != Some(member);
+        let deposed = m.claims_primary && self.groups[m.group].primary != Some(member);
         if m.epoch == epoch && deposed && m.reaches_peers() {
             self.step_down(member);
         }
@@ -1439,52 +1483,53 @@
     /// A former primary follows from now on; what it could not commit ends in an error.
     fn step_down(&mut self, member: usize) {
         let group = self.members[member].group;
-        self.members[member].believes = false;
-        self.follow_from(member);
-        let limbo = std::mem::take(&mut self.members[member].limbo);
-        limbo.into_iter().for_each(|sub| self.reply(sub, AttemptOutcome::Errored));
-        self.reship(group);
+        self.members[member].claims_primary = false;
+        self.resume_following(member);
+        let orphaned = std::mem::take(&mut self.members[member].orphaned);
+        orphaned.into_iter().for_each(|sub| self.reply(sub, AttemptOutcome::Errored));
+        self.resume_shipping(group);
     }
 
     /// A member gets all that was written since where it stands.
-    fn follow_from(&mut self, member: usize) {
+    fn resume_following(&mut self, member: usize) {
         let m = &self.members[member];
         let (position, group) = (m.position, m.group);
-        let here = Duration::MAX;
-        let since = self.groups[group].since(position);
-        self.members[member].pending = since.map(|(place, at)| Pending { place, at, here }).collect();
+        let arrives_at = Duration::MAX;
+        let since = self.groups[group].writes_after(position);
+        self.members[member].pending = since.map(|(index, at)| Pending { index, at, arrives_at }).collect();
         self.members[member].stop_applying();
     }
 
     fn kill(&mut self, member: usize) {
         let group = self.members[member].group;
-        self.fix(group);
-        let all = self.members[member].drop_all();
+        self.fix_positions(group);
+        let all = self.members[member].drop_all_work();
         self.members[member].up = false;
-        self.members[member].believes = false;
-        self.members[member].turn += 1;
-        self.jot(Note::Killed { member });
+        self.members[member].claims_primary = false;
+        self.members[member].generation += 1;
+        self.record_note(Note::Killed { member });
         for sub in all {
-            let Sub { txn, settled, .. } = self.subs[sub as usize];
-            if !settled {
-                let front = self.tries[txn as usize].front;
-                if self.apart(front, member) {
-                    self.subs[sub as usize].settled = true;
+            let Submission { txn, outcome_decided, .. } = self.submissions[sub as usize];
+            if !outcome_decided {
+                let front = self.txns[txn as usize].front;
+                if self.is_cut_off(front, member) {
+                    self.submissions[sub as usize].outcome_decided = true;
                 } else {
-                    let hop = self.hop(front, member);
-                    self.back(sub, AttemptOutcome::Dropped, self.now + hop);
+                    let hop = self.one_way_delay(front, member);
+                    self.end_submission_at(sub, AttemptOutcome::Dropped, self.now + hop);
                 }
             }
         }
-        let its = |&(sub, _): &(u32, u64)| self.subs[sub as usize].member == member;
+        let its = |&(sub, _): &(u32, u64)| self.submissions[sub as usize].member == member;
         let unanswered =
             self.groups[group].unanswered.iter().filter(|w| its(w)).map(|w| w.0).collect::<Vec<_>>();
-        self.groups[group].unanswered.retain(|w| self.subs[w.0 as usize].member != member);
+        self.groups[group].unanswered.retain(|w| self.submissions[w.0 as usize].member != member);
         for sub in unanswered {
-            let hop = self.hop(self.tries[self.subs[sub as usize].txn as usize].front, member);
-            self.back(sub, AttemptOutcome::Dropped, self.now + hop);
+            let hop =
+                self.one_way_delay(self.txns[self.submissions[sub as usize].txn as usize].front, member);
+            self.end_submission_at(sub, AttemptOutcome::Dropped, self.now + hop);
         }
-        self.doubt(group);
+        self.check_primary(group);
     }
 
     /// A member starts again, cold, from where it stood.
@@ -1493,57 +1538,57 @@
             return;
         }
         let (now, group) = (self.now, self.members[member].group);
-        self.jot(Note::Started { member });
-        self.fix(group);
+        self.record_note(Note::Started { member });
+        self.fix_positions(group);
         let m = &mut self.members[member];
         (m.up, m.drains, m.started) = (true, false, Some(now));
         m.advance(now, &self.shape);
-        m.said = Said::default();
+        m.load_report = LoadReport::default();
         if self.groups[group].primary == Some(member) {
             // Nobody has taken its place: it goes on as the primary.
-            self.members[member].believes = true;
+            self.members[member].claims_primary = true;
         } else {
-            self.follow_from(member);
+            self.resume_following(member);
         }
-        self.reship(group);
+        self.resume_shipping(group);
         self.entries[member].started = Some(now);
         self.entries[member].state = ListedState::Up;
-        self.tell(member);
+        self.announce(member);
     }
 
     // The list.
 
-    fn tell(&mut self, member: usize) {
-        if self.silent > 0 {
-            self.unsaid.insert(member);
+    fn announce(&mut self, member: usize) {
+        if self.list_silences > 0 {
+            self.unannounced.insert(member);
             return;
         }
-        let change = self.changes.len() as u32;
-        self.changes.push(self.entries[member]);
+        let change = self.list_changes.len() as u32;
+        self.list_changes.push(self.entries[member]);
         for front in 0..self.fronts.len() {
-            let late = self.lists.span(self.shape.list_late) + self.late;
-            let life = self.fronts[front].life;
-            self.calendar.set(self.now + late, Event::List(front, life, change));
+            let list_delay = self.lists.span(self.shape.list_late) + self.list_delay;
+            let incarnation = self.fronts[front].incarnation;
+            self.calendar.set(self.now + list_delay, Event::ListChange(front, incarnation, change));
         }
     }
 
     // Troubles.
 
-    fn whom(&mut self, whom: Whom) -> Vec<usize> {
-        let there = |&m: &usize| !self.members[m].gone;
+    fn resolve_targets(&mut self, whom: Whom) -> Vec<usize> {
+        let is_there = |&m: &usize| !self.members[m].gone;
         match whom {
-            Whom::Member(member) => vec![member].into_iter().filter(there).collect(),
-            Whom::Primary(group) => self.groups[group].primary.into_iter().filter(there).collect(),
+            Whom::Member(member) => vec![member].into_iter().filter(is_there).collect(),
+            Whom::Primary(group) => self.groups[group].primary.into_iter().filter(is_there).collect(),
             Whom::Replicas(group) => {
                 let g = &self.groups[group];
-                g.members.iter().copied().filter(|&m| Some(m) != g.primary && there(&m)).collect()
+                g.members.iter().copied().filter(|&m| Some(m) != g.primary && is_there(&m)).collect()
             }
             Whom::Zone(zone) => {
-                (0..self.members.len()).filter(|m| self.members[*m].zone == zone && there(m)).collect()
+                (0..self.members.len()).filter(|m| self.members[*m].zone == zone && is_there(m)).collect()
             }
-            Whom::All => (0..self.members.len()).filter(there).collect(),
+            Whom::All => (0..self.members.len()).filter(is_there).collect(),
             Whom::Some(share) => {
-                let mut all: Vec<usize> = (0..self.members.len()).filter(there).collect();
+                let mut all: Vec<usize> = (0..self.members.len()).filter(is_there).collect();
                 let n = ((all.len() as f64 * share).round() as usize).clamp(1, all.len());
                 for i in 0..n {
                     let with = i + self.faults.below(all.len() - i);
@@ -1555,39 +1600,39 @@
         }
     }
 
-    fn begin(&mut self, trouble: usize) {
+    fn begin_fault(&mut self, trouble: usize) {
         let Trouble { what, .. } = self.shape.troubles[trouble];
         match what {
             What::Member(whom, ill) => {
-                let met = self.whom(whom);
-                self.met[trouble] = met.clone();
-                met.into_iter().for_each(|member| self.strike(member, ill));
+                let affected = self.resolve_targets(whom);
+                self.affected[trouble] = affected.clone();
+                affected.into_iter().for_each(|member| self.inject_fault(member, ill));
             }
             What::ZoneCut(zone) => {
-                (0..self.groups.len()).for_each(|group| self.fix(group));
-                self.cut[zone] += 1;
-                (0..self.groups.len()).for_each(|group| self.doubt(group));
+                (0..self.groups.len()).for_each(|group| self.fix_positions(group));
+                self.zone_cuts[zone] += 1;
+                (0..self.groups.len()).for_each(|group| self.check_primary(group));
             }
-            What::ListSilent => self.silent += 1,
-            What::ListLate(by) => self.late += by,
+            What::ListSilent => self.list_silences += 1,
+            What::ListLate(by) => self.list_delay += by,
             What::ListWrong(whom) => {
-                let met = self.whom(whom);
-                for &member in &met {
+                let affected = self.resolve_targets(whom);
+                for &member in &affected {
                     self.entries[member].state = ListedState::Removed;
-                    self.tell(member);
+                    self.announce(member);
                 }
-                self.met[trouble] = met;
+                self.affected[trouble] = affected;
             }
-            What::FrontStands(front) => self.fronts[front].stands += 1,
+            What::FrontStands(front) => self.fronts[front].pauses += 1,
             What::FrontKilled(front) => {
                 let f = &mut self.fronts[front];
-                (f.up, f.life) = (false, f.life + 1);
-                f.kept.clear();
+                (f.up, f.incarnation) = (false, f.incarnation + 1);
+                f.delayed.clear();
                 let open = std::mem::take(&mut f.open);
                 self.audit.forget_front(front);
                 for txn in open {
-                    if self.tries[txn as usize].told.is_none() {
-                        self.settle(txn, Told::Nothing, None);
+                    if self.txns[txn as usize].told.is_none() {
+                        self.record_answer(txn, Told::Nothing, None);
                     }
                 }
                 for member in &mut self.members {
@@ -1599,9 +1644,9 @@
         }
     }
 
-    fn strike(&mut self, member: usize, ill: Ill) {
+    fn inject_fault(&mut self, member: usize, ill: Ill) {
         let group = self.members[member].group;
-        self.fix(group);
+        self.fix_positions(group);
         self.members[member].advance(self.now, &self.shape);
         match ill {
             Ill::Killed => self.kill(member),
@@ -1609,68 +1654,70 @@
                 self.kill(member);
                 self.members[member].gone = true;
                 self.entries[member].state = ListedState::Removed;
-                self.tell(member);
+                self.announce(member);
             }
             Ill::Hung => self.members[member].hung += 1,
             Ill::CutFromFronts => self.members[member].cut_from_fronts += 1,
             Ill::CutFromPeers => self.members[member].cut_from_peers += 1,
             Ill::Slow(times) => self.members[member].speed /= times,
-            Ill::Errors(share) => self.members[member].errors += share,
-            Ill::Loses(share) => self.members[member].loses += share,
-            Ill::Lags(times) => self.members[member].lag *= times,
-            Ill::LiesIdle => self.members[member].lies = true,
+            Ill::Errors(share) => self.members[member].error_rate += share,
+            Ill::Loses(share) => self.members[member].answer_loss += share,
+            Ill::Lags(times) => self.members[member].lag_factor *= times,
+            Ill::LiesIdle => self.members[member].hides_load = true,
             Ill::Drained | Ill::Moved => {
                 if ill == Ill::Drained {
                     self.members[member].drains = true;
                     self.entries[member].state = ListedState::Draining;
-                    self.tell(member);
+                    self.announce(member);
                 }
                 if self.groups[group].primary == Some(member) {
                     let handed = self.elections.span(self.shape.election.handed);
                     let g = &mut self.groups[group];
-                    (g.handing, g.electing, g.turn) = (true, true, g.turn + 1);
-                    let turn = g.turn;
-                    self.calendar.set(self.now + handed, Event::Elect(group, turn));
+                    (g.handing_over, g.electing, g.generation) = (true, true, g.generation + 1);
+                    let generation = g.generation;
+                    self.calendar.set(self.now + handed, Event::Elect(group, generation));
                 }
             }
         }
-        self.doubt(group);
-        self.wake(member);
+        self.check_primary(group);
+        self.schedule_step(member);
     }
 
-    fn heal(&mut self, trouble: usize) {
+    fn end_fault(&mut self, trouble: usize) {
         let Trouble { what, .. } = self.shape.troubles[trouble];
-        let met = std::mem::take(&mut self.met[trouble]);
+        let affected = std::mem::take(&mut self.affected[trouble]);
         match what {
-            What::Member(_, ill) => met.into_iter().for_each(|member| self.cure(member, ill)),
+            What::Member(_, ill) => affected.into_iter().for_each(|member| self.clear_fault(member, ill)),
             What::ZoneCut(zone) => {
-                (0..self.groups.len()).for_each(|group| self.fix(group));
-                self.cut[zone] -= 1;
+                (0..self.groups.len()).for_each(|group| self.fix_positions(group));
+                self.zone_cuts[zone] -= 1;
                 for group in 0..self.groups.len() {
-                    self.back_among_them(group);
+                    self.reconnect_group(group);
                 }
             }
             What::ListSilent => {
-                self.silent -= 1;
-                if self.silent == 0 {
-                    std::mem::take(&mut self.unsaid).into_iter().for_each(|member| self.tell(member));
+                self.list_silences -= 1;
+                if self.list_silences == 0 {
+                    std::mem::take(&mut self.unannounced)
+                        .into_iter()
+                        .for_each(|member| self.announce(member));
                 }
             }
-            What::ListLate(by) => self.late = self.late.saturating_sub(by),
+            What::ListLate(by) => self.list_delay = self.list_delay.saturating_sub(by),
             What::ListWrong(_) => {
-                for member in met {
+                for member in affected {
                     self.entries[member].state = ListedState::Up;
-                    self.tell(member);
+                    self.announce(member);
                 }
             }
             What::FrontStands(front) => {
                 let f = &mut self.fronts[front];
-                f.stands -= 1;
-                if f.stands == 0 {
-                    let kept = std::mem::take(&mut f.kept);
+                f.pauses -= 1;
+                if f.pauses == 0 {
+                    let delayed = std::mem::take(&mut f.delayed);
                     // What a front reads then has waited: nothing that came since goes before it.
                     let later = std::mem::take(&mut self.ready);
-                    kept.into_iter().for_each(|out| self.read_late(out));
+                    delayed.into_iter().for_each(|out| self.deliver_delayed(out));
                     self.ready.extend(later);
                 }
             }
@@ -1681,11 +1728,12 @@
                 // The list as it stands comes behind the old one that it starts from.
                 for member in 0..self.entries.len() {
                     if self.entries[member].state != ListedState::Up {
-                        let change = self.changes.len() as u32;
-                        self.changes.push(self.entries[member]);
-                        let late = self.lists.span(self.shape.list_late);
-                        let life = self.fronts[front].life;
-                        self.calendar.set(self.now + late, Event::List(front, life, change));
+                        let change = self.list_changes.len() as u32;
+                        self.list_changes.push(self.entries[member]);
+                        let list_delay = self.lists.span(self.shape.list_late);
+                        let incarnation = self.fronts[front].incarnation;
+                        self.calendar
+                            .set(self.now + list_delay, Event::ListChange(front, incarnation, change));
                     }
                 }
             }
@@ -1695,10 +1743,10 @@
 
     /// What a front reads once it runs again: clients that have left meanwhile are gone, times have gone on,
     /// and rows go to their clients only now.
-    fn read_late(&mut self, out: Out) {
+    fn deliver_delayed(&mut self, out: Out) {
         let out = match out {
             Out::Arrived { front, txn, kind, group, retried, .. } => {
-                let left = self.tries[txn as usize].expiry.saturating_sub(self.now);
+                let left = self.txns[txn as usize].expiry.saturating_sub(self.now);
                 if left.is_zero() {
                     self.fronts[front].open.remove(&txn);
                     return;
@@ -1706,12 +1754,12 @@
                 Out::Arrived { front, txn, kind, group, left, retried }
             }
             Out::Ended { front, txn, member, ending, role, position, took, .. } => {
-                let Try { told, expiry, .. } = self.tries[txn as usize];
+                let Txn { told, expiry, .. } = self.txns[txn as usize];
                 if ending == AttemptOutcome::Committed && told.is_none() && self.now <= expiry && !self.remote
                 {
-                    self.settle(txn, Told::Committed, None);
+                    self.record_answer(txn, Told::Committed, None);
                 }
-                let over = self.tries[txn as usize].told.is_some();
+                let over = self.txns[txn as usize].told.is_some();
                 Out::Ended { front, txn, member, ending, role, position, took, over }
             }
             other => other,
@@ -1719,9 +1767,9 @@
         self.ready.push_back(out);
     }
 
-    fn cure(&mut self, member: usize, ill: Ill) {
+    fn clear_fault(&mut self, member: usize, ill: Ill) {
         let group = self.members[member].group;
-        self.fix(group);
+        self.fix_positions(group);
         self.members[member].advance(self.now, &self.shape);
         match ill {
             Ill::Killed | Ill::Drained => {
@@ -1737,11 +1785,11 @@
                     let unread = std::mem::take(&mut self.members[member].unread);
                     for sub in unread {
                         // What has run there waits for its replica anew, all else begins now.
-                        let txn = self.subs[sub as usize].txn as usize;
-                        if self.tries[txn].ran > 0 && !self.is_read(sub) {
-                            self.acked(sub)
+                        let txn = self.submissions[sub as usize].txn as usize;
+                        if self.txns[txn].effects > 0 && !self.is_read(sub) {
+                            self.write_replicated(sub)
                         } else {
-                            self.reach(sub)
+                            self.submission_arrives(sub)
                         }
                     }
                 }
@@ -1749,27 +1797,27 @@
             Ill::CutFromFronts => self.members[member].cut_from_fronts -= 1,
             Ill::CutFromPeers => self.members[member].cut_from_peers -= 1,
             Ill::Slow(times) => self.members[member].speed *= times,
-            Ill::Errors(share) => self.members[member].errors -= share,
-            Ill::Loses(share) => self.members[member].loses -= share,
-            Ill::Lags(times) => self.members[member].lag /= times,
-            Ill::LiesIdle => self.members[member].lies = false,
+            Ill::Errors(share) => self.members[member].error_rate -= share,
+            Ill::Loses(share) => self.members[member].answer_loss -= share,
+            Ill::Lags(times) => self.members[member].lag_factor /= times,
+            Ill::LiesIdle => self.members[member].hides_load = false,
             Ill::Moved => {}
         }
-        self.back_among_them(group);
-        self.wake(member);
+        self.reconnect_group(group);
+        self.schedule_step(member);
     }
 
     /// Members that reach each other again: the log flows, and a former primary will learn.
-    fn back_among_them(&mut self, group: usize) {
+    fn reconnect_group(&mut self, group: usize) {
         for at in 0..self.groups[group].members.len() {
             let member = self.groups[group].members[at];
             let m = &self.members[member];
-            if m.believes && self.groups[group].primary != Some(member) && m.reaches_peers() {
-                self.learns(member);
+            if m.claims_primary && self.groups[group].primary != Some(member) && m.reaches_peers() {
+                self.schedule_learning(member);
             }
         }
-        self.reship(group);
-        self.doubt(group);
+        self.resume_shipping(group);
+        self.check_primary(group);
     }
 
     /// Another member takes the place of one that is gone.
@@ -1783,8 +1831,8 @@
         self.groups[group].members.push(member);
         let (state, primary, started) = (ListedState::Up, false, Some(now));
         self.entries.push(Entry { member, group, zone, state, primary, started });
-        self.follow_from(member);
-        self.reship(group);
-        self.tell(member);
+        self.resume_following(member);
+        self.resume_shipping(group);
+        self.announce(member);
     }
 }
--- a/crates/emulator/tests/stories.rs
+++ b/crates/emulator/tests/scenarios.rs
@@ -23,13 +23,13 @@
         terms: TxnType { sla: ms(300), value: 1.0, late_value: 0.0, effect, consistency },
         expiry: ms(2000),
     };
-    let marked = Effect::Referenced { window: ms(2000), scope: Scope::Group };
+    let referenced = Effect::Referenced { window: ms(2000), scope: Scope::Group };
     Shape {
         seed: 4,
         lasts: ms(10_000),
         kinds: vec![
             kind("read", Effect::Repeatable, Consistency::Bounded(ms(300))),
-            kind("write", marked, Consistency::Write),
+            kind("write", referenced, Consistency::Write),
         ],
         fronts: vec![0],
         members: (0..3).map(|_| Node { group: 0, zone: 0 }).collect(),
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn what_is_at_work_shares_the_cores_and_what_finds_no_room_is_turned_away() {
+fn concurrent_txns_share_the_cores_and_excess_txns_are_refused() {
     let mut world = World::new(shape(3000.0, Vec::new()));
     let mut sent = 0;
     let ended = run(&mut world, 200, |_| {
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_dead_primary_is_followed_by_one_that_has_its_log_and_comes_back_as_a_replica() {
+fn a_killed_primary_is_replaced_by_an_up_to_date_replica_and_returns_as_a_replica() {
     let killed = trouble(1000, 3000, What::Member(Whom::Primary(0), Ill::Killed));
     let mut world = World::new(shape(50.0, vec![killed]));
     run(&mut world, 990, |kind| (kind == WRITE).then_some(0));
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_hung_primary_that_wakes_ends_its_writes_in_errors_and_none_takes_effect() {
+fn writes_at_a_hung_primary_end_in_errors_and_take_no_effect() {
     let hung = trouble(1000, 2500, What::Member(Whom::Primary(0), Ill::Hung));
     let mut world = World::new(shape(100.0, vec![hung]));
     let ended = run(&mut world, 6000, |kind| (kind == WRITE).then_some(0));
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn a_slow_log_makes_data_old_and_a_read_of_it_is_found() {
+fn a_read_of_old_data_on_a_lagging_replica_breaks_rule_5() {
     let lags = trouble(500, 9000, What::Member(Whom::Replicas(0), Ill::Lags(60.0)));
     let mut world = World::new(shape(100.0, vec![lags]));
     run(&mut world, 4000, |kind| Some(0).filter(|_| kind < 2));
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_cold_member_that_gets_too_much_falls_for_good() {
+fn an_overloaded_cold_member_fails_for_good() {
     let killed = trouble(500, 500, What::Member(Whom::Member(1), Ill::Killed));
     let mut world = World::new(shape(600.0, vec![killed]));
     run(&mut world, 990, |kind| (kind == READ).then_some(2));
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_drained_member_is_told_of_and_sends_past_the_grace_are_found() {
+fn sends_to_a_draining_member_after_the_grace_break_rule_3() {
     let drained = trouble(1000, 5000, What::Member(Whom::Member(2), Ill::Drained));
     let mut world = World::new(shape(50.0, vec![drained]));
     run(&mut world, 2000, |kind| (kind == READ).then_some(2));
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn a_replaced_member_comes_back_under_another_name_with_an_old_copy() {
+fn a_replaced_member_returns_under_a_new_number_with_an_old_copy() {
     let replaced = trouble(4000, 500, What::Member(Whom::Member(1), Ill::Replaced));
     let mut world = World::new(shape(50.0, vec![replaced]));
     let mut listed = Vec::new();
@@ -235,10 +235,10 @@
 }
 
 #[test]
-fn a_probe_tells_role_and_position_and_a_cut_answers_none() {
+fn a_probe_reports_role_and_position_and_none_from_a_member_cut_off() {
     let cut = trouble(1000, 1000, What::Member(Whom::Member(1), Ill::CutFromFronts));
     let mut world = World::new(shape(0.0, vec![cut]));
-    let mut ask = |at: u64, member| {
+    let mut probe = |at: u64, member| {
         world.next(ms(at));
         world.pass(ms(at));
         world.probe(0, member);
@@ -248,36 +248,36 @@
             }
         }
     };
-    let (ending, role, position) = ask(100, 0);
+    let (ending, role, position) = probe(100, 0);
     assert_eq!((ending, role), (AttemptOutcome::Committed, Some(Role::Primary)));
     assert!(position.is_some_and(|at| at >= ms(101)));
-    let (_, role, position) = ask(300, 1);
+    let (_, role, position) = probe(300, 1);
     assert!(
         role == Some(Role::Replica) && position.is_some_and(|at| at < ms(301) && at > ms(280)),
         "{position:?}"
     );
-    assert_eq!(ask(1200, 1), (AttemptOutcome::Unreachable, None, None));
+    assert_eq!(probe(1200, 1), (AttemptOutcome::Unreachable, None, None));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_calendar_gives_what_a_sorted_list_would(steps in proptest::collection::vec((0..3u8, 0..5_000_000u64), 1..300)) {
+    fn the_calendar_orders_events_as_a_sorted_list_does(steps in proptest::collection::vec((0..3u8, 0..5_000_000u64), 1..300)) {
         let mut calendar = Calendar::new(Duration::from_micros(50), 64);
-        let (mut list, mut turn, mut now) = (Vec::new(), 0u64, 0u64);
-        for (what, far) in steps {
-            if what > 0 {
-                turn += 1;
+        let (mut list, mut sequence, mut now) = (Vec::new(), 0u64, 0u64);
+        for (choice, far) in steps {
+            if choice > 0 {
+                sequence += 1;
                 // Near, far, and at the very same time.
-                let at = now + if what == 1 { far % 3000 * 1000 } else { far * 1000 };
-                calendar.set(Duration::from_nanos(at), turn);
-                list.push((at, turn));
+                let at = now + if choice == 1 { far % 3000 * 1000 } else { far * 1000 };
+                calendar.set(Duration::from_nanos(at), sequence);
+                list.push((at, sequence));
             } else {
                 list.sort_unstable();
                 let expected = if list.is_empty() { None } else { Some(list.remove(0)) };
                 prop_assert_eq!(calendar.next_at(), expected.map(|(at, _)| Duration::from_nanos(at)));
-                prop_assert_eq!(calendar.take(), expected.map(|(at, turn)| (Duration::from_nanos(at), turn)));
+                prop_assert_eq!(calendar.take(), expected.map(|(at, sequence)| (Duration::from_nanos(at), sequence)));
                 now = expected.map_or(now, |(at, _)| at);
             }
             prop_assert_eq!(calendar.len(), list.len());
