--- a/crates/fault-shim/src/calls.rs
+++ b/crates/fault-shim/src/calls.rs
@@ -57,7 +57,8 @@
 fn controls() -> Controls {
     match mapping() {
         0 => Controls::default(),
-        // SAFETY: the mapping has this size and is never removed. The read is volatile, since another process writes it.
+        // SAFETY: the mapping has this size and is never removed. The read is volatile, since another process writes
+        // to the file.
         at => unsafe { read_volatile(at as *const Controls) },
     }
 }
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -3,8 +3,9 @@
 //! reads it at every call, so faults can begin and end while the process runs. Without the variable no call is
 //! changed. It is never part of a deployment.
 //!
-//! The injected errors are those that Linux documents for each call: accept (ECONNABORTED, ENFILE, ENOBUFS), socket (ENFILE, ENOBUFS),
-//! connect (EADDRNOTAVAIL, ENETUNREACH), send (ENOBUFS), recv (ENOMEM), reads, writes and waits (EINTR), connections
-//! opened by this process (ETIMEDOUT, EHOSTUNREACH, ECONNRESET), writes and syncs of regular files (ENOSPC, EIO).
+//! The injected errors are those that Linux documents for each call: accept (ECONNABORTED, ENFILE, ENOBUFS), socket
+//! (ENFILE, ENOBUFS), connect (EADDRNOTAVAIL, ENETUNREACH), send (ENOBUFS), recv (ENOMEM), reads, writes and waits
+//! (EINTR), connections opened by this process (ETIMEDOUT, EHOSTUNREACH, ECONNRESET), writes and syncs of regular
+//! files (ENOSPC, EIO).
 
 mod calls;
