--- a/crates/emulator/benches/calendar.rs
+++ b/crates/emulator/benches/calendar.rs
@@ -1,5 +1,5 @@
-//! The calendar beside the standard library's heap: each takes the next event and sets another, with so many
-//! pending.
+//! Compares the calendar with the standard library's heap: each takes the next event and sets another, with a given
+//! number pending.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use juniperdock_emulator::Calendar;
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 fn gap(rng: &mut Rand64) -> Duration {
-    // As in a world: most within some milliseconds, some after a second.
+    // Resembles a simulated world: most events come within milliseconds, some after a second.
     let far = rng.rand_range(0..10) == 0;
     Duration::from_nanos(rng.rand_range(0..if far { 2_000_000_000 } else { 40_000_000 }))
 }
--- a/crates/emulator/src/audit.rs
+++ b/crates/emulator/src/audit.rs
@@ -1,10 +1,10 @@
-//! The five rules, looked at from where everything is known. Nothing here is shared with the router.
+//! Checks the five rules against the true state of the world. It shares no logic with the router.
 
 use juniperdock_router::host::{AttemptOutcome, Effect, Scope};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// What each rule says, in its order.
+/// The text of each rule, in order.
 pub const RULES: [&str; 5] = [
     "one final answer in time, and nothing sent after",
     "no effect twice, no decline of what may have run",
@@ -13,19 +13,19 @@
     "no stale read",
 ];
 
-/// Broken rules that are kept with their words; all are counted.
+/// Maximum number of violations that are stored with a description; all are counted.
 const MAX_STORED: usize = 50;
 
-/// One rule, broken once.
+/// One violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Broken {
-    /// 1 to 5.
+    /// Number of the rule, 1 to 5.
     pub rule: usize,
     pub at: Duration,
     pub what: String,
 }
 
-/// An earlier submission, as the front knows it.
+/// An earlier submission of the same txn, as its front knows it.
 pub(crate) struct Earlier {
     pub sent: Duration,
     pub group: usize,
@@ -33,16 +33,18 @@
     pub ended: Option<AttemptOutcome>,
 }
 
+/// Counts violations of the rules, and keeps what the checks need.
 #[derive(Debug, Default)]
 pub struct Audit {
     pub counts: [usize; 5],
     pub broken: Vec<Broken>,
-    /// Since when a front knows that nothing new may go to a member.
+    /// By front and member: since when the front knows that it may send nothing new to the member.
     excluded_since: HashMap<(usize, usize), Duration>,
-    /// The epoch in which a member has told a front that it is a replica.
+    /// By front and member: the epoch in which the member last reported to the front that it is a replica.
     replica_epochs: HashMap<(usize, usize), u32>,
 }
 
+/// Whether a submission may have taken effect; false for outcomes that exclude it.
 fn may_have_run(earlier: &Earlier) -> bool {
     !matches!(
         earlier.ended,
@@ -56,10 +58,12 @@
 }
 
 impl Audit {
+    /// Whether no rule was violated.
     pub fn kept(&self) -> bool {
         self.counts.iter().all(|&count| count == 0)
     }
 
+    /// Counts a violation; `what` describes it.
     pub(crate) fn record_violation(&mut self, rule: usize, at: Duration, what: impl FnOnce() -> String) {
         self.counts[rule - 1] += 1;
         if self.broken.len() < MAX_STORED {
@@ -67,12 +71,13 @@
         }
     }
 
+    /// Clears what a front knew, after it has ended.
     pub(crate) fn forget_front(&mut self, front: usize) {
         self.excluded_since.retain(|&(f, _), _| f != front);
         self.replica_epochs.retain(|&(f, _), _| f != front);
     }
 
-    /// The list has told a front whether a member may be sent anything new.
+    /// A list update has told a front whether it may send anything new to a member.
     pub(crate) fn observe_listed(&mut self, now: Duration, front: usize, member: usize, stopped: bool) {
         if stopped {
             self.excluded_since.entry((front, member)).or_insert(now);
@@ -81,17 +86,17 @@
         }
     }
 
-    /// A member has told a front that it is a replica.
+    /// A front has received a member's report that it is a replica.
     pub(crate) fn observe_replica(&mut self, front: usize, member: usize, epoch: u32) {
         self.replica_epochs.insert((front, member), epoch);
     }
 
-    /// A front may still take a former primary for one.
+    /// Whether a front cannot know yet that a former primary is now a replica.
     pub(crate) fn excused(&self, front: usize, member: usize, was_primary: bool, epoch: u32) -> bool {
         was_primary && self.replica_epochs.get(&(front, member)) != Some(&epoch)
     }
 
-    /// Rules 1 to 3 on a submission that is about to leave.
+    /// Checks rules 1 to 3 for a submission that is about to be sent.
     pub(crate) fn check_send(
         &mut self,
         now: Duration,
@@ -137,7 +142,7 @@
         }
     }
 
-    /// Rule 2 on a decline.
+    /// Checks rule 2 for a declined txn.
     pub(crate) fn check_decline(
         &mut self,
         now: Duration,
--- a/crates/emulator/src/calendar.rs
+++ b/crates/emulator/src/calendar.rs
@@ -1,8 +1,8 @@
-//! The events still to come, by time; at one instant in the order in which they were set.
+//! A priority queue of future events, ordered by time; events at the same time keep the order in which they were set.
 //!
-//! A calendar: the near future is cut into days of equal length, each with a heap of its own kept unsorted
-//! until it is that day; what is further off waits in one heap. Setting and taking cost a few steps, however
-//! many events there are, as long as a day holds few of them.
+//! This is a calendar queue: the near future is divided into days of equal length, each an unsorted vector that is
+//! sorted once its day comes; later events wait in one heap. Setting and taking an event take a constant number of
+//! steps for near events, however many are pending, as long as each day holds few of them.
 //!
 //! ```
 //! use juniperdock_emulator::Calendar;
@@ -24,7 +24,7 @@
 
 #[derive(Debug)]
 struct Entry<T> {
-    /// Nanoseconds.
+    /// Time, in nanoseconds.
     at: u64,
     sequence: u64,
     event: T,
@@ -56,17 +56,18 @@
     }
 }
 
-/// Events by time.
+/// A calendar queue of events.
 #[derive(Debug)]
 pub struct Calendar<T> {
     /// Length of a day, in nanoseconds.
     length: u64,
-    /// The day whose events are being taken: the latest first, and those set since it began.
+    /// The day whose events are being taken. `sorted` holds its events, the latest first; `inserted` holds those set
+    /// since it began.
     current_day: u64,
     sorted: Vec<Entry<T>>,
     inserted: BinaryHeap<Reverse<Entry<T>>>,
     days: Vec<Vec<Entry<T>>>,
-    /// Which of `days` hold anything.
+    /// One bit for each of `days`: set if it holds events.
     occupied: Vec<u64>,
     overflow: BinaryHeap<Reverse<Entry<T>>>,
     sequence: u64,
@@ -74,7 +75,7 @@
 }
 
 impl<T> Calendar<T> {
-    /// Days of this length; so many of them, rounded up to a multiple of 64, before what is far off.
+    /// Creates a calendar whose near range has `days` days of this length, rounded up to a multiple of 64 days.
     pub fn new(length: Duration, days: usize) -> Calendar<T> {
         let words = days.div_ceil(64).max(1);
         Calendar {
@@ -90,6 +91,7 @@
         }
     }
 
+    /// Number of pending events.
     pub fn len(&self) -> usize {
         self.len
     }
@@ -98,7 +100,7 @@
         self.len == 0
     }
 
-    /// Sets an event. One in the past comes next, in its order.
+    /// Adds an event. One in the past is taken next, in its order of time.
     pub fn set(&mut self, at: Duration, event: T) {
         let at = u64::try_from(at.as_nanos()).unwrap_or(u64::MAX);
         self.sequence += 1;
@@ -119,7 +121,7 @@
         }
     }
 
-    /// When the next event comes.
+    /// Time of the next event.
     pub fn next_at(&mut self) -> Option<Duration> {
         self.advance_to_next();
         let sorted = self.sorted.last().map(|entry| entry.at);
@@ -127,7 +129,7 @@
         sorted.into_iter().chain(inserted).min().map(Duration::from_nanos)
     }
 
-    /// Takes the next event.
+    /// Removes and returns the next event.
     pub fn take(&mut self) -> Option<(Duration, T)> {
         self.advance_to_next();
         let inserted = match (self.sorted.last(), self.inserted.peek()) {
@@ -141,7 +143,7 @@
         Some((Duration::from_nanos(entry.at), entry.event))
     }
 
-    /// Goes on to the next day that holds anything, if today does not.
+    /// Moves to the next day that holds events, if the current one holds none.
     fn advance_to_next(&mut self) {
         while self.sorted.is_empty() && self.inserted.is_empty() && self.len > 0 {
             let next = self.next_day();
@@ -153,7 +155,7 @@
                 self.occupied[at / 64] &= !(1 << (at % 64));
                 self.sorted.sort_unstable_by_key(|entry| Reverse(entry.order()));
             }
-            // What was far off comes into reach.
+            // Events that are now in the near range move from the heap to their days.
             let reach = self.current_day + self.days.len() as u64;
             while self.overflow.peek().is_some_and(|entry| entry.0.at / self.length < reach) {
                 if let Some(Reverse(entry)) = self.overflow.pop() {
@@ -163,7 +165,7 @@
         }
     }
 
-    /// The next day in reach that holds anything.
+    /// The next day of the near range that holds events.
     fn next_day(&self) -> Option<u64> {
         let (days, words) = (self.days.len() as u64, self.occupied.len());
         let first = ((self.current_day + 1) % days) as usize;
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,12 +1,12 @@
-//! Members, groups, the list, the network and clients, emulated in simulated time, and auditors that look at
-//! their true state.
+//! Emulates members, groups, the server list, the network and clients in simulated time, with auditors that check rules
+//! against their true state.
 //!
-//! [`World`] holds everything but the fronts. It gives what comes to them one [`Out`] at a time; whoever runs
-//! them answers with calls such as [`World::submit`]. The same world can be driven by the clock of the machine
-//! and be spoken to over sockets. All chance comes from one seed through streams with names; two events at one
-//! instant come in the order in which they were set, so that a seed always plays the same.
+//! [`World`] holds everything except the fronts. It returns their events one [`Out`] at a time; the caller runs the
+//! fronts and acts for them through methods such as [`World::submit`]. The same world can also follow the machine's
+//! clock and be reached over sockets. All random numbers come from one seed through named streams, and events at the
+//! same time are handled in the order in which they were set, so a seed always gives the same run.
 //!
-//! What is modelled, and what is not, stands in `docs/laboratory.md`.
+//! `docs/laboratory.md` describes what is modelled and what is not.
 
 mod audit;
 mod calendar;
--- a/crates/emulator/src/member.rs
+++ b/crates/emulator/src/member.rs
@@ -1,19 +1,20 @@
-//! One member: a few cores that share what is at work, a room for what waits, a cold start, connections.
+//! One member: cores shared by the running txns, a queue of waiting txns, a cold start, and connections.
 //!
-//! All that is at work gets an equal share of the cores, so one number, the work done for each since the
-//! start, says when the next of them is done. The thread that applies the log is one more among them.
+//! All running txns get equal shares of the cores (processor sharing). One number, the work done for each txn since the
+//! start, therefore determines which txn completes next and when. The thread that applies the log counts as one more
+//! txn.
 
 use crate::shape::Shape;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::time::Duration;
 
-/// Capacity rises in so many steps while a member is cold.
+/// Number of steps in which capacity rises while a member is cold.
 const WARM_UP_STEPS: u32 = 20;
-/// Work shorter than this, in seconds, is done.
+/// Remaining work up to this, in seconds, counts as done.
 const WORK_EPSILON_S: f64 = 1e-9;
 
-/// A write that a replica has still to apply: its place in the log, when it was committed, and when it is here.
+/// A write that a replica has yet to apply: its log index, the time of its commit, and its arrival at the replica.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Pending {
     pub index: u64,
@@ -21,10 +22,10 @@
     pub arrives_at: Duration,
 }
 
-/// Idle connections of a front: since when each rests, the last used last.
+/// Idle connections of a front: since when each is idle, the most recently used last.
 pub(crate) type Pool = Vec<Duration>;
 
-/// What a cold member's budget goes to.
+/// Kinds of work that count against the budget of a cold member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Load {
     Txn,
@@ -32,6 +33,7 @@
     Probe,
 }
 
+/// The load report that a probe reads, cached between reports.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LoadReport {
     pub made: Option<Duration>,
@@ -41,12 +43,13 @@
     pub busy: f64,
 }
 
+/// The state of one member.
 #[derive(Debug)]
 pub(crate) struct Member {
     pub group: usize,
     pub zone: usize,
     pub up: bool,
-    /// Ended for good: toppled, or replaced.
+    /// Removed for good: failed under overload while cold, or replaced.
     pub gone: bool,
     pub hung: u32,
     pub drains: bool,
@@ -57,25 +60,25 @@
     pub error_rate: f64,
     pub answer_loss: f64,
     pub hides_load: bool,
-    /// Cold since then.
+    /// Time of the last start, after which it was cold.
     pub started: Option<Duration>,
-    /// Work done for each that is at work since the start, in seconds, up to `at`.
+    /// Work done for each running txn since the start, in seconds, up to the time `at`.
     progress: f64,
     at: Duration,
-    /// By the `progress` at which each is done, in billionths.
+    /// The running txns, by the value of `progress` at which each is done, in billionths.
     work: BinaryHeap<Reverse<(u64, u32)>>,
     pub waiting: VecDeque<u32>,
-    /// Read by nobody yet: it hangs.
+    /// Submissions that arrived while it hung.
     pub unread: Vec<u32>,
-    /// Writes at one that has lost its slot and does not know.
+    /// Writes at a deposed primary that has not learned of it.
     pub orphaned: Vec<u32>,
-    /// Reads at work that keep the log from being applied.
+    /// Number of running reads that block the applying of the log.
     pub blocking_reads: usize,
-    /// Its pending step, older ones are void.
+    /// Number of its scheduled step; older steps are void.
     pub generation: u32,
     pub claims_primary: bool,
     pub was_primary: bool,
-    /// How often it has been primary.
+    /// How many times it has become primary.
     pub epoch: u32,
     pub pending: VecDeque<Pending>,
     applying: Option<f64>,
@@ -83,7 +86,7 @@
     pub open: usize,
     pub pools: BTreeMap<usize, Pool>,
     pub load_report: LoadReport,
-    /// Work that came in while it was cold: when, and how much in seconds, of which kind.
+    /// Work that arrived while it was cold: time, amount in seconds, and kind.
     pub pressure: VecDeque<(Duration, f64, Load)>,
 }
 
@@ -137,14 +140,14 @@
         self.work.len()
     }
 
-    /// Share of its full capacity that a member has while it is cold.
+    /// Capacity as a share of the full capacity; below 1 while the member is cold.
     pub fn warmth(&self, now: Duration, shape: &Shape) -> f64 {
         let Some(started) = self.started else { return 1.0 };
         let done = now.saturating_sub(started).as_secs_f64() / shape.cold.warm_up.as_secs_f64().max(1e-9);
         shape.cold.share + (1.0 - shape.cold.share) * done.min(1.0)
     }
 
-    /// Work done for each that is at work, in a second.
+    /// Work done per second for each running txn.
     fn rate(&self, now: Duration, shape: &Shape) -> f64 {
         let n =
             self.work.len() as f64 + f64::from(u8::from(self.applying.is_some() && self.blocking_reads == 0));
@@ -156,7 +159,7 @@
         self.speed * self.warmth(now, shape) * (shape.cores / n).min(1.0) / (1.0 + 0.02 * over)
     }
 
-    /// Does the work of the time since the last call.
+    /// Accounts for the work done since the last call.
     pub fn advance(&mut self, now: Duration, shape: &Shape) {
         let rate = self.rate(self.at, shape);
         let done = rate * now.saturating_sub(self.at).as_secs_f64();
@@ -167,20 +170,20 @@
         }
     }
 
-    /// Sets a txn to work that takes so many seconds of one core.
+    /// Starts a txn that takes `seconds` of one core.
     pub fn start_work(&mut self, sub: u32, seconds: f64) {
         let ends = ((self.progress + seconds) * 1e9) as u64;
         self.work.push(Reverse((ends, sub)));
     }
 
-    /// The next txn that is done.
+    /// Removes and returns the next completed txn, if there is one.
     pub fn pop_done(&mut self) -> Option<u32> {
         let Reverse((ends, _)) = *self.work.peek()?;
         (ends as f64 <= (self.progress + WORK_EPSILON_S) * 1e9 + 1.0)
             .then(|| self.work.pop().map(|Reverse((_, sub))| sub))?
     }
 
-    /// Applies what is done, and takes up the next write that is here. True if anything was applied.
+    /// Completes writes whose work is done and starts the next write that has arrived. Returns whether any was applied.
     pub fn apply(&mut self, now: Duration, shape: &Shape) -> bool {
         let mut applied = false;
         loop {
@@ -203,12 +206,12 @@
         }
     }
 
-    /// Nothing is being applied any more: the log has changed under it.
+    /// Aborts the write that is being applied, after its log was replaced.
     pub fn stop_applying(&mut self) {
         self.applying = None;
     }
 
-    /// When it is to be looked at again.
+    /// Time at which the member has to be stepped again.
     pub fn next_step_at(&self, now: Duration, shape: &Shape) -> Option<Duration> {
         if !self.is_running() {
             return None;
@@ -228,7 +231,7 @@
         [txn, applied, arrives_at, warmer.filter(|_| rate > 0.0)].into_iter().flatten().min()
     }
 
-    /// All that it had in hand, which is lost with it.
+    /// Drops all submissions and connections of a member that stops, and returns the submissions.
     pub fn drop_all_work(&mut self) -> Vec<u32> {
         let mut all: Vec<u32> = self.work.drain().map(|Reverse((_, sub))| sub).collect();
         all.sort_unstable();
@@ -240,8 +243,8 @@
         all
     }
 
-    /// Takes an idle connection of a front, or opens one; `None` if it has no connection left. Says whether
-    /// it was opened.
+    /// Takes an idle connection of a front or opens a new one. Returns whether it was opened; `None` if the connection
+    /// limit is reached.
     pub fn connect(&mut self, now: Duration, front: usize, shape: &Shape) -> Option<bool> {
         let close_expired = |pool: &mut Pool| {
             let before = pool.len();
@@ -254,7 +257,7 @@
             return Some(false);
         }
         if self.open >= shape.connections {
-            // The idle ones of others may have ended by now.
+            // Idle connections of other fronts may have expired by now.
             let ended: usize = self.pools.values_mut().map(close_expired).sum();
             self.open -= ended.min(self.open);
         }
@@ -264,7 +267,7 @@
         })
     }
 
-    /// A connection rests, or has ended.
+    /// Returns a connection to the idle pool, or counts it as closed.
     pub fn release_connection(&mut self, now: Duration, front: usize, ended: bool) {
         if ended {
             self.open = self.open.saturating_sub(1);
@@ -273,8 +276,8 @@
         }
     }
 
-    /// Notes work that has come in. If the budget of some window is spent the cold member falls: then it tells,
-    /// in seconds, what came in that window as txns, handshakes and probes, and what it could bear.
+    /// Records work that has arrived. If the work of the last window exceeds the budget of a cold member, returns the
+    /// amounts of that window, in seconds: txns, handshakes, probes, and the limit.
     pub fn add_cold_load(
         &mut self,
         now: Duration,
--- a/crates/emulator/src/shape.rs
+++ b/crates/emulator/src/shape.rs
@@ -1,168 +1,187 @@
-//! What a world is made of, and what befalls it. Plain values; who reads them from files checks them.
+//! The parameters of a world and the script of its troubles. These are plain values; whoever reads them from files has
+//! to validate them.
 
 use juniperdock_router::host::{ColdStart, TxnType};
 use std::time::Duration;
 
-/// A least and a most; drawn evenly between them.
+/// Minimum and maximum of a uniformly distributed duration.
 pub type Range = (Duration, Duration);
 
-/// A txn type: what it asks for, and how much of it comes.
+/// A txn type: its terms, its cost, and its share of the load.
 #[derive(Clone, Debug)]
 pub struct Kind {
     pub name: String,
-    /// Its part of all txns, against the parts of the others.
+    /// Weight of this type among all txns.
     pub part: f64,
-    /// Time of one core that it takes.
+    /// Time of one core that a txn takes.
     pub work: Range,
     pub terms: TxnType,
-    /// How long its client waits at the longest.
+    /// The longest time that its client waits.
     pub expiry: Duration,
 }
 
-/// Where a member stands.
+/// The group and zone of a member.
 #[derive(Clone, Copy, Debug)]
 pub struct Node {
     pub group: usize,
     pub zone: usize,
 }
 
-/// How a group's log gets from its primary to the replicas.
+/// Replication of a group's log from the primary to the replicas.
 #[derive(Clone, Debug)]
 pub struct Log {
+    /// Time to ship a write, besides the network delay.
     pub ship: Duration,
-    /// Work of one thread to apply one write.
+    /// Work to apply one write, by one thread.
     pub apply: Duration,
-    /// A read that takes longer than this keeps the log of its member from being applied.
+    /// A read that takes longer than this blocks the applying of the log at its member.
     pub blocks: Duration,
-    /// A write is answered once a replica has it.
+    /// Whether a write is answered only once a replica has it.
     pub synchronous: bool,
-    /// How old the copy is that a new member starts from.
+    /// Age of the copy of the data that a new member starts from.
     pub copy: Duration,
-    /// Marks are remembered for so long from when their write ran.
+    /// How long marks are remembered after their write ran. A mark is the reference by which a repeated write is
+    /// recognized.
     pub marks: Duration,
 }
 
+/// Durations of elections and handovers.
 #[derive(Clone, Debug)]
 pub struct Election {
-    /// Until the others take a primary for lost, and from then until another follows.
+    /// Time until the others detect the loss of a primary.
     pub noticed: Range,
+    /// Time from the detection of the loss to the election.
     pub elected: Range,
-    /// From the beginning of a drain to the hand-over.
+    /// Time from the start of a drain to the handover.
     pub handed: Range,
-    /// Until a former primary that is back learns that it is one.
+    /// Time until a former primary that is reachable again learns that it was deposed.
     pub learns: Range,
 }
 
-/// The clients of all fronts together.
+/// The clients of all fronts.
 #[derive(Clone, Debug)]
 pub struct Crowd {
     pub per_second: f64,
-    /// Of that, second by second; as it is where the series has ended.
+    /// Factors on `per_second`, one for each second; the last one stays in force.
     pub series: Vec<f64>,
-    /// Small numbered groups get more: Zipf's exponent.
+    /// Exponent of Zipf's distribution over the groups; groups with low numbers get more load.
     pub skew: f64,
-    /// A client waits for such a share of the expiry.
+    /// Bounds of the share of the expiry that a client waits.
     pub patience: (f64, f64),
+    /// Maximum number of retries of a call.
     pub retries: u32,
     pub back_off: Range,
 }
 
+/// All parameters of a world.
 #[derive(Clone, Debug)]
 pub struct Shape {
     pub seed: u64,
     pub lasts: Duration,
     pub kinds: Vec<Kind>,
-    /// By front, the zone in which it stands.
+    /// The zone of each front.
     pub fronts: Vec<usize>,
     pub members: Vec<Node>,
-    /// One way, within a zone and between two.
+    /// One-way network delay within a zone.
     pub near: Duration,
+    /// One-way network delay between zones.
     pub far: Duration,
     pub cores: f64,
-    /// Txns at work in a member at a time, and txns that wait there.
+    /// Maximum number of running txns at a member.
     pub slots: usize,
+    /// Maximum number of waiting txns at a member.
     pub waiting: usize,
-    /// Beyond so many txns a core each further one costs the member a fiftieth of its speed.
+    /// Number of txns per core beyond which each further one adds a fiftieth to the time that work takes.
     pub thrash: f64,
+    /// Maximum number of connections of a member.
     pub connections: usize,
+    /// Work of a member to set up a connection.
     pub handshake: Duration,
+    /// How long an idle connection is kept.
     pub idle: Duration,
+    /// Time after which a front gives up on a connection or a probe.
     pub connect: Duration,
+    /// Work of a member to answer a probe.
     pub probe: Duration,
+    /// How long a member reuses its load report.
     pub report_every: Duration,
+    /// Delay of list changes on their way to each front.
     pub list_late: Range,
     pub log: Log,
     pub election: Election,
     pub cold: ColdStart,
-    /// Sends to a drained member are allowed for so long after it was told, and answers after the expiry.
+    /// How long sends to a draining member are allowed after the front was informed.
     pub drain_grace: Duration,
+    /// How long after the expiry an answer is allowed.
     pub answer_grace: Duration,
     pub crowd: Crowd,
     pub troubles: Vec<Trouble>,
 }
 
-/// Who is met by a trouble; found out when it begins.
+/// The members that a trouble affects, resolved when it begins.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Whom {
     Member(usize),
     Primary(usize),
     Replicas(usize),
-    /// All members of a zone, or of the fleet.
+    /// All members of a zone.
     Zone(usize),
+    /// All members.
     All,
-    /// Such a share of all members, drawn anew.
+    /// A random share of all members.
     Some(f64),
 }
 
-/// What befalls a member.
+/// A fault of a member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Ill {
-    /// It ends at once, and starts again, cold, when the trouble ends.
+    /// It stops at once, and restarts cold when the trouble ends.
     Killed,
-    /// It says nothing, and goes on where it stood.
+    /// It stops responding, and continues where it was when the trouble ends.
     Hung,
-    /// So many times slower.
+    /// It is slower by this factor.
     Slow(f64),
-    /// Such a share of its txns ends in an error, at once.
+    /// This share of its txns ends in an error at once.
     Errors(f64),
-    /// The list says that it drains; it takes no writes, hands over, and starts again, cold, at the end.
+    /// The list shows it as draining. It refuses writes, hands over, and restarts cold when the trouble ends.
     Drained,
-    /// It ends for good, and another one takes its place, cold, with an old copy, when the trouble ends.
+    /// It is removed. When the trouble ends, a new member takes its place, cold and with an old copy of the data.
     Replaced,
-    /// No front reaches it; the other members do.
+    /// Fronts cannot reach it; the other members can.
     CutFromFronts,
-    /// Fronts reach it; the other members do not.
+    /// The other members cannot reach it; fronts can.
     CutFromPeers,
-    /// It applies the log so many times more slowly.
+    /// It applies the log more slowly by this factor.
     Lags(f64),
-    /// Such a share of its answers never arrives.
+    /// This share of its answers is lost.
     Loses(f64),
-    /// It reports no load.
+    /// It reports that it has no load.
     LiesIdle,
-    /// It hands over, and nobody is told.
+    /// It hands over as primary without an announcement.
     Moved,
 }
 
+/// The kinds of troubles.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum What {
     Member(Whom, Ill),
-    /// A zone is cut off from the others, also for logs.
+    /// A zone is cut off from the others, including log shipping.
     ZoneCut(usize),
-    /// The list says nothing; all comes at the end.
+    /// The list sends no changes; they follow when the trouble ends.
     ListSilent,
-    /// What the list says comes so much later.
+    /// Changes of the list are delayed by this much.
     ListLate(Duration),
-    /// The list has a member as gone that is there.
+    /// The list shows running members as removed.
     ListWrong(Whom),
-    /// A front does not run, and goes on where it stood.
+    /// A front is paused, and continues where it was when the trouble ends.
     FrontStands(usize),
-    /// A front ends at once, and starts again, knowing nothing, when the trouble ends.
+    /// A front stops at once, and restarts without its state when the trouble ends.
     FrontKilled(usize),
-    /// So many times more clients.
+    /// The rate of clients is multiplied by this factor.
     Surge(f64),
 }
 
-/// One trouble of the script.
+/// One fault in the script, with its start and duration.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Trouble {
     pub from: Duration,
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -1,4 +1,7 @@
-//! Everything but the fronts, event by event.
+//! The discrete-event simulation of everything except the fronts.
+//!
+//! A *call* is one operation that a client wants done. A client carries it out by one or more *txns*, each sent to one
+//! front; a front carries out a txn by *submissions* to members.
 
 use crate::audit::{Audit, Earlier};
 use crate::calendar::Calendar;
@@ -11,25 +14,25 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::Xxh3;
 
-/// A day of the calendar, and how many of them lie before what is far off.
+/// Length of a day of the calendar, and the number of days in its near range.
 const CALENDAR_DAY: Duration = Duration::from_micros(250);
 const CALENDAR_DAYS: usize = 8192;
-/// An election that finds nobody is tried again.
+/// Delay before an election that found no candidate is repeated.
 const ELECTION_RETRY: Duration = Duration::from_millis(100);
-/// What a front finds in its list of a member that started long ago.
+/// The start time that the list gives for a member that has been running for long.
 const LONG_AGO: Option<Duration> = None;
 
-/// A final answer, as a client has it.
+/// The final answer to a txn, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Told {
     Committed,
     Declined,
     Unknown,
-    /// Nothing came in time, or the connection ended.
+    /// No answer came in time, or the connection ended.
     Nothing,
 }
 
-/// How a client's wish ended, all its tries together.
+/// The outcome of a call, over all its txns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum How {
     InTime,
@@ -39,23 +42,23 @@
     Unanswered,
 }
 
-/// What the list says of a member.
+/// An entry of the server list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Entry {
     pub member: usize,
     pub group: usize,
     pub zone: usize,
     pub state: ListedState,
-    /// Primary when the world began.
+    /// Whether the member was primary at the start of the simulation.
     pub primary: bool,
-    /// When it last started; `None` for long ago.
+    /// Time of its last start; `None` if it was running from the beginning.
     pub started: Option<Duration>,
 }
 
-/// What comes to a front, or out of the world.
+/// An event for a front, or a result for whoever runs the simulation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Out {
-    /// A front starts, knowing nothing but an old list.
+    /// A front starts, with an outdated list as its only knowledge.
     Born {
         front: usize,
         known: Vec<Entry>,
@@ -72,7 +75,7 @@
         left: Duration,
         retried: bool,
     },
-    /// The client has gone without an answer.
+    /// The client has disconnected without an answer.
     Left {
         front: usize,
         txn: u32,
@@ -85,7 +88,7 @@
         role: Option<Role>,
         position: Option<Duration>,
         took: Duration,
-        /// The client has its final answer.
+        /// Whether the client already has its final answer.
         over: bool,
     },
     Probed {
@@ -98,13 +101,13 @@
         front: usize,
         handle: u64,
     },
-    /// Another front has sent it something.
+    /// A message from another front.
     Shared {
         front: usize,
         from: usize,
         bytes: Box<[u8]>,
     },
-    /// A wish has come to its end.
+    /// A call has finished.
     Done {
         kind: usize,
         group: usize,
@@ -113,7 +116,7 @@
         how: How,
         tries: u32,
     },
-    /// A try has been answered by a front.
+    /// A front has answered a txn.
     Answered {
         front: usize,
         kind: usize,
@@ -122,11 +125,11 @@
     },
 }
 
-/// What others than the auditors here may judge by: told as it happens, where [`World::noting`] is on.
+/// Facts for checkers outside this crate, recorded as they happen if [`World::noting`] was called.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Note {
-    /// A submission has come to a member's machine; how old its data is, and whether it takes itself for the
-    /// primary, or has been one in some epoch.
+    /// A front has sent a submission to a member. Gives the age of the member's data, whether it claims to be primary
+    /// (`leads`), and its epoch if it was primary at any time.
     Submitted {
         front: usize,
         txn: u32,
@@ -136,37 +139,41 @@
         leads: bool,
         epoch: Option<u32>,
     },
-    /// A submission is over for its front.
+    /// A submission has ended for its front.
     Over {
         front: usize,
         txn: u32,
         member: usize,
         ending: AttemptOutcome,
     },
-    /// Work has come to a member that is cold, and what it can do in the window at this warmth, in seconds.
+    /// Work has arrived at a cold member. Gives the work, and the member's present capacity over one window, in
+    /// seconds.
     Pressed {
         member: usize,
         work: f64,
         can: f64,
     },
-    /// A write has taken effect, or its effect is lost with the log that an election dropped.
+    /// A write has taken effect.
     Ran {
         txn: u32,
         member: usize,
     },
+    /// The effect of a write is lost, since an election dropped that part of the log.
     Undone {
         txn: u32,
     },
-    /// A member has told a front that it is a replica.
+    /// A front has received a member's report that it is a replica.
     Replica {
         front: usize,
         member: usize,
         epoch: u32,
     },
+    /// A member was elected primary.
     Primary {
         group: usize,
         member: usize,
     },
+    /// A cold member has failed under overload.
     Fell {
         member: usize,
     },
@@ -178,6 +185,7 @@
     },
 }
 
+/// An event in the calendar. Those with a generation or an incarnation are void if it has changed since.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Arrival,
@@ -201,6 +209,7 @@
     MessageArrives(usize, usize, u32),
 }
 
+/// One operation that a client wants done, over all its txns.
 struct Call {
     kind: usize,
     group: usize,
@@ -211,6 +220,7 @@
     done: bool,
 }
 
+/// One txn: a call as sent to one front.
 struct Txn {
     call: u32,
     front: usize,
@@ -218,36 +228,38 @@
     begun: Duration,
     expiry: Duration,
     submissions: Vec<u32>,
-    /// Times that its write took effect in the branch that lives.
+    /// How many times its write took effect in the log that the group kept.
     effects: u32,
     told: Option<Told>,
 }
 
+/// One submission of a txn to a member.
 struct Submission {
     txn: u32,
     member: usize,
     sent: Duration,
-    /// As its front knows it.
+    /// The outcome, once the front knows it.
     ended: Option<AttemptOutcome>,
-    /// It came by a connection that was opened for it, or none came up.
+    /// Whether a new connection was opened for it, even if that failed.
     opened: bool,
-    /// Its answer is on the way, or never will be.
+    /// The answer is under way, or will never be sent.
     outcome_decided: bool,
     role: Option<Role>,
     position: Option<Duration>,
 }
 
+/// What the world keeps about a front.
 struct Front {
     zone: usize,
     up: bool,
     incarnation: u32,
     pauses: u32,
-    /// What has come while it stood still.
+    /// Events that came while the front was paused.
     delayed: VecDeque<Out>,
     open: BTreeSet<u32>,
 }
 
-/// All that is not a front.
+/// The simulated world: clients, members, groups, list and network, but no fronts.
 pub struct World {
     shape: Shape,
     now: Duration,
@@ -261,7 +273,7 @@
     list_changes: Vec<Entry>,
     entries: Vec<Entry>,
     ready: VecDeque<Out>,
-    /// Which members a trouble has met.
+    /// By trouble, the members that it affects.
     affected: Vec<Vec<usize>>,
     zone_cuts: Vec<u32>,
     list_silences: u32,
@@ -271,7 +283,7 @@
     zipf: Zipf,
     cumulative_parts: Vec<f64>,
     arrivals: Stream,
-    /// When the arrival being handled was due: another clock may be past it.
+    /// Scheduled time of the arrival that is being handled. The time may be later if it follows another clock.
     next_arrival_at: Duration,
     clients: Stream,
     works: Stream,
@@ -280,23 +292,24 @@
     faults: Stream,
     hash: Xxh3,
     pub audit: Audit,
-    /// Events so far.
+    /// Number of events handled.
     pub events: u64,
-    /// Tries whose final answer came when their client had just gone, within the grace that rule 1 allows.
+    /// Number of txns whose answer came after the client had left but within the grace that rule 1 allows.
     pub answered_in_grace: u64,
-    /// Fronts are elsewhere: a row counts as an answer only once its client says that it came, and whether two
-    /// submissions of a txn were out at once can't be told.
+    /// Whether the fronts run in other processes. If so, a row counts as an answer only once the client reports it, and
+    /// concurrent submissions of one txn cannot be detected.
     pub remote: bool,
-    /// Notes since they were last taken, where they are wanted.
+    /// Notes since the last `take_notes`; `None` if none are recorded.
     notes: Option<Vec<(Duration, Note)>>,
-    /// Which members a front does not reach, beyond troubles.
+    /// Pairs of front and member that cannot reach each other, besides those cut off by troubles.
     unreached: BTreeSet<(usize, usize)>,
-    /// What fronts have sent each other and is under way, and places that are free again.
+    /// Messages between fronts that are under way, and the free indexes in `payloads`.
     payloads: Vec<Option<Box<[u8]>>>,
     free_payloads: Vec<u32>,
 }
 
 impl World {
+    /// Sets up the world of a shape, at time zero.
     pub fn new(shape: Shape) -> World {
         let stream = |name| Stream::of(shape.seed, name, 0);
         let groups = shape.members.iter().map(|node| node.group + 1).max().unwrap_or(0);
@@ -393,20 +406,22 @@
         world
     }
 
+    /// The simulated time.
     pub fn now(&self) -> Duration {
         self.now
     }
 
+    /// The shape that the world was made from.
     pub fn shape(&self) -> &Shape {
         &self.shape
     }
 
-    /// From now on notes are taken.
+    /// Starts to record notes.
     pub fn noting(&mut self) {
         self.notes = Some(Vec::new());
     }
 
-    /// The notes since the last call, in order.
+    /// Returns the notes since the last call, in order.
     pub fn take_notes(&mut self) -> Vec<(Duration, Note)> {
         self.notes.as_mut().map(std::mem::take).unwrap_or_default()
     }
@@ -416,14 +431,14 @@
         self.notes.iter_mut().for_each(|notes| notes.push((now, note)));
     }
 
-    /// A group's primary hands over, and nobody is told.
+    /// Makes a group's primary hand over without any announcement.
     pub fn hand_over(&mut self, group: usize) {
         if let Some(primary) = self.groups[group].primary {
             self.inject_fault(primary, Ill::Moved);
         }
     }
 
-    /// A front reaches a member no more, or again.
+    /// Cuts or restores the network between a front and a member.
     pub fn part(&mut self, front: usize, member: usize, parted: bool) {
         if parted {
             self.unreached.insert((front, member));
@@ -432,59 +447,62 @@
         }
     }
 
-    /// What has happened so far, as one number: equal for equal seeds.
+    /// Returns a hash of all events so far. Runs with equal seeds have equal hashes.
     pub fn trace(&self) -> u64 {
         self.hash.digest()
     }
 
-    /// Who is primary of a group.
+    /// The primary of a group, if it is running.
     pub fn primary(&self, group: usize) -> Option<usize> {
         self.groups[group].primary.filter(|&p| self.members[p].is_running())
     }
 
+    /// Number of groups.
     pub fn groups(&self) -> usize {
         self.groups.len()
     }
 
+    /// Number of members, including those that were removed.
     pub fn members(&self) -> usize {
         self.members.len()
     }
 
+    /// The members of a group, including those that were removed.
     pub fn members_of(&self, group: usize) -> &[usize] {
         &self.groups[group].members
     }
 
-    /// Txns that a member holds, at work or waiting.
+    /// Number of txns at a member, running or waiting.
     pub fn held(&self, member: usize) -> usize {
         self.members[member].at_work() + self.members[member].waiting.len()
     }
 
-    /// How old a member's data is; nothing for one that does not run.
+    /// Age of a member's data; `None` if it is not running.
     pub fn age(&self, member: usize) -> Option<Duration> {
         self.members[member].is_running().then(|| self.now.saturating_sub(self.applied_until(member)))
     }
 
-    /// Whether a member would take txns of a front now.
+    /// Whether a member is running and reachable from a front.
     pub fn reachable(&self, front: usize, member: usize) -> bool {
         self.members[member].is_running() && !self.is_cut_off(front, member)
     }
 
+    /// The group of a member.
     pub fn group_of(&self, member: usize) -> usize {
         self.members[member].group
     }
 
-    /// Txns of a front that wait for their answer.
+    /// Number of txns of a front that are unanswered.
     pub fn open(&self, front: usize) -> usize {
         self.fronts[front].open.len()
     }
 
-    /// When the next event comes, if anything is still to come.
+    /// Time of the next event; `None` if there is none.
     pub fn next_at(&mut self) -> Option<Duration> {
         if self.ready.is_empty() { self.calendar.next_at() } else { Some(self.now) }
     }
 
-    /// Goes on to what comes to a front next, or out of the world; `None` once all is over, or nothing comes
-    /// up to that time.
+    /// Runs the simulation to the next output. Returns `None` if there is none up to the time `until`.
     pub fn next(&mut self, until: Duration) -> Option<Out> {
         loop {
             while let Some(out) = self.ready.pop_front() {
@@ -503,7 +521,7 @@
         }
     }
 
-    /// What comes to a front that stands still waits there; what comes to one that has ended is lost.
+    /// Passes an output on, unless its front is paused (it is queued) or has ended (it is dropped).
     fn deliver(&mut self, out: Out) -> Option<Out> {
         let front = match out {
             Out::Listed { front, .. }
@@ -537,6 +555,7 @@
         Some(out)
     }
 
+    /// Adds an event to the hash of the run.
     fn hash_event(&mut self, event: &Event) {
         let (tag, a, b) = match *event {
             Event::Arrival => (0, 0, 0),
@@ -568,9 +587,9 @@
         self.hash.update(&bytes);
     }
 
-    // What fronts do.
+    // Actions of fronts.
 
-    /// A front submits a txn to a member.
+    /// Submits a txn to a member.
     pub fn submit(&mut self, front: usize, txn: u32, member: usize) {
         let now = self.now;
         let Txn { call, expiry, told, front: its, incarnation, .. } = self.txns[txn as usize];
@@ -578,7 +597,7 @@
         let terms = self.shape.kinds[kind].terms;
         let mut earlier = self.earlier(txn);
         if self.remote {
-            // A member hears that a front has given one up only after the next may have come.
+            // A member may learn that a front has abandoned one submission only after the next one has arrived.
             earlier.iter_mut().for_each(|e| e.ended = e.ended.or(Some(AttemptOutcome::Cancelled)));
         }
         let open =
@@ -593,7 +612,7 @@
             let m = &self.members[member];
             let excused = m.claims_primary || self.audit.excused(front, member, m.was_primary, m.epoch);
             let age = now.saturating_sub(self.applied_until(member));
-            // What a member tells is as old as its report: the front can only have known less.
+            // A member's reported position is at most the true one, so the front cannot have known a fresher state.
             if !excused && age > bound {
                 let ms = age.as_millis();
                 self.audit.record_violation(5, now, || {
@@ -636,13 +655,13 @@
                     self.calendar.set(now + 3 * hop, Event::SubmissionArrives(sub));
                 }
             }
-            // Into a line that is cut nothing goes, and nothing comes back.
+            // An idle connection whose network is cut transfers nothing in either direction.
             Some(false) if is_cut_off => self.submissions[sub as usize].outcome_decided = true,
             Some(false) => self.calendar.set(now + hop, Event::SubmissionArrives(sub)),
         }
     }
 
-    /// A front stops waiting for a submission: its connection ends.
+    /// Cancels a submission by closing its connection.
     pub fn cancel(&mut self, front: usize, txn: u32, submission: u32) {
         let Some(&sub) = self.txns[txn as usize].submissions.get(submission as usize) else { return };
         if self.submissions[sub as usize].ended.is_some() || self.txns[txn as usize].front != front {
@@ -653,7 +672,7 @@
         self.end_submission(sub, AttemptOutcome::Cancelled);
     }
 
-    /// A final answer of a front that is no row of a member.
+    /// Records a front's final answer to a txn that is not a member's row.
     pub fn answer(&mut self, front: usize, txn: u32, told: Told, retry_after: Option<Duration>) {
         let Txn { call, told: before, front: its, .. } = self.txns[txn as usize];
         if before.is_some() || its != front {
@@ -671,7 +690,7 @@
         self.record_answer(txn, told, retry_after);
     }
 
-    /// A front asks a member for its report.
+    /// Probes a member for its load report.
     pub fn probe(&mut self, front: usize, member: usize) {
         let (now, incarnation, hop) =
             (self.now, self.fronts[front].incarnation, self.one_way_delay(front, member));
@@ -684,13 +703,14 @@
         }
     }
 
-    /// A front wants to be reminded.
+    /// Sets a timer for a front.
     pub fn remind(&mut self, front: usize, at: Duration, handle: u64) {
         let incarnation = self.fronts[front].incarnation;
         self.calendar.set(at.max(self.now), Event::TimerDue(front, incarnation, handle));
     }
 
-    /// A front sends something to another: it comes after the way between their zones, or never.
+    /// Sends a message from one front to another. It arrives after the network delay between their zones, or is lost if
+    /// the zones are cut off.
     pub fn share(&mut self, from: usize, to: usize, bytes: &[u8]) {
         let (a, b) = (self.fronts[from].zone, self.fronts[to].zone);
         if self.zones_cut_off(a, b) {
@@ -705,7 +725,7 @@
         self.calendar.set(self.now + way, Event::MessageArrives(from, to, payload));
     }
 
-    /// The mark of a txn's wish.
+    /// The mark of the call that a txn belongs to: the reference by which members recognize a repeated write.
     pub fn mark(&self, txn: u32) -> u64 {
         self.calls[self.txns[txn as usize].call as usize].mark
     }
@@ -716,17 +736,17 @@
         self.shape.kinds[kind].terms.consistency == Consistency::Write
     }
 
-    /// How many submissions of a txn there were.
+    /// Number of submissions of a txn so far.
     pub fn submissions(&self, txn: u32) -> u32 {
         self.txns[txn as usize].submissions.len() as u32
     }
 
-    /// Goes on to a time at which nothing is to happen any more: that of another clock.
+    /// Advances the time to that of an external clock. All events before it must have been handled.
     pub fn pass(&mut self, now: Duration) {
         self.now = self.now.max(now);
     }
 
-    // Where things stand.
+    // State queries.
 
     fn earlier(&self, txn: u32) -> Vec<Earlier> {
         let earlier = |&sub: &u32| {
@@ -746,6 +766,7 @@
         a != b && (self.zone_cuts[a] > 0 || self.zone_cuts[b] > 0)
     }
 
+    /// Whether the network between a front and a member is cut.
     fn is_cut_off(&self, front: usize, member: usize) -> bool {
         let m = &self.members[member];
         m.cut_from_fronts > 0
@@ -753,7 +774,7 @@
             || self.zones_cut_off(self.fronts[front].zone, m.zone)
     }
 
-    /// Whether a member gets the log of its group's primary.
+    /// Whether a member receives the log of its group's primary.
     fn receives_log(&self, member: usize) -> bool {
         let m = &self.members[member];
         let Some(p) = self.groups[m.group].primary.filter(|&p| p != member) else { return false };
@@ -766,7 +787,7 @@
         self.shape.log.ship + if near { self.shape.near } else { self.shape.far }
     }
 
-    /// Up to when a member has applied all.
+    /// The time up to which a member has applied all writes.
     fn applied_until(&self, member: usize) -> Duration {
         let m = &self.members[member];
         let group = &self.groups[m.group];
@@ -782,7 +803,7 @@
         }
     }
 
-    /// What a member says of itself: one that believes it is primary stands at the present.
+    /// The role and position that a member reports. One that claims to be primary reports the present as its position.
     fn reported_state(&self, member: usize) -> (Role, Duration) {
         if self.members[member].claims_primary {
             (Role::Primary, self.now)
@@ -791,7 +812,7 @@
         }
     }
 
-    /// Notes where all members of a group stand, before that changes.
+    /// Stores the positions of all members of a group, before a change to what the positions are computed from.
     fn fix_positions(&mut self, group: usize) {
         for at in 0..self.groups[group].members.len() {
             let member = self.groups[group].members[at];
@@ -799,7 +820,7 @@
         }
     }
 
-    /// What was kept from members that follow again is on its way.
+    /// Resumes shipping of pending writes to members that receive the log again.
     fn resume_shipping(&mut self, group: usize) {
         let Some(p) = self.groups[group].primary else { return };
         for at in 0..self.groups[group].members.len() {
@@ -814,14 +835,14 @@
             }
             self.schedule_step(member);
         }
-        // Answers that had no replica to wait for.
+        // Answers for which no replica was reachable.
         let unanswered = std::mem::take(&mut self.groups[group].unanswered);
         for (sub, index) in unanswered {
             self.await_replica(sub, group, index);
         }
     }
 
-    /// A write is answered once a replica has it; it waits as long as there is none.
+    /// Schedules the answer of a write for when the first replica has received it. If none will, the answer waits.
     fn await_replica(&mut self, sub: u32, group: usize, index: u64) {
         let arrives_at = self.groups[group].members.iter().filter_map(|&m| {
             self.members[m]
@@ -837,7 +858,7 @@
         }
     }
 
-    /// Sets the next step of a member.
+    /// Schedules the next step of a member; the one scheduled before becomes void.
     fn schedule_step(&mut self, member: usize) {
         let now = self.now;
         let m = &mut self.members[member];
@@ -850,7 +871,7 @@
         }
     }
 
-    // What happens.
+    // Event handlers.
 
     fn handle(&mut self, event: Event) {
         match event {
@@ -928,7 +949,7 @@
             Event::MessageArrives(from, front, payload) => {
                 if let Some(bytes) = self.payloads[payload as usize].take() {
                     self.free_payloads.push(payload);
-                    // What is under way when the line is cut is lost.
+                    // A message under way when the network is cut is lost.
                     if !self.zones_cut_off(self.fronts[from].zone, self.fronts[front].zone) {
                         self.ready.push_back(Out::Shared { front, from, bytes });
                     }
@@ -946,7 +967,7 @@
             return;
         }
         let gap = self.arrivals.gap(per_second);
-        // None comes at the very start, nor while none are to come.
+        // There is no arrival at time zero, nor while the rate is zero; then this event only looks at the rate again.
         let wait =
             if per_second > 0.0 { gap.min(Duration::from_secs(1)) } else { Duration::from_millis(100) };
         self.next_arrival_at += wait;
@@ -965,7 +986,7 @@
         self.send_txn(call);
     }
 
-    /// A client asks a front of its zone, or any that is there.
+    /// The client sends a txn for its call to a running front of its zone, or of any zone if there is none.
     fn send_txn(&mut self, call: u32) {
         let Call { kind, group, zone, tries, .. } = self.calls[call as usize];
         let is_there = |&f: &usize| self.fronts[f].up;
@@ -1000,14 +1021,14 @@
         self.ready.push_back(Out::Arrived { front, txn, kind, group, left, retried: tries > 0 });
     }
 
-    /// The client's time is up; the front may still answer within the grace.
+    /// The client's expiry has passed. The front may still answer within the grace.
     fn client_times_out(&mut self, txn: u32) {
         let Txn { call, .. } = self.txns[txn as usize];
         let effect = self.shape.kinds[self.calls[call as usize].kind].terms.effect;
         self.retry_or_finish(call, effect == Effect::Repeatable, None, How::Unanswered);
     }
 
-    /// Notes the final answer of a try, and what its client does then.
+    /// Records the final answer of a txn and lets its client retry or finish.
     fn record_answer(&mut self, txn: u32, told: Told, retry_after: Option<Duration>) {
         let now = self.now;
         let Txn { call, front, begun, expiry, .. } = self.txns[txn as usize];
@@ -1016,7 +1037,7 @@
         let Call { kind, group, begun: first, tries, done, .. } = self.calls[call as usize];
         self.ready.push_back(Out::Answered { front, kind, told, took: now - begun });
         if done || now >= expiry {
-            // Its client does not wait for it any more, and may have asked again.
+            // The client no longer waits for this answer and may have retried.
             self.answered_in_grace += u64::from(!done);
             return;
         }
@@ -1034,7 +1055,7 @@
         }
     }
 
-    /// Tries again, if that is harmless and it still wants to; else its wish ends so.
+    /// Retries the call if that is harmless and retries are left; otherwise finishes it with this outcome.
     fn retry_or_finish(&mut self, call: u32, harmless: bool, retry_after: Option<Duration>, how: How) {
         if harmless && self.calls[call as usize].tries <= self.shape.crowd.retries {
             let wait = self.clients.span(self.shape.crowd.back_off).max(retry_after.unwrap_or_default());
@@ -1051,13 +1072,13 @@
         }
     }
 
-    /// The answer of a submission sets out, or is known to its front at that time.
+    /// Schedules the end of a submission for the time at which its front learns of it.
     fn end_submission_at(&mut self, sub: u32, ending: AttemptOutcome, at: Duration) {
         self.submissions[sub as usize].outcome_decided = true;
         self.calendar.set(at, Event::SubmissionEnds(sub, ending));
     }
 
-    /// A member answers; what it says of itself goes along, unless its connection breaks.
+    /// Sends a member's answer, with its role and position unless the connection breaks.
     fn reply(&mut self, sub: u32, ending: AttemptOutcome) {
         let Submission { txn, member, outcome_decided, .. } = self.submissions[sub as usize];
         if outcome_decided {
@@ -1097,7 +1118,7 @@
         self.end_submission(sub, ending);
     }
 
-    /// The front hears how a submission ended. A row goes to the client at once.
+    /// Ends a submission for its front. A row is passed to the client at once.
     fn end_submission(&mut self, sub: u32, ending: AttemptOutcome) {
         let Submission { txn, member, sent, role, position, .. } = self.submissions[sub as usize];
         self.submissions[sub as usize].ended = Some(ending);
@@ -1115,7 +1136,7 @@
         self.ready.push_back(Out::Ended { front, txn, member, ending, role, position, took, over });
     }
 
-    /// A submission is at its member.
+    /// A submission arrives at its member.
     fn submission_arrives(&mut self, sub: u32) {
         let Submission { txn, member, opened, outcome_decided, .. } = self.submissions[sub as usize];
         if outcome_decided {
@@ -1160,13 +1181,14 @@
         if m.at_work() < self.shape.slots {
             self.start_work(sub, work);
         } else {
-            // What waits has its work drawn anew when it begins: no client knows the difference.
+            // The work of a waiting txn is drawn again when it starts. No client can observe the difference.
             self.members[member].advance(self.now, &self.shape);
             self.members[member].waiting.push_back(sub);
         }
         self.schedule_step(member);
     }
 
+    /// Adds to the load of a cold member, which fails for good if the load exceeds its budget.
     fn add_cold_load(&mut self, member: usize, work: f64, load: Load) {
         let now = self.now;
         let m = &self.members[member];
@@ -1206,11 +1228,11 @@
         self.shape.kinds[self.calls[call as usize].kind].terms.consistency != Consistency::Write
     }
 
-    /// What is done at a member leaves it, and what waits begins.
+    /// Finishes the completed txns of a member and starts waiting ones.
     fn step(&mut self, member: usize) {
         self.members[member].advance(self.now, &self.shape);
         while let Some(sub) = self.members[member].pop_done() {
-            // Its mark that it has kept the log from being applied.
+            // The position `Duration::MAX` marks a read that blocks the applying of the log.
             if self.submissions[sub as usize].position == Some(Duration::MAX) {
                 self.submissions[sub as usize].position = None;
                 self.members[member].blocking_reads -= 1;
@@ -1230,14 +1252,15 @@
         self.schedule_step(member);
     }
 
-    /// A write has done its work at a member that takes itself for the primary.
+    /// A write has finished its work at a member that claims to be primary.
     fn finish_write(&mut self, sub: u32) {
         let Submission { txn, member, sent, .. } = self.submissions[sub as usize];
         let Txn { call, told, .. } = self.txns[txn as usize];
         let Call { mark, kind, .. } = self.calls[call as usize];
         let (now, group) = (self.now, self.members[member].group);
         if self.groups[group].primary != Some(member) || !self.members[member].claims_primary {
-            // None of the others takes what it has; it ends in an error once it knows.
+            // A deposed primary cannot replicate the write. The write ends in an error once the member learns that it
+            // was deposed.
             if self.members[member].claims_primary {
                 self.members[member].orphaned.push(sub);
             } else {
@@ -1288,7 +1311,7 @@
         }
     }
 
-    /// A primary answers a write once a replica has it; one that has no replicas, at once.
+    /// Answers a write once a replica has it, or at once if the group has no replica.
     fn reply_once_replicated(&mut self, sub: u32, member: usize, index: u64) {
         let (now, group) = (self.now, self.members[member].group);
         let others: Vec<usize> = self.groups[group]
@@ -1297,7 +1320,7 @@
             .copied()
             .filter(|&m| m != member && !self.members[m].gone)
             .collect();
-        // What is not pending there any more has been applied.
+        // A write that is no longer pending has been applied.
         let has = |m: &usize| {
             self.members[*m]
                 .pending
@@ -1312,7 +1335,7 @@
         }
     }
 
-    /// A replica has a write: its primary answers, if it still is one.
+    /// A replica has received a write; the primary answers it if it is still primary.
     fn write_replicated(&mut self, sub: u32) {
         let member = self.submissions[sub as usize].member;
         let m = &self.members[member];
@@ -1357,9 +1380,9 @@
         self.calendar.set(now + hop, Event::ProbeEnds(front, incarnation, member, load_report));
     }
 
-    // Primaries.
+    // Elections and roles.
 
-    /// A group has lost its primary, or it may have.
+    /// Schedules the detection of a lost primary, unless the primary is sound or an election is under way.
     fn check_primary(&mut self, group: usize) {
         let g = &self.groups[group];
         let sound = g.primary.is_some_and(|p| self.members[p].reaches_peers() && !self.is_isolated(p));
@@ -1373,7 +1396,7 @@
         self.calendar.set(self.now + noticed, Event::PrimaryLost(group, generation));
     }
 
-    /// Whether a primary reaches none of the others, of which there are some.
+    /// Whether a primary with other members in its group reaches none of them, although all of them are up.
     fn is_isolated(&self, primary: usize) -> bool {
         let group = self.members[primary].group;
         let mut others =
@@ -1381,6 +1404,7 @@
         others.peek().is_some() && others.all(|&m| self.members[m].up && !self.receives_log(m))
     }
 
+    /// The other members have noticed the loss: schedules the election unless the primary is back.
     fn confirm_loss(&mut self, group: usize, generation: u32) {
         if self.groups[group].generation != generation {
             return;
@@ -1394,6 +1418,8 @@
         self.calendar.set(self.now + elected, Event::Elect(group, generation));
     }
 
+    /// Makes the running member with the most of the log the primary, and drops the writes that it does not have. The
+    /// old primary is never elected.
     fn elect(&mut self, group: usize, generation: u32) {
         if self.groups[group].generation != generation {
             return;
@@ -1472,6 +1498,7 @@
         self.calendar.set(self.now + wait, Event::LearnDemotion(member, epoch));
     }
 
+    /// A former primary learns that it was deposed, if it still is and is reachable.
     fn learn_demotion(&mut self, member: usize, epoch: u32) {
         let m = &self.members[member];
         let deposed = m.claims_primary && self.groups[m.group].primary != Some(member);
@@ -1480,7 +1507,7 @@
         }
     }
 
-    /// A former primary follows from now on; what it could not commit ends in an error.
+    /// Turns a former primary into a replica. Writes that it could not commit end in errors.
     fn step_down(&mut self, member: usize) {
         let group = self.members[member].group;
         self.members[member].claims_primary = false;
@@ -1490,7 +1517,7 @@
         self.resume_shipping(group);
     }
 
-    /// A member gets all that was written since where it stands.
+    /// Queues all writes after a member's position for it; `resume_shipping` sends them.
     fn resume_following(&mut self, member: usize) {
         let m = &self.members[member];
         let (position, group) = (m.position, m.group);
@@ -1500,6 +1527,7 @@
         self.members[member].stop_applying();
     }
 
+    /// Stops a member at once. Everything it was working on is lost.
     fn kill(&mut self, member: usize) {
         let group = self.members[member].group;
         self.fix_positions(group);
@@ -1532,7 +1560,7 @@
         self.check_primary(group);
     }
 
-    /// A member starts again, cold, from where it stood.
+    /// Restarts a member cold, at the log position at which it stopped.
     fn start(&mut self, member: usize) {
         if self.members[member].gone {
             return;
@@ -1545,7 +1573,7 @@
         m.advance(now, &self.shape);
         m.load_report = LoadReport::default();
         if self.groups[group].primary == Some(member) {
-            // Nobody has taken its place: it goes on as the primary.
+            // No other member was elected, so it continues as primary.
             self.members[member].claims_primary = true;
         } else {
             self.resume_following(member);
@@ -1556,8 +1584,9 @@
         self.announce(member);
     }
 
-    // The list.
+    // The server list.
 
+    /// Sends a member's list entry to all fronts, or keeps it back while the list is silent.
     fn announce(&mut self, member: usize) {
         if self.list_silences > 0 {
             self.unannounced.insert(member);
@@ -1574,6 +1603,7 @@
 
     // Troubles.
 
+    /// The members that a trouble affects, among those that still exist.
     fn resolve_targets(&mut self, whom: Whom) -> Vec<usize> {
         let is_there = |&m: &usize| !self.members[m].gone;
         match whom {
@@ -1600,6 +1630,7 @@
         }
     }
 
+    /// Starts a trouble of the script.
     fn begin_fault(&mut self, trouble: usize) {
         let Trouble { what, .. } = self.shape.troubles[trouble];
         match what {
@@ -1644,6 +1675,7 @@
         }
     }
 
+    /// Applies a fault to a member.
     fn inject_fault(&mut self, member: usize, ill: Ill) {
         let group = self.members[member].group;
         self.fix_positions(group);
@@ -1683,6 +1715,7 @@
         self.schedule_step(member);
     }
 
+    /// Ends a trouble of the script.
     fn end_fault(&mut self, trouble: usize) {
         let Trouble { what, .. } = self.shape.troubles[trouble];
         let affected = std::mem::take(&mut self.affected[trouble]);
@@ -1715,7 +1748,7 @@
                 f.pauses -= 1;
                 if f.pauses == 0 {
                     let delayed = std::mem::take(&mut f.delayed);
-                    // What a front reads then has waited: nothing that came since goes before it.
+                    // The queued events come first, before any that came since.
                     let later = std::mem::take(&mut self.ready);
                     delayed.into_iter().for_each(|out| self.deliver_delayed(out));
                     self.ready.extend(later);
@@ -1725,7 +1758,7 @@
                 self.fronts[front].up = true;
                 let known = self.entries.iter().map(|e| Entry { state: ListedState::Up, ..*e }).collect();
                 self.ready.push_back(Out::Born { front, known });
-                // The list as it stands comes behind the old one that it starts from.
+                // The front starts from an outdated list; the current state follows as changes.
                 for member in 0..self.entries.len() {
                     if self.entries[member].state != ListedState::Up {
                         let change = self.list_changes.len() as u32;
@@ -1741,8 +1774,8 @@
         }
     }
 
-    /// What a front reads once it runs again: clients that have left meanwhile are gone, times have gone on,
-    /// and rows go to their clients only now.
+    /// Delivers an event that was queued while its front was paused. Txns of clients that have left are dropped,
+    /// remaining times are computed anew, and rows reach their clients only now.
     fn deliver_delayed(&mut self, out: Out) {
         let out = match out {
             Out::Arrived { front, txn, kind, group, retried, .. } => {
@@ -1767,6 +1800,7 @@
         self.ready.push_back(out);
     }
 
+    /// Ends a fault of a member.
     fn clear_fault(&mut self, member: usize, ill: Ill) {
         let group = self.members[member].group;
         self.fix_positions(group);
@@ -1784,7 +1818,7 @@
                 if self.members[member].hung == 0 {
                     let unread = std::mem::take(&mut self.members[member].unread);
                     for sub in unread {
-                        // What has run there waits for its replica anew, all else begins now.
+                        // Writes that have run wait for a replica again; everything else starts now.
                         let txn = self.submissions[sub as usize].txn as usize;
                         if self.txns[txn].effects > 0 && !self.is_read(sub) {
                             self.write_replicated(sub)
@@ -1807,7 +1841,8 @@
         self.schedule_step(member);
     }
 
-    /// Members that reach each other again: the log flows, and a former primary will learn.
+    /// Resumes log shipping after members of a group can reach each other again, and schedules that a former primary
+    /// learns of the change.
     fn reconnect_group(&mut self, group: usize) {
         for at in 0..self.groups[group].members.len() {
             let member = self.groups[group].members[at];
@@ -1820,7 +1855,7 @@
         self.check_primary(group);
     }
 
-    /// Another member takes the place of one that is gone.
+    /// Adds a new member in place of one that was removed.
     fn replace(&mut self, old: usize) {
         let (now, member) = (self.now, self.members.len());
         let Member { group, zone, .. } = self.members[old];
--- a/crates/emulator/tests/scenarios.rs
+++ b/crates/emulator/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! What the model does by itself, one story for each of its parts; and the calendar against a sorted list.
+//! Tests of the model by itself, one scenario for each part, and of the calendar against a sorted list.
 
 use juniperdock_emulator::*;
 use juniperdock_router::host::{
@@ -14,7 +14,7 @@
 const READ: usize = 0;
 const WRITE: usize = 1;
 
-/// One group of three, one front; clients come only if a story says so.
+/// One group of three members and one front, with clients at the given rate.
 fn shape(per_second: f64, troubles: Vec<Trouble>) -> Shape {
     let kind = |name: &str, effect, consistency| Kind {
         name: name.to_owned(),
@@ -79,8 +79,8 @@
     Trouble { from: ms(from), lasts: ms(lasts), what }
 }
 
-/// Runs on until a time, sending each txn that comes to where the story says; gives how submissions ended, and
-/// when.
+/// Runs the world until a time. Submits each txn to the member that `to` returns, or declines it. Returns the txn, the
+/// member, the outcome and the duration of each submission.
 fn run(
     world: &mut World,
     until: u64,
@@ -117,7 +117,7 @@
     let full = ended.iter().filter(|e| e.2 == AttemptOutcome::Full).count();
     assert_eq!(committed.len() + full, 20);
     assert!(full >= 6 && committed.len() >= 12, "eight at work, four wait: {full} full");
-    // Eight at once on two cores take four times as long as one; nothing is done faster than its work.
+    // Eight txns at once on two cores take four times as long as one. No txn is faster than its own work.
     let first = committed[0].3;
     assert!(first > ms(12) && first < ms(55), "{first:?}");
     assert!(committed.iter().all(|e| e.3 >= ms(12)));
@@ -136,7 +136,7 @@
     assert_ne!(next, 0);
     let ended = run(&mut world, 5000, |kind| (kind == WRITE).then_some(next));
     assert!(ended.iter().filter(|e| e.2 == AttemptOutcome::Committed).count() > 30);
-    // Back, it takes no writes, and has soon what was written meanwhile.
+    // After its return it refuses writes and soon catches up on those it missed.
     let ended = run(&mut world, 6000, |kind| (kind == WRITE).then_some(0));
     let at_old: Vec<_> = ended.iter().filter(|e| e.1 == 0).collect();
     assert!(at_old.len() > 10 && at_old.iter().all(|e| e.2 == AttemptOutcome::Misplaced));
@@ -144,7 +144,8 @@
     assert!(world.audit.kept(), "{:?}", world.audit.broken);
 }
 
-/// A repeated write with a mark waits for a replica as the first one does: else it is answered, and lost with its primary.
+/// Guards against a repeated write with a mark being answered while no replica has the first one: it would be lost with
+/// its primary.
 #[test]
 fn a_repeated_write_is_not_answered_before_a_replica_has_the_first() {
     let apart = trouble(100, 3000, What::Member(Whom::Primary(0), Ill::CutFromPeers));
@@ -171,7 +172,7 @@
     let hung = trouble(1000, 2500, What::Member(Whom::Primary(0), Ill::Hung));
     let mut world = World::new(shape(100.0, vec![hung]));
     let ended = run(&mut world, 6000, |kind| (kind == WRITE).then_some(0));
-    // Those on new connections never came up; what it had read, or would read, it can't commit.
+    // New connections are never established. Writes that the member had read, or reads later, cannot be committed.
     let during = ended.iter().filter(|e| e.3 > ms(260)).collect::<Vec<_>>();
     assert!(
         during.len() >= 5
@@ -269,7 +270,7 @@
         for (choice, far) in steps {
             if choice > 0 {
                 sequence += 1;
-                // Near, far, and at the very same time.
+                // Near times, far times, and equal times.
                 let at = now + if choice == 1 { far % 3000 * 1000 } else { far * 1000 };
                 calendar.set(Duration::from_nanos(at), sequence);
                 list.push((at, sequence));
