--- a/crates/fault-shim/src/calls.rs
+++ b/crates/fault-shim/src/calls.rs
@@ -1,4 +1,4 @@
-//! The calls of the C library that this one stands in for.
+//! The functions of the C library that this library replaces.
 
 use juniperdock_fault_controls::{Controls, LENGTH, VARIABLE};
 use libc::{c_char, c_int, c_void, clockid_t, epoll_event, size_t, sockaddr, socklen_t, ssize_t, timespec};
@@ -9,7 +9,7 @@
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
-/// The next definition of a call, the C library's own.
+/// The next definition of a function in the search order: the C library's. Resolved at the first use.
 struct Next(AtomicUsize, &'static CStr);
 
 impl Next {
@@ -18,24 +18,24 @@
     }
 
     fn address(&self) -> usize {
-        let known = self.0.load(Ordering::Relaxed);
-        if known != 0 {
-            return known;
+        let cached = self.0.load(Ordering::Relaxed);
+        if cached != 0 {
+            return cached;
         }
-        // SAFETY: the name is a C string; the result is only used with the type of that call.
+        // SAFETY: the name is a C string; callers use the result only with the type of that function.
         let found = unsafe { libc::dlsym(libc::RTLD_NEXT, self.1.as_ptr()) } as usize;
         self.0.store(found, Ordering::Relaxed);
         found
     }
 }
 
-/// The mapped control file; address 0 without one.
-fn mapped() -> usize {
-    static AT: OnceLock<usize> = OnceLock::new();
-    *AT.get_or_init(|| {
+/// Address of the mapped control file; 0 if there is none.
+fn mapping() -> usize {
+    static ADDRESS: OnceLock<usize> = OnceLock::new();
+    *ADDRESS.get_or_init(|| {
         let mut name = VARIABLE.as_bytes().to_vec();
         name.push(0);
-        // SAFETY: plain calls with valid C strings; the mapping is never undone.
+        // SAFETY: the calls get valid C strings; the file is never unmapped.
         unsafe {
             let path = libc::getenv(name.as_ptr().cast::<c_char>());
             if path.is_null() {
@@ -53,20 +53,22 @@
     })
 }
 
+/// The controls now in force.
 fn controls() -> Controls {
-    match mapped() {
+    match mapping() {
         0 => Controls::default(),
-        // SAFETY: mapped for good, of that size; another process writes it, hence volatile.
+        // SAFETY: the mapping has this size and is never removed. The read is volatile, since another process writes
+        // to the file.
         at => unsafe { read_volatile(at as *const Controls) },
     }
 }
 
-/// Whether a fault of this rate meets a call.
+/// Draws whether a fault with this rate, in parts of 65,536, applies to the present call.
 fn drawn(rate: u32) -> bool {
     rate > 0 && (random() & 0xffff) < u64::from(rate)
 }
 
-/// Each thread draws a sequence of its own.
+/// Returns 53 random bits. Each thread has its own xorshift sequence, derived from the seed and the thread's number.
 fn random() -> u64 {
     static THREADS: AtomicU64 = AtomicU64::new(1);
     thread_local!(static STATE: Cell<u64> = const { Cell::new(0) });
@@ -84,8 +86,9 @@
     })
 }
 
+/// Sets `errno` and returns -1.
 fn fail(errno: c_int) -> c_int {
-    // SAFETY: the thread's own variable.
+    // SAFETY: the pointer is to the calling thread's own variable.
     unsafe { *libc::__errno_location() = errno };
     -1
 }
@@ -94,22 +97,24 @@
     errors[random() as usize % errors.len()]
 }
 
-/// Stands still for a while, if it is this call's turn.
-fn hold_up(controls: &Controls) {
+/// Sleeps for a random time up to `held_up_us`, if this call is drawn for it.
+fn delay(controls: &Controls) {
     if drawn(controls.held_up) {
         let nanos = random() % (u64::from(controls.held_up_us).max(1) * 1000);
-        let span =
+        let duration =
             timespec { tv_sec: (nanos / 1_000_000_000) as i64, tv_nsec: (nanos % 1_000_000_000) as i64 };
-        // SAFETY: a valid span, and nothing is asked back.
-        unsafe { libc::syscall(libc::SYS_nanosleep, &raw const span, null::<timespec>()) };
+        // SAFETY: the duration is valid, and a null pointer for the remaining time is allowed.
+        unsafe { libc::syscall(libc::SYS_nanosleep, &raw const duration, null::<timespec>()) };
     }
 }
 
-/// Descriptors below this number that were connected here, a bit each.
-static OPENED: [AtomicU64; 64] = [const { AtomicU64::new(0) }; 64];
+/// One bit for each descriptor below 4096: set if this process connected it.
+static CONNECTED: [AtomicU64; 64] = [const { AtomicU64::new(0) }; 64];
 
-fn opened(fd: c_int, set: Option<bool>) -> bool {
-    let Some(word) = usize::try_from(fd).ok().and_then(|fd| OPENED.get(fd / 64)) else { return false };
+/// Returns whether this process connected the descriptor; `set` replaces the stored value. Descriptors beyond the
+/// table count as not connected.
+fn connected_here(fd: c_int, set: Option<bool>) -> bool {
+    let Some(word) = usize::try_from(fd).ok().and_then(|fd| CONNECTED.get(fd / 64)) else { return false };
     let bit = 1u64 << (fd % 64);
     match set {
         Some(true) => word.fetch_or(bit, Ordering::Relaxed) & bit != 0,
@@ -118,18 +123,19 @@
     }
 }
 
-/// What a read or write of a socket meets: an error, or how many bytes it may move.
-fn meets(fd: c_int, length: size_t, short_of: c_int) -> Result<size_t, c_int> {
+/// Draws the fault for a read or write of a socket: an error, or the number of bytes that it may transfer.
+/// `exhausted` is the error for lack of memory or buffers.
+fn inject(fd: c_int, length: size_t, exhausted: c_int) -> Result<size_t, c_int> {
     let controls = controls();
-    hold_up(&controls);
+    delay(&controls);
     if drawn(controls.fails) {
-        return Err(short_of);
+        return Err(exhausted);
     }
     if drawn(controls.interrupted) {
         return Err(libc::EINTR);
     }
-    if opened(fd, None) && drawn(controls.breaks) {
-        // SAFETY: whoever owns the descriptor is told that the connection is over.
+    if connected_here(fd, None) && drawn(controls.breaks) {
+        // SAFETY: the descriptor is the caller's, who gets an error that says that the connection has ended.
         unsafe { libc::syscall(libc::SYS_shutdown, fd, libc::SHUT_RDWR) };
         return Err(one_of(&[libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET]));
     }
@@ -138,35 +144,35 @@
 
 fn is_regular(fd: c_int) -> bool {
     let mut stat = std::mem::MaybeUninit::<libc::stat>::zeroed();
-    // SAFETY: room for the answer; read only when the call succeeded.
+    // SAFETY: the buffer has the size of the result and is read only if the call succeeded.
     unsafe {
         libc::fstat(fd, stat.as_mut_ptr()) == 0 && stat.assume_init().st_mode & libc::S_IFMT == libc::S_IFREG
     }
 }
 
-static CLOCK: Next = Next::of(c"clock_gettime");
-static ACCEPT: Next = Next::of(c"accept4");
+static CLOCK_GETTIME: Next = Next::of(c"clock_gettime");
+static ACCEPT4: Next = Next::of(c"accept4");
 static SOCKET: Next = Next::of(c"socket");
 static CONNECT: Next = Next::of(c"connect");
 static RECV: Next = Next::of(c"recv");
 static SEND: Next = Next::of(c"send");
 static WRITE: Next = Next::of(c"write");
 static FSYNC: Next = Next::of(c"fsync");
-static WAIT: Next = Next::of(c"epoll_wait");
+static EPOLL_WAIT: Next = Next::of(c"epoll_wait");
 static CLOSE: Next = Next::of(c"close");
 
 /// # Safety
 /// As `clock_gettime(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, at: *mut timespec) -> c_int {
-    // SAFETY: the address is that of this call; the caller's pointers are passed on.
+    // SAFETY: the address is that of the C library's function, with this type; the caller's pointers are passed on.
     unsafe {
-        let next: extern "C" fn(clockid_t, *mut timespec) -> c_int = transmute(CLOCK.address());
+        let next: extern "C" fn(clockid_t, *mut timespec) -> c_int = transmute(CLOCK_GETTIME.address());
         let done = next(clock, at);
         if done == 0 && clock == libc::CLOCK_REALTIME {
-            let off = controls().wall_clock_ms;
-            let nanos = (*at).tv_nsec + off.rem_euclid(1000) * 1_000_000;
-            (*at).tv_sec += off.div_euclid(1000) + nanos / 1_000_000_000;
+            let offset_ms = controls().wall_clock_ms;
+            let nanos = (*at).tv_nsec + offset_ms.rem_euclid(1000) * 1_000_000;
+            (*at).tv_sec += offset_ms.div_euclid(1000) + nanos / 1_000_000_000;
             (*at).tv_nsec = nanos % 1_000_000_000;
         }
         done
@@ -183,16 +189,16 @@
     flags: c_int,
 ) -> c_int {
     let controls = controls();
-    hold_up(&controls);
+    delay(&controls);
     if drawn(controls.fails) {
         return fail(one_of(&[libc::ECONNABORTED, libc::ENFILE, libc::ENOBUFS, libc::EINTR]));
     }
     // SAFETY: as above.
     unsafe {
         let next: extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int =
-            transmute(ACCEPT.address());
+            transmute(ACCEPT4.address());
         let accepted = next(fd, at, length, flags);
-        opened(accepted, Some(false));
+        connected_here(accepted, Some(false));
         accepted
     }
 }
@@ -216,13 +222,13 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn connect(fd: c_int, to: *const sockaddr, length: socklen_t) -> c_int {
     let controls = controls();
-    hold_up(&controls);
-    // SAFETY: the caller's address is a valid one.
-    let remote = unsafe { c_int::from((*to).sa_family) == libc::AF_INET };
-    if remote && drawn(controls.fails) {
+    delay(&controls);
+    // SAFETY: the caller passes a valid address.
+    let is_inet = unsafe { c_int::from((*to).sa_family) == libc::AF_INET };
+    if is_inet && drawn(controls.fails) {
         return fail(one_of(&[libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::EHOSTUNREACH]));
     }
-    opened(fd, Some(remote));
+    connected_here(fd, Some(is_inet));
     // SAFETY: as above.
     unsafe {
         let next: extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int = transmute(CONNECT.address());
@@ -234,10 +240,10 @@
 /// As `recv(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn recv(fd: c_int, buffer: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
-    let peeks = flags & libc::MSG_PEEK != 0;
-    match if peeks { Ok(length) } else { meets(fd, length, libc::ENOMEM) } {
+    let is_peek = flags & libc::MSG_PEEK != 0;
+    match if is_peek { Ok(length) } else { inject(fd, length, libc::ENOMEM) } {
         Err(errno) => fail(errno) as ssize_t,
-        // SAFETY: as above, with no more room than the caller has.
+        // SAFETY: as above; the length is at most that of the caller's buffer.
         Ok(length) => unsafe {
             let next: extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t = transmute(RECV.address());
             next(fd, buffer, length, flags)
@@ -249,9 +255,9 @@
 /// As `send(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn send(fd: c_int, bytes: *const c_void, length: size_t, flags: c_int) -> ssize_t {
-    match meets(fd, length, libc::ENOBUFS) {
+    match inject(fd, length, libc::ENOBUFS) {
         Err(errno) => fail(errno) as ssize_t,
-        // SAFETY: as above, with no more bytes than the caller has.
+        // SAFETY: as above; the length is at most the caller's.
         Ok(length) => unsafe {
             let next: extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t =
                 transmute(SEND.address());
@@ -265,7 +271,7 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn write(fd: c_int, bytes: *const c_void, length: size_t) -> ssize_t {
     let mut length = length;
-    // Standard error goes to a file, too, and is no part of what has to last.
+    // Standard output and error are left alone: they may go to a file, too, but are not stored data.
     let rate = if fd > 2 { controls().disk } else { 0 };
     if rate > 0 && is_regular(fd) && drawn(rate) {
         if length < 2 || random().is_multiple_of(2) {
@@ -273,7 +279,7 @@
         }
         length = 1 + random() as usize % (length - 1);
     }
-    // SAFETY: as above, with no more bytes than the caller has.
+    // SAFETY: as above; the length is at most the caller's.
     unsafe {
         let next: extern "C" fn(c_int, *const c_void, size_t) -> ssize_t = transmute(WRITE.address());
         next(fd, bytes, length)
@@ -300,7 +306,7 @@
 pub unsafe extern "C" fn epoll_wait(
     fd: c_int,
     events: *mut epoll_event,
-    room: c_int,
+    max_events: c_int,
     timeout: c_int,
 ) -> c_int {
     let controls = controls();
@@ -309,10 +315,11 @@
     }
     // SAFETY: as above.
     let found = unsafe {
-        let next: extern "C" fn(c_int, *mut epoll_event, c_int, c_int) -> c_int = transmute(WAIT.address());
-        next(fd, events, room, timeout)
+        let next: extern "C" fn(c_int, *mut epoll_event, c_int, c_int) -> c_int =
+            transmute(EPOLL_WAIT.address());
+        next(fd, events, max_events, timeout)
     };
-    hold_up(&controls);
+    delay(&controls);
     found
 }
 
@@ -320,7 +327,7 @@
 /// As `close(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn close(fd: c_int) -> c_int {
-    opened(fd, Some(false));
+    connected_here(fd, Some(false));
     // SAFETY: as above.
     unsafe {
         let next: extern "C" fn(c_int) -> c_int = transmute(CLOSE.address());
