--- a/crates/connection/src/connect.rs
+++ b/crates/connection/src/connect.rs
@@ -3,7 +3,7 @@
 //! used: its I/O timers expire only after the worker's ready coroutines have run, and the coroutines that they wake
 //! do not run before the next event.
 
-use crate::{Bell, BufferLimits, Link, SharedStream, is_shortage};
+use crate::{BufferLimits, Link, SharedStream, Waker, is_shortage};
 use may::io::{CoIo, WaitIo};
 use rustix::io::Errno;
 use socket2::{Domain, SockAddr, SockRef, Socket, Type};
@@ -72,8 +72,8 @@
     }
 
     /// Returns a waker for the coroutine that waits here. It stays valid for the link made by [`Self::into_link`].
-    pub fn bell(&self) -> Bell {
-        Bell(Arc::new(self.io.waker()))
+    pub fn waker(&self) -> Waker {
+        Waker(Arc::new(self.io.waker()))
     }
 
     /// Whether the connection is established.
--- a/crates/connection/src/lib.rs
+++ b/crates/connection/src/lib.rs
@@ -53,11 +53,11 @@
 
 /// Wakes the coroutine that waits on a socket.
 #[derive(Clone)]
-pub struct Bell(Arc<WaitIoWaker>);
+pub struct Waker(Arc<WaitIoWaker>);
 
-impl Bell {
+impl Waker {
     /// Wakes the waiting coroutine.
-    pub fn ring(&self) {
+    pub fn wake(&self) {
         self.0.wakeup();
     }
 }
@@ -129,7 +129,7 @@
 
 impl Link {
     /// Wraps a connected stream that was accepted here or received from another process.
-    pub fn came(stream: std::net::TcpStream, limits: BufferLimits) -> Result<Link, Failure> {
+    pub fn new(stream: std::net::TcpStream, limits: BufferLimits) -> Result<Link, Failure> {
         let failed = |why: String| Failure { reached: Reached::Nothing, why };
         let socket = SharedStream(Arc::new(stream));
         let io = CoIo::new(socket.clone()).map_err(|e| failed(e.to_string()))?;
@@ -150,12 +150,12 @@
     }
 
     /// Returns a waker for the coroutine that waits on this link.
-    pub fn bell(&self) -> Bell {
-        Bell(Arc::new(self.io.waker()))
+    pub fn waker(&self) -> Waker {
+        Waker(Arc::new(self.io.waker()))
     }
 
     /// Whether all queued bytes have been handed to the kernel.
-    pub fn flushed(&self) -> bool {
+    pub fn is_flushed(&self) -> bool {
         self.outbound.is_empty()
     }
 
@@ -177,7 +177,7 @@
     }
 
     /// Whether the last transfer met a shortage of memory or buffers. The caller is to pause before it tries again.
-    pub fn is_short(&self) -> bool {
+    pub fn lacks_memory(&self) -> bool {
         self.short
     }
 
@@ -287,24 +287,24 @@
 }
 
 /// A TCP listener whose connections are accepted by one coroutine.
-pub struct Door {
+pub struct Listener {
     listener: CoIo<std::net::TcpListener>,
     /// The descriptor was duplicated for another process.
     shared: AtomicBool,
 }
 
-impl Door {
+impl Listener {
     /// Limit of the kernel's queue of connections that are not accepted yet.
     const BACKLOG: i32 = 1024;
     /// Pause between two attempts to listen.
     const RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
     /// Listens at an address. If descriptors or buffers are short, retries for up to `retry_for`, blocking the thread.
-    pub fn open(at: SocketAddr, retry_for: Duration) -> Result<Door, String> {
+    pub fn open(at: SocketAddr, retry_for: Duration) -> Result<Listener, String> {
         let started = Instant::now();
         loop {
             match Self::listen(at) {
-                Ok(listener) => return Door::of(listener),
+                Ok(listener) => return Listener::of(listener),
                 Err(e) if is_shortage(&e) && started.elapsed() < retry_for => {
                     std::thread::sleep(Self::RETRY_INTERVAL)
                 }
@@ -323,25 +323,25 @@
     }
 
     /// Wraps a listener that another process opened.
-    pub fn of(listener: std::net::TcpListener) -> Result<Door, String> {
-        let new = |listener| Door { listener, shared: AtomicBool::new(false) };
+    pub fn of(listener: std::net::TcpListener) -> Result<Listener, String> {
+        let new = |listener| Listener { listener, shared: AtomicBool::new(false) };
         CoIo::new(listener).map(new).map_err(|e| format!("listening: {e}"))
     }
 
-    /// Duplicates the descriptor for another process; from then on [`Self::shut`] has no effect.
+    /// Duplicates the descriptor for another process; from then on [`Self::close`] has no effect.
     pub fn descriptor(&self) -> Result<OwnedFd, String> {
         self.shared.store(true, Ordering::Release);
         self.listener.inner().try_clone().map(OwnedFd::from).map_err(|e| format!("listening: {e}"))
     }
 
     /// Returns a waker for the coroutine that accepts.
-    pub fn bell(&self) -> Bell {
-        Bell(Arc::new(self.listener.waker()))
+    pub fn waker(&self) -> Waker {
+        Waker(Arc::new(self.listener.waker()))
     }
 
     /// Makes the kernel refuse new connections. Connections that are still queued are reset, so they are to be accepted
     /// before. A listener that another process holds too is left open for it.
-    pub fn shut(&self) {
+    pub fn close(&self) {
         if !self.shared.load(Ordering::Acquire) {
             // An error means that it is shut down already.
             let _ = SockRef::from(self.listener.inner()).shutdown(Shutdown::Both);
@@ -375,18 +375,18 @@
 }
 
 /// A UDP socket owned by one coroutine.
-pub struct Post(CoIo<UdpSocket>);
+pub struct DatagramSocket(CoIo<UdpSocket>);
 
-impl Post {
+impl DatagramSocket {
     /// Binds a socket to an address.
-    pub fn open(at: SocketAddr) -> Result<Post, String> {
+    pub fn open(at: SocketAddr) -> Result<DatagramSocket, String> {
         let failed = |e: &dyn fmt::Display| format!("datagrams at {at}: {e}");
-        CoIo::new(UdpSocket::bind(at).map_err(|e| failed(&e))?).map(Post).map_err(|e| failed(&e))
+        CoIo::new(UdpSocket::bind(at).map_err(|e| failed(&e))?).map(DatagramSocket).map_err(|e| failed(&e))
     }
 
     /// Returns a waker for the coroutine that waits on this socket.
-    pub fn bell(&self) -> Bell {
-        Bell(Arc::new(self.0.waker()))
+    pub fn waker(&self) -> Waker {
+        Waker(Arc::new(self.0.waker()))
     }
 
     /// Receives a datagram without waiting and returns its length and sender. It is truncated to the buffer.
@@ -413,7 +413,7 @@
 }
 
 /// Yields to the other coroutines.
-pub fn give_way() {
+pub fn yield_now() {
     may::coroutine::yield_now();
 }
 
@@ -450,7 +450,7 @@
         let mut link = open(at, long.len());
         let (peer, _) = listener.accept().expect("a connection");
         link.queue(&long).expect("space in the buffer");
-        assert!(link.pump().expect("some bytes are written") && !link.flushed());
+        assert!(link.pump().expect("some bytes are written") && !link.is_flushed());
         drop(peer);
         let failure = loop {
             match link.pump() {
@@ -463,7 +463,7 @@
         let mut link = open(at, 4096);
         let (peer, _) = listener.accept().expect("a connection");
         link.queue(b"short").expect("space in the buffer");
-        assert!(link.pump().expect("all bytes are written") && link.flushed());
+        assert!(link.pump().expect("all bytes are written") && link.is_flushed());
         drop(peer);
         let failure = loop {
             match link.pump() {
@@ -478,11 +478,11 @@
     #[test]
     fn listener_returns_none_when_woken_and_accepts_through_a_duplicated_descriptor() {
         let at = SocketAddr::from(([127, 0, 0, 1], 0));
-        let listener = Door::open(at, Duration::ZERO).expect("a free address");
+        let listener = Listener::open(at, Duration::ZERO).expect("a free address");
         let other = std::net::TcpListener::from(listener.descriptor().expect("a descriptor"));
         let at = other.local_addr().expect("an address");
         let (sender, results) = channel();
-        let waker = listener.bell();
+        let waker = listener.waker();
         spawn("listener", 64 << 10, move || {
             // One connection, then a wake-up without one, then a connection through the duplicated listener.
             let accepted = listener.next().map(|stream| stream.is_some());
@@ -490,7 +490,7 @@
             let woken = listener.next().map(|stream| stream.is_some());
             let _ = sender.send(woken.ok());
             drop(listener);
-            let listener = Door::of(other);
+            let listener = Listener::of(other);
             let _ = sender.send(
                 listener
                     .and_then(|listener| listener.next().map_err(|e| e.to_string()))
@@ -502,7 +502,7 @@
         let wait = || results.recv_timeout(Duration::from_secs(20)).expect("a result");
         let _first = std::net::TcpStream::connect(at).expect("a connection");
         assert_eq!(wait(), Some(true));
-        waker.ring();
+        waker.wake();
         assert_eq!(wait(), Some(false), "no connection");
         let _second = std::net::TcpStream::connect(at).expect("the listener is still open");
         assert_eq!(wait(), Some(true));
@@ -515,7 +515,7 @@
         let _peer =
             std::net::TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
         let link =
-            Link::came(listener.accept().expect("a connection").0, BufferLimits { inbound: 9, outbound: 9 })
+            Link::new(listener.accept().expect("a connection").0, BufferLimits { inbound: 9, outbound: 9 })
                 .expect("a link");
         let passed_on = link.descriptor().expect("a descriptor");
         let socket =
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -8,9 +8,9 @@
 //! let bytes = frame(&json!({"do": "status"}));
 //! let mut frames = Frames::default();
 //! frames.take(&bytes[..3]);
-//! assert_eq!(frames.whole(), Ok(None));
+//! assert_eq!(frames.next_frame(), Ok(None));
 //! frames.take(&bytes[3..]);
-//! assert_eq!(frames.whole().unwrap().unwrap()["do"], "status");
+//! assert_eq!(frames.next_frame().unwrap().unwrap()["do"], "status");
 //! ```
 
 use serde_json::Value;
@@ -29,12 +29,12 @@
 }
 
 /// Builds a successful reply with its result.
-pub fn good(what: Value) -> Value {
+pub fn ok_reply(what: Value) -> Value {
     serde_json::json!({ "ok": true, "is": what })
 }
 
 /// Builds an error reply with its reason.
-pub fn fault(why: &str) -> Value {
+pub fn error_reply(why: &str) -> Value {
     serde_json::json!({ "ok": false, "why": why })
 }
 
@@ -54,7 +54,7 @@
     ///
     /// # Errors
     /// If the frame is too long, is no JSON or has another version. The connection can't be used any further.
-    pub fn whole(&mut self) -> Result<Option<Value>, String> {
+    pub fn next_frame(&mut self) -> Result<Option<Value>, String> {
         let Some(head) = self.bytes.first_chunk::<4>() else { return Ok(None) };
         let length = u32::from_be_bytes(*head) as usize;
         if length > MAX_FRAME_LEN {
@@ -80,12 +80,12 @@
 
     #[test]
     fn split_frames_are_reassembled_and_bad_ones_are_rejected_with_a_reason() {
-        let two = [frame(&good(1.into())), frame(&fault("no"))].concat();
+        let two = [frame(&ok_reply(1.into())), frame(&error_reply("no"))].concat();
         for piece in [1, 5, 1000] {
             let (mut frames, mut statuses) = (Frames::default(), Vec::new());
             for part in two.chunks(piece) {
                 frames.take(part);
-                while let Some(object) = frames.whole().expect("valid frames") {
+                while let Some(object) = frames.next_frame().expect("valid frames") {
                     statuses.push(object["ok"].as_bool());
                 }
             }
@@ -100,7 +100,7 @@
         ] {
             let mut frames = Frames::default();
             frames.take(&bytes);
-            assert!(frames.whole().is_err_and(|why| why.contains(expected)), "{expected}");
+            assert!(frames.next_frame().is_err_and(|why| why.contains(expected)), "{expected}");
         }
     }
 }
--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -120,7 +120,7 @@
 ///
 /// # Errors
 /// If a value is not a finite number.
-pub fn report<'a>(
+pub fn parse_report<'a>(
     fields: impl Iterator<Item = (&'a str, &'a str)>,
     origin: &Origin,
 ) -> Result<Report, String> {
@@ -219,7 +219,7 @@
 ///
 /// # Errors
 /// If a setting has an invalid value.
-pub fn open(
+pub fn build_router(
     seed: u64,
     lookup: &dyn Fn(&str) -> Option<String>,
 ) -> Result<(Router, Vec<Consistency>), String> {
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -69,7 +69,7 @@
     quoted: bool,
     escaped: bool,
     /// Number of line ends received, including those of empty lines. It grows while discovery sends anything.
-    pub signs: u64,
+    pub line_ends: u64,
 }
 
 impl Answer {
@@ -99,7 +99,7 @@
                 self.line_end = if self.remaining == 0 && self.chunked { 2 } else { 0 };
                 self.complete = self.remaining == 0 && !self.chunked;
                 for byte in bytes.drain(..n) {
-                    self.signs += u64::from(byte == b'\n');
+                    self.line_ends += u64::from(byte == b'\n');
                     // An indented list continues over line ends up to its last bracket; an empty line is never
                     // inside a list.
                     if byte == b'\n' && self.depth == 0 {
@@ -131,7 +131,7 @@
     }
 
     /// Whether the response has been received completely.
-    pub fn over(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.complete
     }
 
--- a/crates/discovery/tests/answer.rs
+++ b/crates/discovery/tests/answer.rs
@@ -20,7 +20,7 @@
             bytes.extend(part);
             lists.extend(answer.take(&mut bytes).expect("a good answer"));
         }
-        assert_eq!((lists.len(), answer.signs, answer.over()), (1, 2, true));
+        assert_eq!((lists.len(), answer.line_ends, answer.is_complete()), (1, 2, true));
         assert_eq!(lists[0].servers[0].group, 3);
     }
 }
--- a/crates/front/src/acceptor.rs
+++ b/crates/front/src/acceptor.rs
@@ -2,7 +2,7 @@
 
 use crate::client;
 use crate::clients::{MIN_IDLE, SharedClients};
-use juniperdock_connection::{BufferLimits, Door, Link, spawn};
+use juniperdock_connection::{BufferLimits, Link, Listener, spawn};
 use std::net::TcpStream;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -16,7 +16,7 @@
     /// done, `skipping` whether messages are skipped up to Sync.
     pub fn admit(self: Arc<Self>, stream: TcpStream, unread: &[u8], open: bool, skipping: bool) {
         self.counters.clients.add();
-        let link = match Link::came(stream, BUFFER_LIMITS) {
+        let link = match Link::new(stream, BUFFER_LIMITS) {
             Ok(mut link) => {
                 link.inbound.extend(unread);
                 link
@@ -26,7 +26,7 @@
                 return;
             }
         };
-        let (slot, has_slot) = self.allocate_slot(link.bell());
+        let (slot, has_slot) = self.allocate_slot(link.waker());
         let shared = self.clone();
         if let Err(why) = spawn("client", client::CONNECTION_STACK_BYTES, move || {
             client::run(link, slot, has_slot, open, skipping, shared)
@@ -38,7 +38,7 @@
 
     /// Accepts clients until another process does (`stop_accepting`) or this process ends; at its end, clients that
     /// are already connected are still accepted, then the listener is closed.
-    pub fn accept_until_stopped(self: Arc<Self>, door: &Door) {
+    pub fn accept_until_stopped(self: Arc<Self>, door: &Listener) {
         self.acceptor_running.store(true, Ordering::Release);
         while !self.stop_accepting.load(Ordering::Acquire) {
             while self.present() >= self.max_clients + self.refusal_slots {
@@ -48,7 +48,7 @@
             match door.next() {
                 Ok(Some(stream)) => self.clone().admit(stream, &[], false, false),
                 Ok(None) if self.closing.load(Ordering::Relaxed) => {
-                    door.shut();
+                    door.close();
                     break;
                 }
                 Ok(None) => {}
--- a/crates/front/src/client.rs
+++ b/crates/front/src/client.rs
@@ -28,11 +28,12 @@
 const MAX_MESSAGES_PER_TURN: usize = 64;
 
 /// The most unread bytes that are buffered for a client.
-pub const MAX_INBOUND: usize = 2 * pg::LONGEST;
+pub const MAX_INBOUND: usize = 2 * pg::MAX_MESSAGE_LEN;
 
 /// What a client may have sent and not been answered. What exceeds it is refused when its turn comes, but read all
 /// the same: the front could not notice that a client leaves while its bytes are unread.
-const PIPELINE_LIMITS: Limits = Limits { started: 64, request_bytes: MAX_INBOUND, answer_bytes: pg::LONGEST };
+const PIPELINE_LIMITS: Limits =
+    Limits { started: 64, request_bytes: MAX_INBOUND, answer_bytes: pg::MAX_MESSAGE_LEN };
 
 /// Bytes that a request takes beside its text, rounded up.
 const REQUEST_OVERHEAD: usize = 512;
@@ -98,7 +99,7 @@
 /// Serves a client until its connection ends. For `open` and `skipping` see [`ClientTransfer`].
 pub fn run(link: Link, slot: u64, has_slot: bool, open: bool, skipping: bool, shared: Arc<SharedClients>) {
     let (sender, receiver) = channel();
-    let mailbox = Mailbox { sender, waker: link.bell() };
+    let mailbox = Mailbox { sender, waker: link.waker() };
     let mut client = Client {
         shared,
         slot,
@@ -150,7 +151,7 @@
             }
             self.drain();
             let Ok(moved) = self.exchange() else { return CloseReason::Broken };
-            if self.client_gone() && (!self.pipeline.is_empty() || self.link.flushed()) {
+            if self.client_gone() && (!self.pipeline.is_empty() || self.link.is_flushed()) {
                 return self.closing.unwrap_or(CloseReason::ClientLeft);
             }
             if self.shared.should_transfer(self.slot) && self.try_transfer() {
@@ -229,12 +230,12 @@
             IdleAction::Leave(_) => self.next_check = self.stalls_at(),
         }
         // Writes what was queued since the last exchange; waits only if not all of it could be written.
-        Ok(self.link.flushed() || !self.pump()?)
+        Ok(self.link.is_flushed() || !self.pump()?)
     }
 
     /// Lets other coroutines run: a client that sends at full speed must not starve them.
     fn yield_turn(&self, busy: u32) {
-        self.shared.clock.yield_if_busy(busy, self.link.is_short());
+        self.shared.clock.yield_if_busy(busy, self.link.lacks_memory());
         may::coroutine::yield_now();
     }
 
@@ -251,7 +252,7 @@
 
     /// Whether more requests are read: not while the client leaves much unread.
     fn accepts_more(&self) -> bool {
-        self.closing.is_none() && self.link.unsent() + self.pipeline.answer_bytes() < pg::LONGEST
+        self.closing.is_none() && self.link.unsent() + self.pipeline.answer_bytes() < pg::MAX_MESSAGE_LEN
     }
 
     /// Whether it has ended its sending. If its end can't be read because nothing is read any more, the operating
@@ -264,7 +265,7 @@
     /// Begins the transfer to another process if the client is idle. Returns whether it began.
     fn try_transfer(&mut self) -> bool {
         let is_between_txns =
-            self.pipeline.is_empty() && self.link.flushed() && self.closing.is_none() && !self.link.ended;
+            self.pipeline.is_empty() && self.link.is_flushed() && self.closing.is_none() && !self.link.ended;
         let Some(descriptor) = Some(is_between_txns).filter(|b| *b).and_then(|_| self.link.descriptor().ok())
         else {
             return false;
@@ -272,7 +273,7 @@
         let transfer_to = self.shared.transfer_to.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(transfers) = transfer_to.as_ref() else { return false };
         let state = Arc::new(AtomicU8::new(TRANSFER_PENDING));
-        let result = TransferResult { state: state.clone(), waker: self.link.bell() };
+        let result = TransferResult { state: state.clone(), waker: self.link.waker() };
         let unread = self.link.inbound.iter().copied().collect();
         let (number, open, skipping) = (self.slot, self.open, self.skipping);
         if transfers.send(ClientTransfer { number, descriptor, unread, open, skipping, result }).is_err() {
@@ -293,8 +294,8 @@
         let timer_is_set = self.timer_set_for > self.shared.clock.now() && self.timer_set_for <= next;
         if next < Duration::MAX && !timer_is_set {
             self.timer_set_for = next;
-            let waker = self.link.bell();
-            self.shared.clock.run_at(next, move || waker.ring());
+            let waker = self.link.waker();
+            self.shared.clock.run_at(next, move || waker.wake());
         }
         self.link.wait();
     }
@@ -350,7 +351,7 @@
 
     /// Writes the answers whose turn it is.
     fn send_replies(&mut self) {
-        while self.link.unsent() < pg::LONGEST
+        while self.link.unsent() < pg::MAX_MESSAGE_LEN
             && let Some(reply) = self.pipeline.next_reply()
         {
             match reply {
@@ -358,7 +359,7 @@
                 Reply::Refused => {
                     self.shared.counters.declined.add();
                     let mut out = Vec::new();
-                    pg::error(&mut out, false, pg::TOO_MANY, TOO_MANY_AT_ONCE, None);
+                    pg::error(&mut out, false, pg::TOO_MANY_CONNECTIONS, TOO_MANY_AT_ONCE, None);
                     pg::ready(&mut out);
                     self.queue_bytes(&out);
                 }
@@ -422,7 +423,7 @@
                 length
             }
             Some((pg::Opening::Startup, length)) => {
-                pg::welcome(out);
+                pg::startup_response(out);
                 self.open = true;
                 if let Some(slot) = self.shared.slots().taken.get_mut(&self.slot) {
                     slot.open = true;
@@ -434,7 +435,8 @@
 
     /// Handles a message; returns its length, or 0 if it is incomplete.
     fn read_message(&mut self, out: &mut Vec<u8>) -> Result<usize, String> {
-        let Some((kind, body, length)) = pg::message(self.link.inbound.make_contiguous(), pg::LONGEST)?
+        let Some((kind, body, length)) =
+            pg::message(self.link.inbound.make_contiguous(), pg::MAX_MESSAGE_LEN)?
         else {
             return Ok(0);
         };
@@ -555,7 +557,7 @@
             }
             None => self.shared.client_session_marks.then_some(Duration::ZERO),
         };
-        let session = pg::quoted(rest).map(|key| {
+        let session = pg::first_quoted(rest).map(|key| {
             let mut hasher = DefaultHasher::new();
             key.hash(&mut hasher);
             hasher.finish()
@@ -566,7 +568,7 @@
         let received =
             RequestEvent::Received { id: field("id").unwrap_or_default(), class: txn_type, left: is_waiting };
         self.shared.request_log.request(request_id, received);
-        let (left, client) = (pg::place(&statement, left), self.mailbox.clone());
+        let (left, client) = (pg::value_range(&statement, left), self.mailbox.clone());
         let watch = self.link.peer_watch();
         let invariants = self.shared.counters.invariants.clone();
         let guard = RequestGuard::new(expiry, Box::new(Presence(watch)), invariants);
@@ -602,7 +604,7 @@
         Answer::Declined(retry_after) => {
             let detail = retry_after.map(|wait| wait.as_millis().to_string());
             let text = "declined, trying again is harmless";
-            pg::error(&mut out, false, pg::TOO_MANY, text, detail.as_deref());
+            pg::error(&mut out, false, pg::TOO_MANY_CONNECTIONS, text, detail.as_deref());
             &counters.declined
         }
         Answer::RolledBack(why) => {
@@ -610,7 +612,7 @@
             &counters.rolled_back
         }
         Answer::Unknown(why) => {
-            pg::error(&mut out, false, pg::UNKNOWN, why, None);
+            pg::error(&mut out, false, pg::COMPLETION_UNKNOWN, why, None);
             &counters.unknown
         }
     };
--- a/crates/front/src/client/drain.rs
+++ b/crates/front/src/client/drain.rs
@@ -24,7 +24,8 @@
     pub text: &'static str,
 }
 
-const NO_SLOT: Refusal = Refusal { code: pg::TOO_MANY, text: "too many clients, trying again is harmless" };
+const NO_SLOT: Refusal =
+    Refusal { code: pg::TOO_MANY_CONNECTIONS, text: "too many clients, trying again is harmless" };
 const CONNECTION_ENDS: Refusal = Refusal {
     code: pg::CANNOT_CONNECT_NOW,
     text: "this connection ends, trying again on another is harmless",
@@ -94,7 +95,7 @@
         } else if !active && outstanding.unanswered == 0 && outstanding.unsent == 0 && self.frees_slot() {
             self.refuse_half_read();
         }
-        let done = self.pipeline.is_empty() && self.link.flushed();
+        let done = self.pipeline.is_empty() && self.link.is_flushed();
         let ended = self.closing.filter(|_| done && (self.can_close_at_once() || self.linger()));
         if ended.is_none() && self.draining.is_some() && self.does_not_read() {
             return Ok(Some(CloseReason::NotReading));
@@ -118,17 +119,17 @@
 
     /// Whether no request is in hand, and the client has read its answers or does not read at all.
     pub(super) fn is_idle(&self) -> bool {
-        self.pipeline.is_empty() && (self.link.flushed() || self.does_not_read())
+        self.pipeline.is_empty() && (self.link.is_flushed() || self.does_not_read())
     }
 
     fn does_not_read(&self) -> bool {
-        !self.link.flushed() && self.last_progress + MAX_STALL <= self.shared.clock.now()
+        !self.link.is_flushed() && self.last_progress + MAX_STALL <= self.shared.clock.now()
     }
 
     /// When it will have read none of its answer for too long.
     pub(super) fn stalls_at(&self) -> Duration {
         let at = self.last_progress + MAX_STALL;
-        if self.link.flushed() || at <= self.shared.clock.now() { Duration::MAX } else { at }
+        if self.link.is_flushed() || at <= self.shared.clock.now() { Duration::MAX } else { at }
     }
 
     /// The process is about to exit: everything unanswered gets its final answer now.
--- a/crates/front/src/clients.rs
+++ b/crates/front/src/clients.rs
@@ -6,7 +6,7 @@
 use crate::membership;
 use crate::messages::{DispatcherMessage, MembershipMessage};
 use crate::request_log::{CloseReason, RequestLog};
-use juniperdock_connection::Bell;
+use juniperdock_connection::Waker;
 use juniperdock_deployment::Indices;
 use may::sync::mpsc::Sender;
 use std::collections::HashMap;
@@ -81,7 +81,7 @@
 /// Reports the result of a client's transfer to its actor.
 pub struct TransferResult {
     pub(crate) state: Arc<AtomicU8>,
-    pub(crate) waker: Bell,
+    pub(crate) waker: Waker,
 }
 
 /// Which idle clients move to another process: none, those that have been idle for a while, or all.
@@ -97,7 +97,7 @@
     /// Sets the result: the other process has taken the client, or it is served here again.
     pub fn complete(&self, taken: bool) {
         self.state.store(if taken { TRANSFER_ACCEPTED } else { TRANSFER_REFUSED }, Ordering::Release);
-        self.waker.ring();
+        self.waker.wake();
     }
 }
 
@@ -109,7 +109,7 @@
 }
 
 pub(crate) struct ClientSlot {
-    waker: Bell,
+    waker: Waker,
     /// Since when it is idle, if it is.
     pub(crate) idle_since: Option<Duration>,
     /// Its startup is done.
@@ -137,7 +137,7 @@
         let closes = self.taken.values_mut().filter(idle).min_by_key(|slot| (slot.open, slot.idle_since));
         if let Some(slot) = closes {
             slot.asked_to_leave = true;
-            slot.waker.ring();
+            slot.waker.wake();
             return true;
         }
         false
@@ -168,13 +168,13 @@
         *self.transfer_to.lock().unwrap_or_else(PoisonError::into_inner) = Some(transfers);
         self.transfer_mode.store(TRANSFER_IDLE, Ordering::Release);
         let now = self.clock.now();
-        self.slots().taken.values().filter(|slot| slot.idle_for_min(now)).for_each(|slot| slot.waker.ring());
+        self.slots().taken.values().filter(|slot| slot.idle_for_min(now)).for_each(|slot| slot.waker.wake());
     }
 
     /// From now on, all idle clients are transferred.
     pub fn transfer_all(&self) {
         self.transfer_mode.store(TRANSFER_ALL, Ordering::Release);
-        self.slots().taken.values().for_each(|slot| slot.waker.ring());
+        self.slots().taken.values().for_each(|slot| slot.waker.wake());
     }
 
     /// Whether this client is to be transferred now.
@@ -228,13 +228,13 @@
     fn wake_all(self: &Arc<Self>) {
         let clients = self.clone();
         self.clock.run_at(Duration::ZERO, move || {
-            clients.slots().taken.values().for_each(|slot| slot.waker.ring());
+            clients.slots().taken.values().for_each(|slot| slot.waker.wake());
         });
     }
 
     /// Gives a new client its slot. If all slots are taken, the client that has been idle longest is asked to leave;
     /// if none is idle, the new client is in excess, and `false` is returned.
-    pub(crate) fn allocate_slot(&self, waker: Bell) -> (u64, bool) {
+    pub(crate) fn allocate_slot(&self, waker: Waker) -> (u64, bool) {
         let now = self.clock.now();
         let mut slots = self.slots();
         let found = slots.taken.len() < self.max_clients || slots.ask_to_leave(now, MIN_IDLE);
--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -221,8 +221,8 @@
 
     /// Called by an actor that has moved bytes for `busy` turns in a row: lets others run now and then, and waits a
     /// moment if the machine is short of a resource.
-    pub fn yield_if_busy(&self, busy: u32, is_short: bool) {
-        if is_short {
+    pub fn yield_if_busy(&self, busy: u32, lacks_memory: bool) {
+        if lacks_memory {
             self.pause(SHORTAGE_PAUSE);
         } else if busy.is_multiple_of(YIELD_AFTER_TURNS) {
             self.yield_to_others();
--- a/crates/front/src/connect.rs
+++ b/crates/front/src/connect.rs
@@ -2,7 +2,7 @@
 //! wake the actor meanwhile, and the attempt is repeated after a pause while this machine is short of a resource.
 
 use crate::clock::{Clock, SHORTAGE_PAUSE};
-use juniperdock_connection::{Bell, BufferLimits, ConnectError, Connecting, Link};
+use juniperdock_connection::{BufferLimits, ConnectError, Connecting, Link, Waker};
 use std::fmt;
 use std::io;
 use std::net::SocketAddr;
@@ -51,7 +51,7 @@
 pub fn connect(
     clock: &Clock,
     request: &ConnectRequest,
-    on_started: &dyn Fn(Bell),
+    on_started: &dyn Fn(Waker),
     cancelled: &dyn Fn() -> bool,
 ) -> Result<Link, ConnectFailure> {
     let mut shortage = None;
@@ -79,12 +79,12 @@
     clock: &Clock,
     connecting: Connecting,
     request: &ConnectRequest,
-    on_started: &dyn Fn(Bell),
+    on_started: &dyn Fn(Waker),
     cancelled: &dyn Fn() -> bool,
 ) -> Result<Link, ConnectFailure> {
-    let waker = connecting.bell();
+    let waker = connecting.waker();
     on_started(waker.clone());
-    clock.run_at(request.until, move || waker.ring());
+    clock.run_at(request.until, move || waker.wake());
     while !connecting.is_up()? {
         if cancelled() {
             return Err(ConnectFailure::Cancelled);
--- a/crates/front/src/control.rs
+++ b/crates/front/src/control.rs
@@ -5,7 +5,7 @@
 use crate::clock::Clock;
 use crate::membership;
 use crate::messages::{DispatcherMessage, MembershipMessage, UpgradeFn};
-use juniperdock_control::{Frames, fault, frame, good};
+use juniperdock_control::{Frames, error_reply, frame, ok_reply};
 use may::sync::mpsc::Sender;
 use serde_json::{Value, json};
 use std::io::{Read, Write};
@@ -56,7 +56,8 @@
         for stream in listener.incoming().flatten() {
             if open_connections.fetch_add(1, Ordering::AcqRel) >= MAX_CONNECTIONS {
                 open_connections.fetch_sub(1, Ordering::AcqRel);
-                let _ = (&stream).write_all(&frame(&fault("too many connections to the control socket")));
+                let _ =
+                    (&stream).write_all(&frame(&error_reply("too many connections to the control socket")));
                 continue;
             }
             let (control, open_connections, log) = (control.clone(), open_connections.clone(), log.clone());
@@ -84,7 +85,7 @@
         stream.set_write_timeout(Some(TIMEOUT)).map_err(failed)?;
         let (mut frames, mut buffer) = (Frames::default(), [0; 4096]);
         loop {
-            let request = match frames.whole() {
+            let request = match frames.next_frame() {
                 Ok(Some(request)) => request,
                 Ok(None) => match stream.read(&mut buffer).map_err(failed)? {
                     0 => return Ok(()),
@@ -94,11 +95,11 @@
                     }
                 },
                 Err(why) => {
-                    let _ = stream.write_all(&frame(&fault(&why)));
+                    let _ = stream.write_all(&frame(&error_reply(&why)));
                     return Err(why);
                 }
             };
-            let answer = self.answer(&request).map_or_else(|why| fault(&why), good);
+            let answer = self.answer(&request).map_or_else(|why| error_reply(&why), ok_reply);
             stream.write_all(&frame(&answer)).map_err(failed)?;
         }
     }
@@ -221,7 +222,7 @@
     stream.write_all(&frame(request)).map_err(failed)?;
     let (mut frames, mut buffer) = (Frames::default(), [0; 4096]);
     loop {
-        if let Some(answer) = frames.whole()? {
+        if let Some(answer) = frames.next_frame()? {
             let good = answer["ok"].as_bool() == Some(true);
             let why = answer["why"].as_str().unwrap_or("the front refused the request");
             return if good { Ok(answer["is"].clone()) } else { Err(why.to_owned()) };
--- a/crates/front/src/discovery_client.rs
+++ b/crates/front/src/discovery_client.rs
@@ -5,7 +5,7 @@
 use crate::connect::{ConnectRequest, connect};
 use crate::counters::Counters;
 use crate::messages::{DiscoveryMessage, DispatcherMessage, WatchEnd};
-use juniperdock_connection::{Bell, BufferLimits, spawn};
+use juniperdock_connection::{BufferLimits, Waker, spawn};
 use juniperdock_discovery::{Answer, MAX_UNREAD, watch_request};
 use juniperdock_server_list::{Backoff, ServerList, Versions};
 use may::sync::mpsc::{Receiver, Sender, channel};
@@ -29,7 +29,7 @@
 /// The client's side of a watch that is open or being opened.
 struct WatchHandle {
     number: u64,
-    waker: Option<Bell>,
+    waker: Option<Waker>,
     stop: Arc<AtomicBool>,
 }
 
@@ -140,7 +140,7 @@
         let Some(at) = self.watches.iter().position(|watch| watch.number == number) else { return };
         for old in self.watches.drain(..at) {
             old.stop.store(true, Ordering::Relaxed);
-            old.waker.iter().for_each(Bell::ring);
+            old.waker.iter().for_each(Waker::wake);
         }
         self.backoff.reset();
         if let Some(list) = self.versions.accept(number, list) {
@@ -203,8 +203,8 @@
             return failed(why.to_string());
         }
         let (mut answer, mut signs, mut silent) = (Answer::default(), 0, started_at + FIRST_LIST_TIMEOUT);
-        let waker = link.bell();
-        self.clock.run_at(silent, move || waker.ring());
+        let waker = link.waker();
+        self.clock.run_at(silent, move || waker.wake());
         for busy in 1u32.. {
             if stopped() {
                 break;
@@ -220,16 +220,18 @@
                 Err(why) => return failed(why.to_string()),
             }
             let now = self.clock.now();
-            if answer.signs > signs {
-                (signs, silent) = (answer.signs, now + SILENCE_TIMEOUT);
-                let waker = link.bell();
-                self.clock.run_at(silent, move || waker.ring());
+            if answer.line_ends > signs {
+                (signs, silent) = (answer.line_ends, now + SILENCE_TIMEOUT);
+                let waker = link.waker();
+                self.clock.run_at(silent, move || waker.wake());
             }
             match moved {
                 Err(why) => return failed(why.to_string()),
-                Ok(_) if link.ended || answer.over() => return failed("the watch was closed".to_owned()),
+                Ok(_) if link.ended || answer.is_complete() => {
+                    return failed("the watch was closed".to_owned());
+                }
                 Ok(_) if now >= silent => return failed("the watch timed out".to_owned()),
-                Ok(true) => self.clock.yield_if_busy(busy, link.is_short()),
+                Ok(true) => self.clock.yield_if_busy(busy, link.lacks_memory()),
                 Ok(false) => link.wait(),
             }
         }
--- a/crates/front/src/mailbox.rs
+++ b/crates/front/src/mailbox.rs
@@ -1,12 +1,12 @@
 //! A queue to an actor that waits on its connection: sending also wakes the actor.
 
-use juniperdock_connection::Bell;
+use juniperdock_connection::Waker;
 use may::sync::mpsc::Sender;
 
 /// The sending end of an actor's queue, with the actor's waker.
 pub struct Mailbox<T> {
     pub sender: Sender<T>,
-    pub waker: Bell,
+    pub waker: Waker,
 }
 
 impl<T> Clone for Mailbox<T> {
@@ -19,6 +19,6 @@
     /// Sends a message and wakes the actor. If the actor has ended, the message is dropped.
     pub fn post(&self, sender: T) {
         let _ = self.sender.send(sender);
-        self.waker.ring();
+        self.waker.wake();
     }
 }
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -2,7 +2,7 @@
 
 use clap::{CommandFactory, Parser, Subcommand};
 use juniperdock_front::{control, migrate, serve};
-use juniperdock_operator_config::{Charter, Fault};
+use juniperdock_operator_config::{Fault, OperatorConfig};
 use serde_json::{Value, json};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -137,8 +137,8 @@
 }
 
 /// Reads the operators' file, or returns the defaults if no path is given.
-fn read_operator_config(path: Option<&Path>) -> Result<Charter, Vec<Fault>> {
-    let Some(path) = path else { return Ok(Charter::default()) };
+fn read_operator_config(path: Option<&Path>) -> Result<OperatorConfig, Vec<Fault>> {
+    let Some(path) = path else { return Ok(OperatorConfig::default()) };
     let file_error = |why: String| vec![Fault { line: None, field: String::new(), why }];
     let text = std::fs::read_to_string(path).map_err(|e| file_error(e.to_string()))?;
     juniperdock_operator_config::read(&text)
--- a/crates/front/src/member.rs
+++ b/crates/front/src/member.rs
@@ -6,7 +6,7 @@
 use crate::counters::Counters;
 use crate::messages::{AttemptEnd, DispatcherMessage, Job, MemberMessage};
 use crate::request_log::{RequestEvent, RequestLog};
-use juniperdock_connection::{Bell, BufferLimits, Failure, Link, Reached, spawn};
+use juniperdock_connection::{BufferLimits, Failure, Link, Reached, Waker, spawn};
 use juniperdock_deployment::{self as deployment, Origin};
 use juniperdock_pg as pg;
 use juniperdock_router::host::{AttemptOutcome, Report, Role};
@@ -64,7 +64,7 @@
 /// A pool's view of one of its connections.
 struct Connection {
     sender: Sender<ConnectionMessage>,
-    waker: Option<Bell>,
+    waker: Option<Waker>,
     request_id: Option<u64>,
     idle_since: Option<Duration>,
     to: SocketAddr,
@@ -85,7 +85,7 @@
 
 impl PoolContext {
     fn buffers(&self) -> BufferLimits {
-        BufferLimits { inbound: 2 * self.max_message_bytes, outbound: 2 * pg::LONGEST }
+        BufferLimits { inbound: 2 * self.max_message_bytes, outbound: 2 * pg::MAX_MESSAGE_LEN }
     }
 }
 
@@ -286,7 +286,7 @@
 fn send(c: &Connection, message: ConnectionMessage) {
     let _ = c.sender.send(message);
     if let Some(waker) = &c.waker {
-        waker.ring();
+        waker.wake();
     }
 }
 
@@ -313,8 +313,8 @@
         match self.error.as_deref() {
             _ if !self.ready => None,
             Some(pg::NO_PRIMARY | pg::TOO_FAR_BEHIND) => Some(AttemptOutcome::Misplaced),
-            Some(pg::TOO_MANY) => Some(AttemptOutcome::Full),
-            Some(code) if pg::of_statement(code) => Some(AttemptOutcome::Invalid),
+            Some(pg::TOO_MANY_CONNECTIONS) => Some(AttemptOutcome::Full),
+            Some(code) if pg::is_statement_error(code) => Some(AttemptOutcome::Invalid),
             Some(_) => Some(AttemptOutcome::Errored),
             None if self.complete => Some(AttemptOutcome::Committed),
             None => None,
@@ -389,9 +389,9 @@
                 }
             },
             (None, Some(stream)) => {
-                let link = Link::came(stream, self.context.buffers());
+                let link = Link::new(stream, self.context.buffers());
                 link.ok().and_then(|link| {
-                    let _ = self.pool.send(MemberMessage::WakerReady(self.id, link.bell()));
+                    let _ = self.pool.send(MemberMessage::WakerReady(self.id, link.waker()));
                     self.wait_for_job(link, current)
                 })
             }
@@ -505,7 +505,7 @@
                         link.inbound.drain(..length);
                         return Ok(link);
                     }
-                    b'E' if pg::error_field(body, b'C') == Some(pg::TOO_MANY) => {
+                    b'E' if pg::error_field(body, b'C') == Some(pg::TOO_MANY_CONNECTIONS) => {
                         return Err(AttemptOutcome::Full);
                     }
                     b'E' => return Err(AttemptOutcome::Unreachable),
@@ -529,7 +529,7 @@
                 link.wait();
             } else {
                 // A member that sends without an end must not starve the others.
-                clock.yield_if_busy(busy, link.is_short());
+                clock.yield_if_busy(busy, link.lacks_memory());
             }
         }
         Err(AttemptOutcome::Unreachable)
@@ -580,7 +580,7 @@
         for busy in 1u32.. {
             // The statement takes effect only with its last byte: if it was not written at once, check again before
             // each further write.
-            if busy > 1 && !link.flushed() && !self.may_continue(job) {
+            if busy > 1 && !link.is_flushed() && !self.may_continue(job) {
                 return JobResult { outcome: AttemptOutcome::Moot, reply, usable: false };
             }
             let pumped = link.pump();
@@ -589,7 +589,7 @@
                 // Nothing in such an answer is used.
                 return JobResult { outcome: AttemptOutcome::Spoilt, reply: Reply::default(), usable: false };
             }
-            let unsent = !link.flushed();
+            let unsent = !link.is_flushed();
             if !unsent
                 && !std::mem::replace(&mut written, true)
                 && let Job::Submit(submit) = job
@@ -633,7 +633,7 @@
                 self.wait_until(link, deadline);
             } else {
                 // An answer without an end must not starve the others.
-                clock.yield_if_busy(busy, link.is_short());
+                clock.yield_if_busy(busy, link.lacks_memory());
             }
         }
         JobResult { outcome: AttemptOutcome::Spoilt, reply: Reply::default(), usable: false }
@@ -660,8 +660,8 @@
     fn wait_until(&self, link: &mut Link, until: Duration) {
         if self.timer_set_for.get() <= self.context.clock.now() || self.timer_set_for.get() > until {
             self.timer_set_for.set(until);
-            let waker = link.bell();
-            self.context.clock.run_at(until, move || waker.ring());
+            let waker = link.waker();
+            self.context.clock.run_at(until, move || waker.wake());
         }
         link.wait();
     }
@@ -703,12 +703,12 @@
                     _ => {}
                 },
                 b'T' => {
-                    next(!reply.described && reply.error.is_none() && pg::one_column(body))?;
+                    next(!reply.described && reply.error.is_none() && pg::has_one_column(body))?;
                     reply.described = true;
                 }
                 b'D' => {
                     next(reply.described && reply.value.is_none())?;
-                    let value = pg::column(body).ok_or("expected a row of one column")?;
+                    let value = pg::single_column(body).ok_or("expected a row of one column")?;
                     reply.value = Some(value.to_vec());
                 }
                 b'C' => {
@@ -756,7 +756,7 @@
     if fields().any(|(name, at)| name == "x0" && at.parse() == Ok(0.0)) {
         return Ok(Report::default());
     }
-    deployment::report(fields(), origin)
+    deployment::parse_report(fields(), origin)
 }
 
 /// Parses a server's load report and checks its position; the result is dated by the origin as it is after that.
--- a/crates/front/src/membership.rs
+++ b/crates/front/src/membership.rs
@@ -5,7 +5,7 @@
 use crate::counters::Counters;
 use crate::fleet_tasks::FleetTasks;
 use crate::messages::{DispatcherMessage, MembershipMessage, UpgradeFn};
-use juniperdock_connection::{Bell, Post, give_way, spawn};
+use juniperdock_connection::{DatagramSocket, Waker, spawn, yield_now};
 use juniperdock_membership::{Connectivity, Event, Host, Keys, Membership, Refused, Timing, incarnation_at};
 use juniperdock_operator_config as operator_config;
 use may::sync::mpsc::{Receiver, Sender, channel};
@@ -35,14 +35,14 @@
 
 /// Sends messages to the actor; they wait until it has a socket.
 #[derive(Clone)]
-pub struct Handle(Sender<MembershipMessage>, Arc<Mutex<Option<Bell>>>);
+pub struct Handle(Sender<MembershipMessage>, Arc<Mutex<Option<Waker>>>);
 
 impl Handle {
     /// Sends a message and wakes the actor.
     pub fn send(&self, message: MembershipMessage) {
         let _ = self.0.send(message);
         let waker = self.1.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        waker.iter().for_each(Bell::ring);
+        waker.iter().for_each(Waker::wake);
     }
 }
 
@@ -52,7 +52,7 @@
     pub name: String,
     pub listen: SocketAddr,
     pub peers: Vec<Option<SocketAddr>>,
-    pub config: operator_config::Fellows,
+    pub config: operator_config::MembershipConfig,
     pub keys: Keys,
     pub seed: u64,
     pub dispatcher: Sender<DispatcherMessage>,
@@ -65,7 +65,7 @@
     counters: Arc<Counters>,
     log: slog::Logger,
     messages: Receiver<MembershipMessage>,
-    waker: Arc<Mutex<Option<Bell>>>,
+    waker: Arc<Mutex<Option<Waker>>>,
     /// The incarnation that this process last took.
     incarnation: u32,
     handle: Handle,
@@ -76,7 +76,7 @@
 
 /// Carries out what the membership asks for.
 pub struct MembershipIo<'a> {
-    post: &'a Post,
+    post: &'a DatagramSocket,
     peers: &'a [Option<SocketAddr>],
     counters: &'a Counters,
     log: &'a slog::Logger,
@@ -161,7 +161,7 @@
     fn run(mut self) {
         let mut bind_failure_logged = false;
         loop {
-            let post = match Post::open(self.setup.listen) {
+            let post = match DatagramSocket::open(self.setup.listen) {
                 Ok(post) => post,
                 Err(why) => {
                     // The previous process may still have the address.
@@ -177,7 +177,7 @@
                 }
             };
             bind_failure_logged = false;
-            *self.waker.lock().unwrap_or_else(PoisonError::into_inner) = Some(post.bell());
+            *self.waker.lock().unwrap_or_else(PoisonError::into_inner) = Some(post.waker());
             let done = catch_unwind(AssertUnwindSafe(|| self.run_protocol(&post)));
             *self.waker.lock().unwrap_or_else(PoisonError::into_inner) = None;
             drop(post);
@@ -219,12 +219,12 @@
     }
 
     /// Runs the protocol until the front is to leave.
-    fn run_protocol(&mut self, post: &Post) {
+    fn run_protocol(&mut self, post: &DatagramSocket) {
         let mut membership = self.new_membership();
         let (started, clock) = (self.clock.now(), self.clock.clone());
         let mut read_clock = move || clock.now() - started;
         let mut tasks = self.setup.config.duties.then(|| self.new_fleet_tasks(&membership));
-        let waker = post.bell();
+        let waker = post.waker();
         let mut timer: Option<(Duration, TimerHandle)> = None;
         // One byte more than the longest datagram, so that a longer one is detected.
         let mut buffer = [0; juniperdock_membership::MAX_DATAGRAM_BYTES + 1];
@@ -336,9 +336,9 @@
             if timer.as_ref().is_none_or(|(at, _)| *at != next) {
                 timer.iter().for_each(|(_, old)| self.clock.cancel(old));
                 let waker = waker.clone();
-                timer = Some((next, self.clock.run_at(next, move || waker.ring())));
+                timer = Some((next, self.clock.run_at(next, move || waker.wake())));
             }
-            if read == READ_BATCH { give_way() } else { post.wait() }
+            if read == READ_BATCH { yield_now() } else { post.wait() }
         }
     }
 
--- a/crates/front/src/messages.rs
+++ b/crates/front/src/messages.rs
@@ -1,7 +1,7 @@
 //! Messages between actors. This module is below the actors, so that none of them depends on another.
 
 use crate::mailbox::Mailbox;
-use juniperdock_connection::Bell;
+use juniperdock_connection::Waker;
 use juniperdock_fleet_tasks::{HoldStep, ProbeRole, SHARDS};
 use juniperdock_membership::Keys;
 use juniperdock_request_guard::{AttemptPermit, RequestGuard};
@@ -248,7 +248,7 @@
     /// A connection that the previous process had.
     Adopt(TcpStream),
     /// From a connection: its waker.
-    WakerReady(u64, Bell),
+    WakerReady(u64, Waker),
     /// From a connection: it is free for the next job.
     Idle(u64),
     /// From a connection: it has ended, and waits for `Close` so that no job is lost on the way.
@@ -262,7 +262,7 @@
     /// Sets the address of discovery.
     SetAddress(SocketAddr),
     /// From a watch: its waker.
-    WakerReady(u64, Bell),
+    WakerReady(u64, Waker),
     /// From a watch: a full or partial server list.
     ListReceived(u64, ServerList),
     /// From a watch: why it has ended.
--- a/crates/front/src/migrate.rs
+++ b/crates/front/src/migrate.rs
@@ -13,7 +13,7 @@
 pub fn migrate(old: &Path, output: Option<&Path>, force: bool) -> Result<Value, String> {
     let with_path = |why: String| format!("{}: {why}", old.display());
     let text = fs::read_to_string(old).map_err(|e| with_path(e.to_string()))?;
-    let migrated = juniperdock_settings::bring(&text).map_err(with_path)?;
+    let migrated = juniperdock_settings::migrate(&text).map_err(with_path)?;
     Settings::from_json(migrated.file.clone()).check().map_err(with_path)?;
     let output = output.filter(|_| !migrated.already);
     if let Some(output) = output {
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -9,10 +9,10 @@
 use crate::settings::{Settings, TxnTypes};
 use crate::upgrade::{self, TransferTarget};
 use crate::{control, discovery_client, dispatcher, member, membership, signals, snapshot_file};
-use juniperdock_connection::{Door, spawn};
+use juniperdock_connection::{Listener, spawn};
 use juniperdock_hot_restart::Timeouts;
 use juniperdock_operator_config as operator_config;
-use juniperdock_operator_config::{Charter, Fault, Form, Held, Log, Upgrade};
+use juniperdock_operator_config::{Fault, Log, LogFormat, OperatorConfig, Upgrade, WaitQueueConfig};
 use juniperdock_server_list::{ProbeLimits, ProbeQueue};
 use juniperdock_wait_queue::WaitLimits;
 use may::sync::mpsc::{Sender, channel};
@@ -35,7 +35,7 @@
 const LARGE_STACK_BYTES: usize = 1 << 20;
 
 /// Validates the platform's configuration, as far as a start would.
-pub fn check(config: Option<&Charter>) -> Result<(), String> {
+pub fn check(config: Option<&OperatorConfig>) -> Result<(), String> {
     let settings = Settings::read()?;
     settings.address("GW_LISTEN", "listen")?;
     settings.address("GW_DISCOVERY", "discovery")?;
@@ -58,7 +58,7 @@
 /// Starts the membership actor, which communicates with the other fronts. An error here must not keep the front from
 /// serving: it is logged and the front runs without peers. `check` reports the same errors in advance.
 fn start_membership(
-    fellows_config: &operator_config::Fellows,
+    fellows_config: &operator_config::MembershipConfig,
     settings: &Settings,
     clock: &Clock,
     counters: &Arc<Counters>,
@@ -87,7 +87,7 @@
 }
 
 /// Reads the configuration, creates and connects the actors, and serves until SIGTERM.
-pub fn serve(config: &Charter, file: Option<&Path>) -> Result<(), String> {
+pub fn serve(config: &OperatorConfig, file: Option<&Path>) -> Result<(), String> {
     let signals = signals::listen()?;
     let mut target = TransferTarget::connect().transpose()?;
     // This must precede any other use of `may`.
@@ -182,11 +182,11 @@
     spawn("clock", CONNECTION_STACK_BYTES, run_clock)?;
     clock.start_watchdog(dispatcher_tx.clone());
     let listener = match &mut target {
-        None => Door::open(listen, START_TIMEOUT)?,
+        None => Listener::open(listen, START_TIMEOUT)?,
         Some(target) => {
             let _ = dispatcher_tx.send(DispatcherMessage::ProbeAll);
             await_roles(&counters);
-            Door::of(target.receive_listener()?)?
+            Listener::of(target.receive_listener()?)?
         }
     };
     let listener = Arc::new(listener);
@@ -270,7 +270,7 @@
     Ok(())
 }
 
-fn wait_limits(held: &Held) -> WaitLimits {
+fn wait_limits(held: &WaitQueueConfig) -> WaitLimits {
     WaitLimits {
         per_group: held.of_group,
         total: held.of_all,
@@ -283,7 +283,7 @@
 /// of the other sections that have changed.
 fn reload_operator_config(
     file: Option<&Path>,
-    current: &Mutex<Charter>,
+    current: &Mutex<OperatorConfig>,
     clients: &SharedClients,
 ) -> Result<Vec<&'static str>, String> {
     let Some(file) = file else { return Ok(Vec::new()) };
@@ -326,7 +326,7 @@
 /// Returns the function that upgrades this front on request; only one upgrade runs at a time.
 fn make_upgrade_fn(
     clients: &Arc<SharedClients>,
-    listener: &Arc<Door>,
+    listener: &Arc<Listener>,
     config: &Upgrade,
     log: &slog::Logger,
 ) -> messages::UpgradeFn {
@@ -389,12 +389,12 @@
     // Line by line: during an upgrade two processes write to the same stream, and partial lines would mix.
     let lines = std::io::LineWriter::new(std::io::stderr());
     let drain = match config.form {
-        Form::Text => {
+        LogFormat::Text => {
             let decorator = slog_term::PlainDecorator::new(lines);
             let drain = slog_term::FullFormat::new(decorator).build().fuse();
             slog_async::Async::new(drain).chan_size(1024).build()
         }
-        Form::Json => {
+        LogFormat::Json => {
             let monotonic_us = slog::FnValue(|_| juniperdock_connection::monotonic().as_micros() as u64);
             let drain = slog_json::Json::new(lines)
                 .add_default_keys()
--- a/crates/front/src/settings.rs
+++ b/crates/front/src/settings.rs
@@ -110,13 +110,14 @@
     /// Validates the settings and returns a function that creates routers from them.
     pub fn routers(&self) -> Result<impl Fn() -> Result<Router, String> + Send + use<>, String> {
         let (seed, settings) = (self.seed()?, self.json["settings"].clone());
-        deployment::open(seed, &|path| term(&settings, path)).map_err(|why| format!("settings: {why}"))?;
-        Ok(move || Ok(deployment::open(seed, &|path| term(&settings, path))?.0))
+        deployment::build_router(seed, &|path| term(&settings, path))
+            .map_err(|why| format!("settings: {why}"))?;
+        Ok(move || Ok(deployment::build_router(seed, &|path| term(&settings, path))?.0))
     }
 
     /// Returns the txn types, as the client actors need them.
     pub fn txn_types(&self) -> Result<TxnTypes, String> {
-        let (_, levels) = deployment::open(self.seed()?, &|path| self.get(path))?;
+        let (_, levels) = deployment::build_router(self.seed()?, &|path| self.get(path))?;
         let (mut names, mut max_time_limit) = (Indices::default(), Duration::ZERO);
         for i in 0..levels.len() {
             let name = self.get(&format!("Services.{i}.Name"));
@@ -155,10 +156,12 @@
         mb.map(|mb| mb << 20)
     }
 
-    /// Returns the maximum size of an answer in bytes: a fraction of the memory limit, but at least `LONGEST` of the
+    /// Returns the maximum size of an answer in bytes: a fraction of the memory limit, but at least `MAX_MESSAGE_LEN` of the
     /// `pg` package.
     pub fn largest_answer(&self) -> usize {
-        self.memory().map_or(0, |bytes| bytes / MAX_ANSWER_MEMORY_DIVISOR).max(juniperdock_pg::LONGEST)
+        self.memory()
+            .map_or(0, |bytes| bytes / MAX_ANSWER_MEMORY_DIVISOR)
+            .max(juniperdock_pg::MAX_MESSAGE_LEN)
     }
 
     /// Returns the index of this front in its cluster, and the number of fronts.
--- a/crates/front/src/signals.rs
+++ b/crates/front/src/signals.rs
@@ -6,7 +6,7 @@
 use crate::counters::Counters;
 use crate::messages::{DiscoveryMessage, MembershipMessage};
 use crate::settings::Settings;
-use juniperdock_connection::{Bell, Door};
+use juniperdock_connection::{Listener, Waker};
 use may::sync::mpsc::Sender;
 use signal_hook::consts::{SIGHUP, SIGTERM, SIGUSR1};
 use signal_hook::iterator::Signals;
@@ -42,8 +42,8 @@
 }
 
 /// Wakes an actor from this thread.
-fn wake(clients: &SharedClients, waker: Bell) {
-    clients.clock.run_at(Duration::ZERO, move || waker.ring());
+fn wake(clients: &SharedClients, waker: Waker) {
+    clients.clock.run_at(Duration::ZERO, move || waker.wake());
 }
 
 /// Returns the next signal. `signal_hook` panics on any failed read of its own socket, but a read that fails for lack
@@ -99,7 +99,7 @@
     discovery: &Sender<DiscoveryMessage>,
     reload_operator_config: &dyn Fn() -> Result<Vec<&'static str>, String>,
     clients: &Arc<SharedClients>,
-    listener: &Door,
+    listener: &Listener,
     counters: &Counters,
     max_request_time: Duration,
     log: &slog::Logger,
@@ -119,7 +119,7 @@
     std::thread::sleep(close_at.saturating_sub(clients.clock.now()));
     clients.close();
     // The acceptor accepts the clients that have arrived by now, and closes the listener.
-    wake(clients, listener.bell());
+    wake(clients, listener.waker());
     await_clients(clients, answer_deadline);
     clients.answer_all_now();
     await_clients(clients, clients.clock.now() + FINAL_ANSWER_TIMEOUT);
--- a/crates/front/src/upgrade.rs
+++ b/crates/front/src/upgrade.rs
@@ -5,7 +5,7 @@
 use crate::client::CONNECTION_STACK_BYTES;
 use crate::clients::{ClientTransfer, SharedClients, TransferResult};
 use crate::messages::{DispatcherMessage, MembershipMessage};
-use juniperdock_connection::{Door, spawn};
+use juniperdock_connection::{Listener, spawn};
 use juniperdock_fd_passing::{PacketSocket, Received};
 use juniperdock_hot_restart::message::{self, MAX_MESSAGE_LEN, MessageHandler};
 use juniperdock_hot_restart::{Action, NewProcess, OldProcess, Phase, SUPPORTED_VERSIONS, Stage, Timeouts};
@@ -38,7 +38,7 @@
 /// The old process's side of an upgrade.
 struct TransferSource {
     clients: Arc<SharedClients>,
-    listener: Arc<Door>,
+    listener: Arc<Listener>,
     socket: PacketSocket,
     child: Child,
     state: OldProcess,
@@ -54,7 +54,7 @@
 /// serves, or the reason why this process continues to serve.
 pub fn run_upgrade(
     clients: Arc<SharedClients>,
-    listener: Arc<Door>,
+    listener: Arc<Listener>,
     program: &Path,
     timeouts: Timeouts,
     result_tx: &SyncSender<Result<u32, String>>,
@@ -198,8 +198,8 @@
             Action::Commit => {
                 if self.send_message(&message::commit(), None) {
                     self.clients.stop_accepting.store(true, Ordering::Release);
-                    let waker = self.listener.bell();
-                    self.clients.clock.run_at(Duration::ZERO, move || waker.ring());
+                    let waker = self.listener.waker();
+                    self.clients.clock.run_at(Duration::ZERO, move || waker.wake());
                     // The new process needs the peer address and represents this front from now on.
                     self.clients.send_to_membership(MembershipMessage::Leave);
                     self.clients.clock.post(
--- a/crates/front/tests/dispatcher.rs
+++ b/crates/front/tests/dispatcher.rs
@@ -73,7 +73,7 @@
 
 fn link_to(at: SocketAddr) -> Link {
     let stream = std::net::TcpStream::connect(at).expect("a connection");
-    Link::came(stream, BufferLimits { inbound: 1, outbound: 1 }).expect("a link")
+    Link::new(stream, BufferLimits { inbound: 1, outbound: 1 }).expect("a link")
 }
 
 #[test]
@@ -105,7 +105,7 @@
     let link = link_to(at);
     let (answers, received) = channel();
     let arrival = |request_id, left| {
-        let client = Mailbox { sender: answers.clone(), waker: link.bell() };
+        let client = Mailbox { sender: answers.clone(), waker: link.waker() };
         arrival(request_id, now, now + Duration::from_secs(left), client)
     };
     let _ = sender.send(DispatcherMessage::List(list(at)));
@@ -158,7 +158,7 @@
     let at = listener.local_addr().expect("an address");
     let link = link_to(at);
     let (answers, received) = channel();
-    let client = Mailbox { sender: answers, waker: link.bell() };
+    let client = Mailbox { sender: answers, waker: link.waker() };
     let _ = sender.send(DispatcherMessage::List(list(at)));
     let report = Report { role: Some(Role::Primary), position: Some(clock.now()), ..Report::default() };
     let _ = sender.send(DispatcherMessage::Probed { member: 0, outcome: AttemptOutcome::Committed, report });
--- a/crates/front/tests/unit/member.rs
+++ b/crates/front/tests/unit/member.rs
@@ -17,7 +17,7 @@
         stack_bytes: 64 << 10,
         open_connections: Arc::default(),
         max_connections: 0,
-        max_message_bytes: pg::LONGEST,
+        max_message_bytes: pg::MAX_MESSAGE_LEN,
     }
 }
 
@@ -143,7 +143,7 @@
         let _ = sender.send(ConnectionMessage::Cancel(7));
         drop(sender);
         let mut welcome = Vec::new();
-        pg::welcome(&mut welcome);
+        pg::startup_response(&mut welcome);
         let _ = std::io::Write::write_all(&mut stream, &welcome);
         let _ = std::io::Read::read_to_end(&mut stream, &mut all);
         all
--- a/crates/lab/src/fleet/control.rs
+++ b/crates/lab/src/fleet/control.rs
@@ -19,7 +19,7 @@
     stream.write_all(&frame(asked)).ok()?;
     let (mut frames, mut piece) = (Frames::default(), [0; 4096]);
     loop {
-        if let Some(answer) = frames.whole().ok()? {
+        if let Some(answer) = frames.next_frame().ok()? {
             return Some(answer);
         }
         match stream.read(&mut piece).ok()? {
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! ```
 //! let read = juniperdock_operator_config::read("{ log: { form: 'json' }, // as our collector wants it\n}").unwrap();
-//! assert_eq!(read.log.form, juniperdock_operator_config::Form::Json);
+//! assert_eq!(read.log.form, juniperdock_operator_config::LogFormat::Json);
 //! let faults = juniperdock_operator_config::read("{\n  contrl: { path: 'x' },\n}").unwrap_err();
 //! assert_eq!(faults[0].to_string(), "line 2, contrl: not known here; did you mean control?");
 //! ```
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[schemars(rename = "Charter")]
 #[serde(default, deny_unknown_fields)]
-pub struct Charter {
+pub struct OperatorConfig {
     /// Log lines, written to standard error.
     #[garde(dive)]
     pub log: Log,
@@ -35,20 +35,20 @@
     pub upgrade: Upgrade,
     /// Limits for txns that wait for a member.
     #[garde(dive)]
-    pub held: Held,
+    pub held: WaitQueueConfig,
     /// A file that keeps the state of the front and is read at the next start. Off unless present.
     #[garde(dive)]
     pub snapshot: Option<Snapshot>,
     /// Communication between fronts. Off unless present; `peer_listen` and `peers` of GW_CONFIG give the addresses.
     #[garde(dive)]
-    pub fellows: Option<Fellows>,
+    pub fellows: Option<MembershipConfig>,
 }
 
 /// The format of a log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[schemars(rename = "Form")]
 #[serde(rename_all = "lowercase")]
-pub enum Form {
+pub enum LogFormat {
     #[default]
     Text,
     Json,
@@ -85,7 +85,7 @@
 pub struct Log {
     /// `text` for people, `json` for programs: one object per line.
     #[garde(skip)]
-    pub form: Form,
+    pub form: LogFormat,
     /// The lowest severity that is written. JUNIPERDOCK_LOG takes precedence.
     #[garde(skip)]
     pub level: Level,
@@ -121,7 +121,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[schemars(rename = "Fellows")]
 #[serde(deny_unknown_fields)]
-pub struct Fellows {
+pub struct MembershipConfig {
     /// Files with one key of 64 hex digits each. The first key signs outgoing datagrams; both verify incoming ones.
     #[garde(length(min = 1, max = 2), inner(custom(validate_path)))]
     pub keys: Vec<PathBuf>,
@@ -176,7 +176,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[schemars(rename = "Held")]
 #[serde(default, deny_unknown_fields)]
-pub struct Held {
+pub struct WaitQueueConfig {
     /// Waiting txns of one group.
     #[garde(range(min = 1))]
     pub of_group: usize,
@@ -195,10 +195,10 @@
     pub untaken_share: f64,
 }
 
-impl Default for Held {
+impl Default for WaitQueueConfig {
     fn default() -> Self {
         let unlimited = usize::MAX >> 10;
-        Held {
+        WaitQueueConfig {
             of_group: unlimited,
             of_all: unlimited,
             kib_of_group: unlimited,
@@ -238,14 +238,14 @@
 
 /// The JSON schema of the operators' configuration.
 pub fn schema() -> Value {
-    schema_of::<Charter>()
+    schema_of::<OperatorConfig>()
 }
 
 /// Parses and validates the operators' configuration.
 ///
 /// # Errors
 /// The faults found: all of the first of three steps (syntax and types, unknown names, values) that finds any.
-pub fn read(text: &str) -> Result<Charter, Vec<Fault>> {
+pub fn read(text: &str) -> Result<OperatorConfig, Vec<Fault>> {
     read_as(text)
 }
 
@@ -429,8 +429,9 @@
 
     #[test]
     fn empty_file_gives_the_defaults_and_a_written_file_reads_back_equal() {
-        assert_eq!(read("{}").expect("valid"), Charter::default());
-        let full = Charter { control: Some(Control { path: "/run/x".into() }), ..Charter::default() };
+        assert_eq!(read("{}").expect("valid"), OperatorConfig::default());
+        let full =
+            OperatorConfig { control: Some(Control { path: "/run/x".into() }), ..OperatorConfig::default() };
         let text = serde_json::to_string(&full).expect("JSON");
         assert_eq!(read(&text).expect("JSON is JSON5"), full);
         assert!(schema()["properties"]["control"].is_object());
--- a/crates/pg/src/lib.rs
+++ b/crates/pg/src/lib.rs
@@ -4,14 +4,14 @@
 use std::ops::Range;
 
 /// The longest message accepted from a client: a value of 64 KiB in hex digits, its statement and its comment.
-pub const LONGEST: usize = 2 * 65_536 + 8_192;
+pub const MAX_MESSAGE_LEN: usize = 2 * 65_536 + 8_192;
 
 /// SQLSTATE protocol_violation.
 pub const PROTOCOL_VIOLATION: &str = "08P01";
 /// SQLSTATE feature_not_supported.
 pub const NOT_SUPPORTED: &str = "0A000";
 /// SQLSTATE too_many_connections.
-pub const TOO_MANY: &str = "53300";
+pub const TOO_MANY_CONNECTIONS: &str = "53300";
 /// SQLSTATE cannot_connect_now.
 pub const CANNOT_CONNECT_NOW: &str = "57P03";
 /// SQLSTATE internal_error.
@@ -19,7 +19,7 @@
 /// SQLSTATE transaction_rollback.
 pub const ROLLED_BACK: &str = "40000";
 /// SQLSTATE statement_completion_unknown.
-pub const UNKNOWN: &str = "40003";
+pub const COMPLETION_UNKNOWN: &str = "40003";
 /// SQLSTATE read_only_sql_transaction, used where no primary takes writes.
 pub const NO_PRIMARY: &str = "25006";
 /// SQLSTATE snapshot_too_old, used where replicas lag too far behind for a read.
@@ -85,7 +85,7 @@
 /// # Errors
 /// If its length or its protocol version is invalid.
 pub fn opening(bytes: &[u8]) -> Result<Option<(Opening, usize)>, String> {
-    let Some(length) = length(bytes, LONGEST)? else { return Ok(None) };
+    let Some(length) = length(bytes, MAX_MESSAGE_LEN)? else { return Ok(None) };
     if !(8..=10_000).contains(&length) {
         return Err(format!("expected an opening message of 8 to 10000 bytes, found {length}"));
     }
@@ -131,7 +131,7 @@
 }
 
 /// Appends the reply to a startup message: AuthenticationOk, the parameters, and the first ReadyForQuery.
-pub fn welcome(out: &mut Vec<u8>) {
+pub fn startup_response(out: &mut Vec<u8>) {
     put(out, b'R', &[&[0; 4]]);
     for (name, value) in
         [("server_version", "15.0"), ("client_encoding", "UTF8"), ("standard_conforming_strings", "on")]
@@ -174,13 +174,13 @@
 }
 
 /// Whether a SQLSTATE blames the statement itself, so that it would fail on every member.
-pub fn of_statement(code: &str) -> bool {
+pub fn is_statement_error(code: &str) -> bool {
     code == PROTOCOL_VIOLATION
         || ["0A", "22", "23", "26", "34", "3D", "3F", "42"].contains(&&code[..code.len().min(2)])
 }
 
 /// Whether a RowDescription describes exactly one column.
-pub fn one_column(body: &[u8]) -> bool {
+pub fn has_one_column(body: &[u8]) -> bool {
     let name = body.strip_prefix(&[0, 1]).map(|rest| rest.split(|&b| b == 0).next().unwrap_or(rest));
     name.is_some_and(|name| body.len() == 2 + name.len() + 1 + 18)
 }
@@ -192,7 +192,7 @@
 }
 
 /// Returns the value of a DataRow with exactly one column.
-pub fn column(body: &[u8]) -> Option<&[u8]> {
+pub fn single_column(body: &[u8]) -> Option<&[u8]> {
     let (&[0, 1], rest) = body.split_first_chunk::<2>()? else { return None };
     let (length, value) = rest.split_first_chunk::<4>()?;
     (u32::from_be_bytes(*length) as usize == value.len()).then_some(value)
@@ -267,10 +267,10 @@
 /// ```
 /// let statement = "/* id=9b,d=480 */ SELECT 1";
 /// let (fields, _) = juniperdock_pg::comment(statement).unwrap();
-/// let left = juniperdock_pg::place(statement, fields[1].1);
+/// let left = juniperdock_pg::value_range(statement, fields[1].1);
 /// assert_eq!(juniperdock_pg::with_time_left(statement, &left, 35), "/* id=9b,d=35 */ SELECT 1");
 /// ```
-pub fn place(statement: &str, value: &str) -> Range<usize> {
+pub fn value_range(statement: &str, value: &str) -> Range<usize> {
     let start = (value.as_ptr() as usize).saturating_sub(statement.as_ptr() as usize);
     start..start + value.len()
 }
@@ -282,6 +282,6 @@
 }
 
 /// Returns the text between the first two single quotes, which is the key that a statement names.
-pub fn quoted(rest: &str) -> Option<&str> {
+pub fn first_quoted(rest: &str) -> Option<&str> {
     rest.split('\'').nth(1).filter(|key| !key.is_empty())
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -84,7 +84,7 @@
 ///
 /// # Errors
 /// If the file is malformed; the text gives the line or the field, and what was expected there.
-pub fn bring(text: &str) -> Result<Migration, String> {
+pub fn migrate(text: &str) -> Result<Migration, String> {
     let old: Value = serde_json::from_str(text).map_err(|e| format!("expected JSON: {e}"))?;
     let fields = old.as_object().ok_or("expected an object, the configuration of a front")?;
     let (mut carried, mut defaulted, mut left_out) = (Vec::new(), Vec::new(), Vec::new());
@@ -107,7 +107,7 @@
         term(&settings, path)
     };
     let (_, consistencies) =
-        juniperdock_deployment::open(0, &lookup).map_err(|why| format!("settings: {why}"))?;
+        juniperdock_deployment::build_router(0, &lookup).map_err(|why| format!("settings: {why}"))?;
     let mut read = read.into_inner();
     for kind in 0..consistencies.len() {
         read.extend(["Name", "HardLimit"].map(|key| format!("Services.{kind}.{key}")));
@@ -197,7 +197,7 @@
 
     #[test]
     fn migration_carries_read_fields_and_lists_the_rest_as_left_out() {
-        let migration = bring(&old().to_string()).unwrap();
+        let migration = migrate(&old().to_string()).unwrap();
         let file = &migration.file;
         assert_eq!((&file["shape"], &file["seed"]), (&json!(2), &json!("1f")));
         assert_eq!(file["settings"]["Bounds"], old()["settings"]["Bounds"]);
@@ -212,14 +212,14 @@
 
     #[test]
     fn migrating_a_migrated_file_leaves_it_unchanged() {
-        let migration = bring(&old().to_string()).unwrap();
-        let again = bring(&migration.file.to_string()).unwrap();
+        let migration = migrate(&old().to_string()).unwrap();
+        let again = migrate(&migration.file.to_string()).unwrap();
         assert!(again.already && again.file == migration.file);
     }
 
     #[test]
     fn malformed_file_is_reported_by_line_or_field() {
-        let error_of = |text: &str| bring(text).unwrap_err();
+        let error_of = |text: &str| migrate(text).unwrap_err();
         assert!(error_of("{ \"seed\": \"1f\",\n").contains("line 2"));
         assert!(error_of("[]").contains("expected an object"));
         assert!(error_of("{}").contains("settings: expected an object"));
--- a/crates/sim-adapter/src/adapter.rs
+++ b/crates/sim-adapter/src/adapter.rs
@@ -417,13 +417,13 @@
 /// Translates the field `Stats`.
 fn parse_report(message: &Message, ids: &Ids) -> Result<Report, String> {
     let fields = message.text("Stats").unwrap_or("").split(',').filter_map(|part| part.split_once(':'));
-    deployment::report(fields, &ids.origin).map_err(|why| format!("{}: {why}", message.name))
+    deployment::parse_report(fields, &ids.origin).map_err(|why| format!("{}: {why}", message.name))
 }
 
 /// Creates an instance from its settings.
 fn new_instance(message: &Message, clock: i64, membership_enabled: bool) -> Result<Instance, String> {
     let (router, consistencies) =
-        deployment::open(message.required("Entropy")?, &|path| message.text(path).map(str::to_owned))
+        deployment::build_router(message.required("Entropy")?, &|path| message.text(path).map(str::to_owned))
             .map_err(|why| format!("BORN: {why}"))?;
     let zero = message.millis("Specifics.Zero")?.unwrap_or(clock);
     let ids = Ids {
