--- a/crates/lab/src/circle.rs
+++ b/crates/lab/src/circle.rs
@@ -1,5 +1,5 @@
-//! The fronts' membership at size, in simulated time: the program's own core for each front, and a network
-//! that loses, delays, doubles and cuts. Figures of it are called simulated.
+//! Simulates the membership protocol of a large number of fronts: each front runs the program's own protocol core,
+//! over a network that loses, delays, duplicates and partitions. Its figures are labelled as simulated.
 
 use garde::Validate;
 use hdrhistogram::Histogram;
@@ -12,31 +12,32 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Any time; lives count from it.
-const UNIX: Duration = Duration::from_secs(1_790_000_000);
-/// How often it is looked whether all fronts agree.
-const LOOK: Duration = Duration::from_millis(100);
+/// Wall-clock time at which the simulation starts; incarnations are derived from it. The value is arbitrary.
+const SIMULATION_EPOCH: Duration = Duration::from_secs(1_790_000_000);
+/// Interval at which the agreement of all fronts is checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What befalls fronts or the ways between them.
+/// Kind of fault of fronts or of the network between them.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Plight {
-    /// `share` of the fronts end at once, and start again, knowing nothing, when it ends.
+    /// `share` of the fronts are killed, and restart without any state when the fault ends.
     Killed,
-    /// `share` of the fronts stand still.
+    /// `share` of the fronts are paused.
     Stopped,
-    /// `share` of the fronts hear nobody and are heard by nobody but each other.
+    /// `share` of the fronts are partitioned from all others, but reach each other.
     Cut,
     /// `share` of all datagrams are lost.
     Lost,
-    /// `share` of all datagrams come twice.
+    /// `share` of all datagrams are duplicated.
     Doubled,
-    /// `share` of the fronts hear all and are heard by none.
+    /// `share` of the fronts receive datagrams, but none of what they send arrives.
     Unheard,
-    /// `share` of the fronts run late by up to a period at each timer.
+    /// `share` of the fronts run each timer late by up to one period.
     Slow,
 }
 
+/// A fault at a given time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Ill {
@@ -50,7 +51,7 @@
     pub share: f64,
 }
 
-/// What is played.
+/// Parameters of a simulation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct Circle {
@@ -60,10 +61,10 @@
     pub lasts_s: f64,
     #[garde(range(min = 50, max = 10_000))]
     pub every_ms: u64,
-    /// One way, least and most, in milliseconds.
+    /// Minimum and maximum one-way latency in milliseconds.
     #[garde(skip)]
     pub way_ms: [f64; 2],
-    /// All start within so many seconds.
+    /// All fronts start within this time.
     #[garde(range(min = 0.0, max = 60.0))]
     pub start_within_s: f64,
     #[garde(dive)]
@@ -83,69 +84,69 @@
     }
 }
 
-/// What was seen.
+/// Results of a simulation.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Seen {
+pub struct Results {
     pub fronts: usize,
-    /// Until all held the same for there after the start, in seconds; none if they never did.
+    /// Seconds after the start until all fronts agreed on the same members; `None` if they never did.
     pub joined_s: Option<f64>,
-    /// From the end of a front until another took it for dead: percentiles over all pairs.
+    /// Time from the failure of a front until another considered it dead: percentiles over all pairs.
     pub detect_p50_ms: f64,
     pub detect_p99_ms: f64,
     pub detected: u64,
-    /// Pairs of which one was to take the other for dead and had not when it ended.
+    /// Pairs in which a failed front was not yet considered dead by the other at the end.
     pub missed: u64,
-    /// Times that a front was taken for dead that ran, and that others could hear.
+    /// Number of times that a running, reachable front was considered dead.
     pub false_suspicions: u64,
-    /// From the end of the last plight until all held the same for there and each was whole.
+    /// Seconds from the end of the last fault until all fronts agreed on the members and each one had a majority.
     pub settle_s: Option<f64>,
-    /// A front and second, while nothing befell anybody and all had joined.
+    /// Per front and second, while no fault was active and all fronts had joined.
     pub datagrams_per_s: f64,
     pub bytes_per_s: f64,
     pub datagrams: u64,
     pub longest: usize,
     pub refused: BTreeMap<&'static str, u64>,
-    /// Pairs at the end, by what one holds of the other, where both run.
+    /// Pairs at the end, by the liveness that one has recorded for the other, where the other is reachable.
     pub held: BTreeMap<&'static str, u64>,
-    /// Standing at the end: alone, part, whole.
+    /// Number of fronts by connectivity at the end: isolated, in a minority, in a majority.
     pub standing: [usize; 3],
-    /// From ten periods after a cut on: the least number of whole fronts on the larger side, and the most on the
-    /// smaller one.
+    /// From ten periods after the start of a partition: the minimum number of fronts with a majority on the larger
+    /// side, and the maximum on the smaller side.
     pub whole_while_cut: Option<(usize, usize)>,
 }
 
 #[derive(Clone, Debug)]
-enum Happens {
+enum SimEvent {
     Start(usize),
     Arrives { from: usize, to: usize, bytes: Vec<u8> },
-    Due { front: usize, life: u32 },
+    Due { front: usize, incarnation: u32 },
     Begins(usize),
     Ends(usize),
-    Look,
+    Check,
 }
 
 struct Node {
     core: Option<Membership>,
     begun: Duration,
-    life: u32,
+    incarnation: u32,
     starts: u32,
     stopped: u32,
-    /// Came while it stood still.
-    kept: Vec<(usize, Vec<u8>)>,
-    /// When its next look is set.
-    set: Duration,
-    /// Since when nobody can hear it: it ended, stands still, or is cut off.
-    deaf: Option<Duration>,
+    /// Datagrams that arrived while the front was paused.
+    buffered: Vec<(usize, Vec<u8>)>,
+    /// Time of the next timer event in the calendar.
+    timer_at: Duration,
+    /// Time since which no other front can reach it: it was killed, is paused, or is partitioned.
+    unreachable_since: Option<Duration>,
 }
 
-/// What cores want done, kept until the calendar can be reached.
+/// Collects what a core sends and reports until it can be put into the calendar.
 #[derive(Default)]
-struct Hands {
+struct CoreIo {
     sends: Vec<(usize, Vec<u8>)>,
     events: Vec<Event>,
 }
 
-impl Host for Hands {
+impl Host for CoreIo {
     fn send(&mut self, to: usize, datagram: &[u8]) {
         self.sends.push((to, datagram.to_vec()));
     }
@@ -155,197 +156,198 @@
     }
 }
 
-struct Play<'a> {
+struct Simulation<'a> {
     circle: &'a Circle,
     seed: u64,
     now: Duration,
-    calendar: Calendar<Happens>,
+    calendar: Calendar<SimEvent>,
     nodes: Vec<Node>,
     net: Stream,
-    /// By the number of a plight: whom it has met.
-    met: Vec<Vec<bool>>,
+    /// For each fault, whether it affects each front.
+    affected: Vec<Vec<bool>>,
     active: Vec<bool>,
-    seen: Seen,
+    results: Results,
     times: Histogram<u64>,
-    /// Datagrams and bytes so far, when it was last calm, and those of calm times.
-    calm: (f64, u64, u64),
-    ended: [u64; 2],
-    healed: Duration,
+    /// Seconds, datagrams and bytes of the calm intervals.
+    calm_traffic: (f64, u64, u64),
+    /// Datagrams and bytes since the last check.
+    traffic: [u64; 2],
+    last_fault_end: Duration,
 }
 
-/// Plays it; the same seed plays the same.
-pub fn play(circle: &Circle, seed: u64) -> Seen {
+/// Runs the simulation; the same seed gives the same run.
+pub fn play(circle: &Circle, seed: u64) -> Results {
     let n = circle.fronts;
     let node = || Node {
         core: None,
         begun: Duration::ZERO,
-        life: 0,
+        incarnation: 0,
         starts: 0,
         stopped: 0,
-        kept: Vec::new(),
-        set: Duration::MAX,
-        deaf: None,
+        buffered: Vec::new(),
+        timer_at: Duration::MAX,
+        unreachable_since: None,
     };
     let mut chance = Stream::of(seed, "circle", 0);
     let lasts = Duration::from_secs_f64(circle.lasts_s);
     let mut calendar = Calendar::new(Duration::from_micros(250), 8192);
     for front in 0..n {
         let at = Duration::from_secs_f64(circle.start_within_s * chance.share());
-        calendar.set(at, Happens::Start(front));
+        calendar.set(at, SimEvent::Start(front));
     }
-    let mut healed = Duration::ZERO;
+    let mut last_fault_end = Duration::ZERO;
     for (i, ill) in circle.ills.iter().enumerate() {
         let (from, to) = (ill.at_s, ill.at_s + ill.lasts_s);
-        calendar.set(Duration::from_secs_f64(from), Happens::Begins(i));
-        calendar.set(Duration::from_secs_f64(to), Happens::Ends(i));
-        healed = healed.max(Duration::from_secs_f64(to));
+        calendar.set(Duration::from_secs_f64(from), SimEvent::Begins(i));
+        calendar.set(Duration::from_secs_f64(to), SimEvent::Ends(i));
+        last_fault_end = last_fault_end.max(Duration::from_secs_f64(to));
     }
-    calendar.set(LOOK, Happens::Look);
-    let mut play = Play {
+    calendar.set(CHECK_INTERVAL, SimEvent::Check);
+    let mut simulation = Simulation {
         circle,
         seed,
         now: Duration::ZERO,
         calendar,
         nodes: (0..n).map(|_| node()).collect(),
         net: Stream::of(seed, "network", 0),
-        met: circle
+        affected: circle
             .ills
             .iter()
             .map(|ill| {
                 let whole = matches!(ill.what, Plight::Lost | Plight::Doubled);
                 let count = if whole { n } else { (n as f64 * ill.share).round() as usize };
-                let mut met = vec![false; n];
+                let mut affected = vec![false; n];
                 let mut order: Vec<usize> = (0..n).collect();
                 for i in 0..count.min(n) {
                     let with = i + chance.below(n - i);
                     order.swap(i, with);
-                    met[order[i]] = true;
+                    affected[order[i]] = true;
                 }
-                met
+                affected
             })
             .collect(),
         active: vec![false; circle.ills.len()],
-        seen: Seen { fronts: n, ..Seen::default() },
-        times: Histogram::new_with_bounds(1, 600_000, 3).expect("good bounds"),
-        calm: (0.0, 0, 0),
-        ended: [0, 0],
-        healed,
+        results: Results { fronts: n, ..Results::default() },
+        times: Histogram::new_with_bounds(1, 600_000, 3).expect("valid bounds"),
+        calm_traffic: (0.0, 0, 0),
+        traffic: [0, 0],
+        last_fault_end,
     };
-    while let Some(at) = play.calendar.next_at().filter(|&at| at <= lasts) {
-        let Some((_, happens)) = play.calendar.take() else { break };
-        play.now = at;
-        play.handle(happens);
+    while let Some(at) = simulation.calendar.next_at().filter(|&at| at <= lasts) {
+        let Some((_, event)) = simulation.calendar.take() else { break };
+        simulation.now = at;
+        simulation.handle(event);
     }
-    play.close()
+    simulation.finish()
 }
 
-impl Play<'_> {
-    fn handle(&mut self, happens: Happens) {
-        match happens {
-            Happens::Start(front) => self.start(front),
-            Happens::Arrives { from, to, bytes } => {
+impl Simulation<'_> {
+    fn handle(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Start(front) => self.start(front),
+            SimEvent::Arrives { from, to, bytes } => {
                 let node = &mut self.nodes[to];
                 if node.stopped > 0 {
-                    // A machine keeps some of what comes to a process that does not run.
-                    if node.kept.len() < 200 {
-                        node.kept.push((from, bytes));
+                    // The socket buffer holds a limited number of datagrams for a process that does not run.
+                    if node.buffered.len() < 200 {
+                        node.buffered.push((from, bytes));
                     }
                 } else {
-                    self.act(to, |core, now, hands| {
-                        let _ = core.handle_datagram(now, from, &bytes, hands);
+                    self.call_core(to, |core, now, io| {
+                        let _ = core.handle_datagram(now, from, &bytes, io);
                     });
                 }
             }
-            Happens::Due { front, life } => {
+            SimEvent::Due { front, incarnation } => {
                 let node = &mut self.nodes[front];
-                if node.life != life || node.stopped > 0 {
+                if node.incarnation != incarnation || node.stopped > 0 {
                     return;
                 }
-                node.set = Duration::MAX;
-                self.act(front, |core, now, hands| core.handle_timeout(now, hands));
+                node.timer_at = Duration::MAX;
+                self.call_core(front, |core, now, io| core.handle_timeout(now, io));
             }
-            Happens::Begins(i) => self.begin(i),
-            Happens::Ends(i) => self.end(i),
-            Happens::Look => {
-                self.look();
-                self.calendar.set(self.now + LOOK, Happens::Look);
+            SimEvent::Begins(i) => self.begin(i),
+            SimEvent::Ends(i) => self.end(i),
+            SimEvent::Check => {
+                self.check();
+                self.calendar.set(self.now + CHECK_INTERVAL, SimEvent::Check);
             }
         }
     }
 
     fn start(&mut self, front: usize) {
         let every = Duration::from_millis(self.circle.every_ms);
-        let keys = Keys::parse(&["5a".repeat(32)]).expect("a good key");
+        let keys = Keys::parse(&["5a".repeat(32)]).expect("a valid key");
         let times = Timing::with_period(every);
         let node = &mut self.nodes[front];
         node.starts += 1;
-        node.life = incarnation_at(UNIX + self.now);
+        node.incarnation = incarnation_at(SIMULATION_EPOCH + self.now);
         let seed = Stream::of(self.seed, "fellows", front * 64 + node.starts as usize).number();
-        let (n, life) = (self.circle.fronts, node.life);
-        node.core = Some(Membership::new(front, n, life, seed, NEWEST_VERSION, times, keys));
-        (node.begun, node.set) = (self.now, Duration::MAX);
-        self.act(front, |core, now, hands| core.handle_timeout(now, hands));
+        let (n, incarnation) = (self.circle.fronts, node.incarnation);
+        node.core = Some(Membership::new(front, n, incarnation, seed, NEWEST_VERSION, times, keys));
+        (node.begun, node.timer_at) = (self.now, Duration::MAX);
+        self.call_core(front, |core, now, io| core.handle_timeout(now, io));
     }
 
-    /// Lets a core act, and sends what it wants sent.
-    fn act(&mut self, front: usize, call: impl FnOnce(&mut Membership, Duration, &mut Hands)) {
-        let mut hands = Hands::default();
+    /// Calls a front's core, schedules its next timer, and processes the events and datagrams that it produced.
+    fn call_core(&mut self, front: usize, call: impl FnOnce(&mut Membership, Duration, &mut CoreIo)) {
+        let mut io = CoreIo::default();
         let node = &mut self.nodes[front];
-        let (at, life, begun) = (self.now, node.life, node.begun);
+        let (at, incarnation, begun) = (self.now, node.incarnation, node.begun);
         let Some(core) = node.core.as_mut() else { return };
-        call(core, at - begun, &mut hands);
+        call(core, at - begun, &mut io);
         let mut next = core.next_timeout().saturating_add(begun).max(at);
         let slow = (0..self.active.len())
-            .any(|i| self.active[i] && self.circle.ills[i].what == Plight::Slow && self.met[i][front]);
+            .any(|i| self.active[i] && self.circle.ills[i].what == Plight::Slow && self.affected[i][front]);
         if slow {
             next += Duration::from_millis(self.circle.every_ms).mul_f64(self.net.share());
         }
-        if next < node.set {
-            node.set = next;
-            self.calendar.set(next, Happens::Due { front, life });
+        if next < node.timer_at {
+            node.timer_at = next;
+            self.calendar.set(next, SimEvent::Due { front, incarnation });
         }
-        for event in hands.events {
+        for event in io.events {
             if let Event::Down(other) = event {
-                self.down(front, other);
+                self.record_down(front, other);
             }
         }
-        for (to, bytes) in hands.sends {
+        for (to, bytes) in io.sends {
             self.send(front, to, bytes);
         }
     }
 
-    fn down(&mut self, by: usize, whom: usize) {
-        let apart = self.apart(whom, by) || self.apart(by, whom);
-        match self.nodes[whom].deaf {
-            Some(since) if self.nodes[by].deaf.is_none() => {
-                self.seen.detected += 1;
+    fn record_down(&mut self, by: usize, peer: usize) {
+        let blocked = self.blocked(peer, by) || self.blocked(by, peer);
+        match self.nodes[peer].unreachable_since {
+            Some(since) if self.nodes[by].unreachable_since.is_none() => {
+                self.results.detected += 1;
                 let ms = (self.now - since).as_millis() as u64;
                 self.times.saturating_record(ms.max(1));
             }
-            // Neither can know better.
+            // Both are unreachable, so neither view is wrong.
             Some(_) => {}
-            None if apart || self.nodes[by].deaf.is_some() => {}
-            None => self.seen.false_suspicions += 1,
+            None if blocked || self.nodes[by].unreachable_since.is_some() => {}
+            None => self.results.false_suspicions += 1,
         }
     }
 
-    /// Whether what one sends does not come to the other.
-    fn apart(&self, from: usize, to: usize) -> bool {
+    /// Whether a fault blocks datagrams in this direction.
+    fn blocked(&self, from: usize, to: usize) -> bool {
         (0..self.active.len()).filter(|&i| self.active[i]).any(|i| {
-            let met = &self.met[i];
+            let affected = &self.affected[i];
             match self.circle.ills[i].what {
-                Plight::Cut => met[from] != met[to],
-                Plight::Unheard => met[from],
+                Plight::Cut => affected[from] != affected[to],
+                Plight::Unheard => affected[from],
                 _ => false,
             }
         })
     }
 
     fn send(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
-        self.seen.longest = self.seen.longest.max(bytes.len());
-        self.seen.datagrams += 1;
-        (self.ended[0], self.ended[1]) = (self.ended[0] + 1, self.ended[1] + bytes.len() as u64);
-        let (mut copies, mut lost) = (1, self.apart(from, to));
+        self.results.longest = self.results.longest.max(bytes.len());
+        self.results.datagrams += 1;
+        (self.traffic[0], self.traffic[1]) = (self.traffic[0] + 1, self.traffic[1] + bytes.len() as u64);
+        let (mut copies, mut lost) = (1, self.blocked(from, to));
         for i in 0..self.active.len() {
             let Ill { what, share, .. } = self.circle.ills[i];
             if self.active[i] && what == Plight::Lost {
@@ -361,27 +363,29 @@
         for _ in 0..copies {
             let [least, most] = self.circle.way_ms;
             let way = Duration::from_secs_f64((least + (most - least) * self.net.share()) / 1000.0);
-            self.calendar.set(self.now + way, Happens::Arrives { from, to, bytes: bytes.clone() });
+            self.calendar.set(self.now + way, SimEvent::Arrives { from, to, bytes: bytes.clone() });
         }
     }
 
     fn begin(&mut self, i: usize) {
         self.active[i] = true;
         let what = self.circle.ills[i].what;
-        for front in (0..self.nodes.len()).filter(|&front| self.met[i][front]).collect::<Vec<_>>() {
+        for front in (0..self.nodes.len()).filter(|&front| self.affected[i][front]).collect::<Vec<_>>() {
             let node = &mut self.nodes[front];
             match what {
                 Plight::Killed => {
                     node.core = None;
-                    node.life = 0;
+                    node.incarnation = 0;
                 }
                 Plight::Stopped => node.stopped += 1,
                 Plight::Cut | Plight::Unheard => {}
                 Plight::Lost | Plight::Doubled | Plight::Slow => continue,
             }
-            // Of two sides the larger one is to find out about the smaller one.
-            if what != Plight::Cut || 2 * self.met[i].iter().filter(|&&met| met).count() < self.nodes.len() {
-                self.nodes[front].deaf = self.nodes[front].deaf.or(Some(self.now));
+            // The larger side of a partition has to detect the smaller one.
+            if what != Plight::Cut
+                || 2 * self.affected[i].iter().filter(|&&affected| affected).count() < self.nodes.len()
+            {
+                self.nodes[front].unreachable_since = self.nodes[front].unreachable_since.or(Some(self.now));
             }
         }
     }
@@ -389,102 +393,105 @@
     fn end(&mut self, i: usize) {
         self.active[i] = false;
         let what = self.circle.ills[i].what;
-        for front in (0..self.nodes.len()).filter(|&front| self.met[i][front]).collect::<Vec<_>>() {
+        for front in (0..self.nodes.len()).filter(|&front| self.affected[i][front]).collect::<Vec<_>>() {
             match what {
                 Plight::Lost | Plight::Doubled | Plight::Slow => continue,
                 Plight::Killed => {
-                    self.nodes[front].deaf = None;
+                    self.nodes[front].unreachable_since = None;
                     self.start(front);
                 }
                 Plight::Stopped => {
-                    self.nodes[front].deaf = None;
+                    self.nodes[front].unreachable_since = None;
                     self.nodes[front].stopped -= 1;
                     if self.nodes[front].stopped == 0 {
-                        // It reads what has come, then finds its timers late.
-                        for (from, bytes) in std::mem::take(&mut self.nodes[front].kept) {
-                            self.act(front, |core, now, hands| {
-                                let _ = core.handle_datagram(now, from, &bytes, hands);
+                        // The front reads the buffered datagrams before it runs its late timers.
+                        for (from, bytes) in std::mem::take(&mut self.nodes[front].buffered) {
+                            self.call_core(front, |core, now, io| {
+                                let _ = core.handle_datagram(now, from, &bytes, io);
                             });
                         }
-                        self.nodes[front].set = Duration::MAX;
-                        self.act(front, |core, now, hands| core.handle_timeout(now, hands));
+                        self.nodes[front].timer_at = Duration::MAX;
+                        self.call_core(front, |core, now, io| core.handle_timeout(now, io));
                     }
                 }
-                Plight::Cut | Plight::Unheard => self.nodes[front].deaf = None,
+                Plight::Cut | Plight::Unheard => self.nodes[front].unreachable_since = None,
             }
         }
     }
 
-    fn look(&mut self) {
+    fn check(&mut self) {
         let calm = !self.active.iter().any(|&active| active);
-        let there: Vec<usize> = (0..self.nodes.len()).filter(|&f| self.nodes[f].core.is_some()).collect();
-        let views = there.iter().filter_map(|&f| self.nodes[f].core.as_ref());
+        let running: Vec<usize> = (0..self.nodes.len()).filter(|&f| self.nodes[f].core.is_some()).collect();
+        let views = running.iter().filter_map(|&f| self.nodes[f].core.as_ref());
         let whole = |core: &Membership| core.connectivity().0 == Connectivity::Majority;
-        let agree = there.len() == self.nodes.len()
+        let agree = running.len() == self.nodes.len()
             && views.clone().all(|core| whole(core) && core.present().len() == self.nodes.len());
-        let [datagrams, bytes] = self.ended;
-        if self.seen.joined_s.is_none() {
+        let [datagrams, bytes] = self.traffic;
+        if self.results.joined_s.is_none() {
             if agree {
-                self.seen.joined_s = Some(self.now.as_secs_f64() - self.circle.start_within_s);
+                self.results.joined_s = Some(self.now.as_secs_f64() - self.circle.start_within_s);
             }
         } else if calm && agree {
-            let (seconds, d, b) = self.calm;
-            self.calm = (seconds + LOOK.as_secs_f64(), d + datagrams, b + bytes);
+            let (seconds, d, b) = self.calm_traffic;
+            self.calm_traffic = (seconds + CHECK_INTERVAL.as_secs_f64(), d + datagrams, b + bytes);
         }
-        self.ended = [0, 0];
-        if calm && self.now > self.healed && self.healed > Duration::ZERO && agree {
-            let since = (self.now - self.healed).as_secs_f64();
-            self.seen.settle_s.get_or_insert(since);
+        self.traffic = [0, 0];
+        if calm && self.now > self.last_fault_end && self.last_fault_end > Duration::ZERO && agree {
+            let since = (self.now - self.last_fault_end).as_secs_f64();
+            self.results.settle_s.get_or_insert(since);
         }
         for i in (0..self.active.len()).filter(|&i| self.active[i]) {
             let Ill { what, at_s, .. } = self.circle.ills[i];
-            // Both sides have had the time to find out.
+            // Checked only after both sides have had time to detect the partition.
             if what != Plight::Cut
                 || self.now.as_secs_f64() < at_s + 10.0 * self.circle.every_ms as f64 / 1000.0
             {
                 continue;
             }
-            let side = |met: bool| {
-                there
+            let side = |affected: bool| {
+                running
                     .iter()
-                    .filter(|&&f| self.met[i][f] == met && self.nodes[f].core.as_ref().is_some_and(whole))
+                    .filter(|&&f| {
+                        self.affected[i][f] == affected && self.nodes[f].core.as_ref().is_some_and(whole)
+                    })
                     .count()
             };
-            let cut = self.met[i].iter().filter(|&&met| met).count();
+            let cut = self.affected[i].iter().filter(|&&affected| affected).count();
             let small = side(2 * cut < self.nodes.len());
             let large = side(2 * cut >= self.nodes.len());
-            let (least, most) = self.seen.whole_while_cut.unwrap_or((usize::MAX, 0));
-            self.seen.whole_while_cut = Some((least.min(large), most.max(small)));
+            let (least, most) = self.results.whole_while_cut.unwrap_or((usize::MAX, 0));
+            self.results.whole_while_cut = Some((least.min(large), most.max(small)));
         }
     }
 
-    fn close(mut self) -> Seen {
+    fn finish(mut self) -> Results {
         let at = |percent: f64| {
             if self.times.is_empty() { 0.0 } else { self.times.value_at_percentile(percent) as f64 }
         };
-        (self.seen.detect_p50_ms, self.seen.detect_p99_ms) = (at(50.0), at(99.0));
-        let (seconds, datagrams, bytes) = self.calm;
+        (self.results.detect_p50_ms, self.results.detect_p99_ms) = (at(50.0), at(99.0));
+        let (seconds, datagrams, bytes) = self.calm_traffic;
         if seconds > 0.0 {
             let per = seconds * self.nodes.len() as f64;
-            (self.seen.datagrams_per_s, self.seen.bytes_per_s) = (datagrams as f64 / per, bytes as f64 / per);
+            (self.results.datagrams_per_s, self.results.bytes_per_s) =
+                (datagrams as f64 / per, bytes as f64 / per);
         }
         for core in self.nodes.iter().filter_map(|node| node.core.as_ref()) {
-            self.seen.standing[core.connectivity().0 as usize] += 1;
+            self.results.standing[core.connectivity().0 as usize] += 1;
             for why in Refused::ALL {
                 let count = core.refused[why as usize];
                 if count > 0 {
-                    *self.seen.refused.entry(why.name()).or_default() += count;
+                    *self.results.refused.entry(why.name()).or_default() += count;
                 }
             }
-            for fellow in core.peers() {
-                let gone = self.nodes[fellow.index].deaf.is_some();
+            for peer in core.peers() {
+                let gone = self.nodes[peer.index].unreachable_since.is_some();
                 if !gone {
-                    *self.seen.held.entry(fellow.liveness.name()).or_default() += 1;
+                    *self.results.held.entry(peer.liveness.name()).or_default() += 1;
                 }
-                self.seen.missed +=
-                    u64::from(gone && fellow.index != core.me() && fellow.liveness != Liveness::Dead);
+                self.results.missed +=
+                    u64::from(gone && peer.index != core.me() && peer.liveness != Liveness::Dead);
             }
         }
-        self.seen
+        self.results
     }
 }
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -1,5 +1,5 @@
-//! Runs side by side: comparisons on the same seeds, sweeps over a setting, and a search for the scenario on
-//! which a build loses most.
+//! Experiments over many runs: comparisons on the same seeds, sweeps over a field, and a search for the scenario on
+//! which a build loses the most value.
 
 use crate::fronts::Policy;
 use crate::measure::Outcome;
@@ -13,10 +13,10 @@
 use std::process::Command;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Resamples of a bootstrap.
+/// Number of bootstrap resamples.
 const RESAMPLES: usize = 4000;
 
-/// What is compared: who decides in this build, or another build's laboratory.
+/// A side of a comparison: a policy of this build, or the laboratory program of another build.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Side {
     Here(Policy),
@@ -24,19 +24,20 @@
 }
 
 impl Side {
-    /// A policy's name, or the path of a `juniperdock-lab`.
+    /// Parses the name of a policy, or the path of a `juniperdock-lab` program.
     pub fn named(name: &str) -> Result<Side, String> {
         if name.contains('/') {
             let path = PathBuf::from(name);
             return if path.is_file() {
                 Ok(Side::Build(path))
             } else {
-                Err(format!("{name}: no such program"))
+                Err(format!("{name}: program not found"))
             };
         }
         Policy::named(name).map(Side::Here)
     }
 
+    /// Name of the policy or path of the program.
     pub fn name(&self) -> String {
         match self {
             Side::Here(policy) => policy.name().to_owned(),
@@ -44,13 +45,13 @@
         }
     }
 
-    /// Plays a scenario, by its name or file, with what was set in it.
+    /// Runs a scenario on this side.
     pub fn play(&self, scenario: &Scenario, seed: u64) -> Result<Outcome, String> {
         let path = match self {
             Side::Here(policy) => return Ok(simulate(scenario, seed, *policy, None, false)),
             Side::Build(path) => path,
         };
-        // Runs go on side by side: each has a file of its own.
+        // Runs are concurrent, so each one needs its own file.
         static NEXT: AtomicU64 = AtomicU64::new(0);
         let name =
             format!("juniperdock-lab-{}-{}.json", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
@@ -67,8 +68,9 @@
     }
 }
 
-/// Does all jobs on all cores, with a bar on standard error; results are in the order of the jobs.
-pub fn all<J: Sync, R: Send>(jobs: &[J], quiet: bool, work: impl Fn(&J) -> R + Sync) -> Vec<R> {
+/// Runs all jobs on all cores, with a progress bar on standard error unless `quiet`; results are in the order of the
+/// jobs.
+pub fn run_all<J: Sync, R: Send>(jobs: &[J], quiet: bool, work: impl Fn(&J) -> R + Sync) -> Vec<R> {
     let bar = if quiet { ProgressBar::hidden() } else { ProgressBar::new(jobs.len() as u64) };
     if let Ok(style) = ProgressStyle::with_template("{bar:30} {pos}/{len} runs, {eta} left") {
         bar.set_style(style);
@@ -83,7 +85,7 @@
     done
 }
 
-/// A mean with the interval that holds it in 95 of 100 cases, by bootstrap.
+/// A mean with its 95% confidence interval by bootstrap.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Interval {
     pub mean: f64,
@@ -92,7 +94,7 @@
 }
 
 impl Interval {
-    /// Of values that were drawn alike; chance by a seed.
+    /// Interval of identically distributed values; `seed` determines the resampling.
     pub fn of(values: &[f64], seed: u64) -> Interval {
         let n = values.len().max(1);
         let mean = values.iter().sum::<f64>() / n as f64;
@@ -107,26 +109,26 @@
         Interval { mean, low: at(0.025), high: at(0.975) }
     }
 
-    /// Whether the interval lies on one side of nothing.
-    pub fn tells(&self) -> bool {
+    /// Whether the interval excludes zero.
+    pub fn excludes_zero(&self) -> bool {
         self.low > 0.0 || self.high < 0.0
     }
 }
 
-/// Two sides on one scenario.
+/// Results of two sides on one scenario.
 #[derive(Clone, Debug, Serialize)]
 pub struct Pair {
     pub scenario: String,
     pub a: Interval,
     pub b: Interval,
-    /// B less A, seed by seed.
+    /// B minus A, paired by seed.
     pub difference: Interval,
     pub p99_ms: (f64, f64),
     pub rules_broken: (usize, usize),
     pub verdict: String,
 }
 
-/// Plays both sides on the same scenarios and seeds.
+/// Runs both sides on the same scenarios and seeds.
 pub fn compare(
     a: &Side,
     b: &Side,
@@ -138,7 +140,7 @@
         .iter()
         .flat_map(|scenario| seeds.iter().flat_map(move |&seed| [(scenario, seed, a), (scenario, seed, b)]))
         .collect();
-    let played = all(&jobs, quiet, |(scenario, seed, side)| side.play(scenario, *seed));
+    let played = run_all(&jobs, quiet, |(scenario, seed, side)| side.play(scenario, *seed));
     let played: Vec<Outcome> = played.into_iter().collect::<Result<_, _>>()?;
     let pairs = scenarios.iter().zip(played.chunks(2 * seeds.len())).map(|(scenario, runs)| {
         let side = |at: usize| runs.iter().skip(at).step_by(2).collect::<Vec<_>>();
@@ -152,7 +154,7 @@
         let broken = |runs: &[&Outcome]| runs.iter().filter(|run| !run.rules_kept()).count();
         let verdict = match () {
             () if seeds.len() < 2 => "one seed tells nothing",
-            () if !difference.tells() => "no difference seen",
+            () if !difference.excludes_zero() => "no difference seen",
             () if difference.mean > 0.0 => "B is better",
             () => "A is better",
         };
@@ -169,11 +171,11 @@
     Ok(pairs.collect())
 }
 
-/// The scenario with a field set to a value, both as they are written: `load.per_second`, `500`.
-pub fn with(scenario: &Scenario, field: &str, value: &str) -> Result<Scenario, String> {
+/// Returns the scenario with one field replaced; field and value are given as text: `load.per_second`, `500`.
+pub fn with_field(scenario: &Scenario, field: &str, value: &str) -> Result<Scenario, String> {
     let mut whole = serde_json::to_value(scenario).map_err(|e| e.to_string())?;
     let pointer = format!("/{}", field.replace(['.', '['], "/").replace(']', ""));
-    let at = whole.pointer_mut(&pointer).ok_or_else(|| format!("{field}: there is no such field"))?;
+    let at = whole.pointer_mut(&pointer).ok_or_else(|| format!("{field}: no such field"))?;
     *at = serde_json::from_str(value).unwrap_or_else(|_| value.into());
     let text = serde_json::to_string_pretty(&whole).map_err(|e| e.to_string())?;
     crate::scenario::read(&text).map_err(|faults| {
@@ -190,6 +192,7 @@
     pub rules_broken: usize,
 }
 
+/// Runs a scenario with a field set to each of the values in turn.
 pub fn sweep(
     side: &Side,
     scenario: &Scenario,
@@ -199,10 +202,10 @@
     quiet: bool,
 ) -> Result<Vec<Step>, String> {
     let scenarios: Vec<Scenario> =
-        values.iter().map(|value| with(scenario, field, value)).collect::<Result<_, _>>()?;
+        values.iter().map(|value| with_field(scenario, field, value)).collect::<Result<_, _>>()?;
     let jobs: Vec<_> = scenarios.iter().flat_map(|s| seeds.iter().map(move |&seed| (s, seed))).collect();
     let played: Vec<Outcome> =
-        all(&jobs, quiet, |(s, seed)| side.play(s, *seed)).into_iter().collect::<Result<_, _>>()?;
+        run_all(&jobs, quiet, |(s, seed)| side.play(s, *seed)).into_iter().collect::<Result<_, _>>()?;
     let steps = values.iter().zip(played.chunks(seeds.len())).map(|(value, runs)| Step {
         value: value.clone(),
         served: Interval::of(&runs.iter().map(|run| run.served).collect::<Vec<_>>(), 5),
@@ -212,19 +215,19 @@
     Ok(steps.collect())
 }
 
-/// A scenario that a search has found.
+/// A scenario found by a search.
 #[derive(Clone, Debug, Serialize)]
 pub struct Found {
     pub seed: u64,
     pub served: f64,
-    /// What the one that sees all reaches there.
+    /// The better of the share served by the `sees-all` policy and by the router.
     pub within_reach: f64,
     pub rules_broken: [usize; 5],
     pub scenario: Scenario,
 }
 
 impl Found {
-    /// What is lost; a broken rule is worse than anything else.
+    /// Share lost against `within_reach`; a violated rule counts as worse than any loss.
     fn loss(&self) -> f64 {
         let broken = self.rules_broken.iter().any(|&n| n > 0);
         if broken { 10.0 } else { self.within_reach - self.served }
@@ -238,8 +241,8 @@
     }
 }
 
-/// Draws a scenario: a fleet as that of the base, up to four troubles, a load near the base's.
-fn draw(base: &Scenario, seed: u64) -> Scenario {
+/// Draws a random scenario: the fleet of `base`, up to four faults, and a load near that of `base`.
+fn random_scenario(base: &Scenario, seed: u64) -> Scenario {
     let mut rng = Stream::of(seed, "search", 0);
     let mut scenario = base.clone();
     scenario.title = format!("found by seed {seed}");
@@ -305,37 +308,37 @@
     scenario
 }
 
-/// Looks for the scenario on which the router loses most against the one that sees all, or breaks a rule; then
-/// takes away whatever it can without losing much of that.
+/// Searches for the scenario on which the router loses most against the `sees-all` policy, or violates a rule; then
+/// minimizes that scenario as long as most of the loss remains.
 pub fn search(base: &Scenario, seed: u64, tries: usize, quiet: bool) -> Option<Found> {
     let seeds: Vec<u64> = (0..tries as u64).map(|i| seed.wrapping_mul(100_003).wrapping_add(i)).collect();
-    let found = all(&seeds, quiet, |&seed| Found::of(draw(base, seed), seed));
+    let found = run_all(&seeds, quiet, |&seed| Found::of(random_scenario(base, seed), seed));
     let worst = found.into_iter().max_by(|a, b| a.loss().total_cmp(&b.loss()))?;
     Some(shrink(worst))
 }
 
-/// Takes away troubles, then halves what is left, as long as four fifths of the loss remain.
+/// Removes faults, then halves durations and sizes, as long as four fifths of the loss remain.
 fn shrink(mut found: Found) -> Found {
-    let least = 0.8 * found.loss();
+    let min_loss = 0.8 * found.loss();
     loop {
         let scenario = &found.scenario;
         let without = (0..scenario.troubles.len()).map(|i| {
-            let mut less = scenario.clone();
-            less.troubles.remove(i);
-            less
+            let mut reduced = scenario.clone();
+            reduced.troubles.remove(i);
+            reduced
         });
         let shorter = (0..scenario.troubles.len()).filter(|&i| scenario.troubles[i].lasts_s > 0.5).map(|i| {
-            let mut less = scenario.clone();
-            less.troubles[i].lasts_s = (less.troubles[i].lasts_s * 5.0).round() / 10.0;
-            less
+            let mut reduced = scenario.clone();
+            reduced.troubles[i].lasts_s = (reduced.troubles[i].lasts_s * 5.0).round() / 10.0;
+            reduced
         });
         let smaller = [&scenario.fleet.fronts, &scenario.fleet.groups].into_iter().enumerate().filter_map(
             |(which, &n)| {
-                let mut less = scenario.clone();
-                let field = if which == 0 { &mut less.fleet.fronts } else { &mut less.fleet.groups };
+                let mut reduced = scenario.clone();
+                let field = if which == 0 { &mut reduced.fleet.fronts } else { &mut reduced.fleet.groups };
                 *field = n / 2;
-                less.load.per_second /= if which == 1 { 2.0 } else { 1.0 };
-                let text = serde_json::to_string(&less).ok()?;
+                reduced.load.per_second /= if which == 1 { 2.0 } else { 1.0 };
+                let text = serde_json::to_string(&reduced).ok()?;
                 (n > 1).then(|| crate::scenario::read(&text).ok())?
             },
         );
@@ -343,19 +346,19 @@
         let seed = found.seed;
         let next = candidates
             .into_par_iter()
-            .map(|less| Found::of(less, seed))
-            .find_first(|less| less.loss() >= least);
+            .map(|reduced| Found::of(reduced, seed))
+            .find_first(|reduced| reduced.loss() >= min_loss);
         match next {
-            Some(less) => found = less,
+            Some(reduced) => found = reduced,
             None => return found,
         }
     }
 }
 
-/// Scenarios by their names or files; the whole shelf where none is named.
+/// Finds scenarios by name or file; all built-in ones if no name is given.
 pub fn find_all(names: &[String]) -> Result<Vec<Scenario>, String> {
     if names.is_empty() {
-        return crate::scenario::SHELF.iter().map(|(name, _)| find(name)).collect();
+        return crate::scenario::BUILT_IN_SCENARIOS.iter().map(|(name, _)| find(name)).collect();
     }
     names.iter().map(|name| find(name)).collect()
 }
--- a/crates/lab/src/fronts.rs
+++ b/crates/lab/src/fronts.rs
@@ -1,5 +1,6 @@
-//! What decides for a front in simulated time: the router of this build, or a baseline. Baselines know the
-//! true roles, positions and states of members, which no real front does; they differ in whom they choose.
+//! Routing decisions of a front in simulated time: the router of this build, or a baseline policy. Baselines read
+//! the true roles, positions and states of members from the emulator, which a real front cannot do; they differ
+//! only in how they choose a member.
 
 use crate::scenario::Scenario;
 use juniperdock_emulator::{Entry, Out, Stream, Told, World};
@@ -9,30 +10,32 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-/// Any time; lives of fronts count from it.
-const UNIX: Duration = Duration::from_secs(1_790_000_000);
-/// As the operators' file has it where it does not say.
-const FELLOWS: Duration = Duration::from_millis(500);
-/// Handle of reminders that are no router's.
-const REMINDER: u64 = u64::MAX;
+/// Wall-clock time at which the simulation starts; incarnations of fronts are derived from it. The value is arbitrary.
+const SIMULATION_EPOCH: Duration = Duration::from_secs(1_790_000_000);
+/// Default period of the membership protocol in the operators' file.
+const MEMBERSHIP_PERIOD: Duration = Duration::from_millis(500);
+/// Handle of the membership timer; the router does not use this value.
+const MEMBERSHIP_TIMER: u64 = u64::MAX;
 
-/// Who decides.
+/// Routing policy of a front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
+    /// The router of this build.
     Router,
-    /// All to the primary.
+    /// Sends everything to the primary.
     Primary,
     Random,
     RoundRobin,
-    /// Least in hand from the same front.
+    /// Fewest submissions in flight from the same front.
     Least,
-    /// The one with less in hand of two drawn at random.
+    /// Of two members chosen at random, the one with fewer submissions in flight.
     TwoChoices,
-    /// The least full, as it truly is.
+    /// The member with the lowest actual load.
     SeesAll,
 }
 
 impl Policy {
+    /// All policies by name.
     pub const ALL: [(&'static str, Policy); 7] = [
         ("router", Policy::Router),
         ("primary", Policy::Primary),
@@ -43,6 +46,7 @@
         ("sees-all", Policy::SeesAll),
     ];
 
+    /// Parses the name of a policy.
     pub fn named(name: &str) -> Result<Policy, String> {
         let known = Policy::ALL.iter().find(|(known, _)| *known == name);
         known.map(|known| known.1).ok_or_else(|| {
@@ -56,37 +60,38 @@
     }
 }
 
-/// A router broken on purpose, so that an auditor has something to find.
+/// Defect that is injected into the router on purpose, to prove that the auditors detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
-    /// Now and then a final answer is not given.
+pub enum Defect {
+    /// Every third final answer is dropped.
     Answers,
     /// Once-only txns are submitted twice.
     Twice,
-    /// Drained members are sent more than others.
+    /// Txns are sent to drained members.
     Drains,
-    /// All goes to a member that has just started.
+    /// All txns of a group go to the member that started last.
     Cold,
-    /// Bounded reads go to the member furthest behind.
+    /// Reads go to the member with the highest lag.
     Stale,
 }
 
-impl Broken {
-    /// By the rule that is broken, from 1.
-    pub const ALL: [Broken; 5] =
-        [Broken::Answers, Broken::Twice, Broken::Drains, Broken::Cold, Broken::Stale];
+impl Defect {
+    /// In the order of the rules that they violate, starting with rule 1.
+    pub const ALL: [Defect; 5] =
+        [Defect::Answers, Defect::Twice, Defect::Drains, Defect::Cold, Defect::Stale];
 }
 
-/// One front.
+/// A simulated front.
 pub enum Front {
-    Router(Box<Routed>),
-    Plain(Box<Plain>),
+    Router(Box<RouterFront>),
+    Baseline(Box<Baseline>),
 }
 
 impl Front {
+    /// Creates the front with index `front` at the current time of `world`.
     pub fn new(
         policy: Policy,
-        broken: Option<Broken>,
+        defect: Option<Defect>,
         scenario: &Scenario,
         seed: u64,
         front: usize,
@@ -96,109 +101,120 @@
         if policy == Policy::Router {
             let fronts = scenario.fleet.fronts;
             let zone = world.shape().fronts[front];
-            let standing = FrontInfo { index: front, fronts, zone };
+            let info = FrontInfo { index: front, fronts, zone };
             let own = Stream::of(seed, "router", front).number();
-            let mut router = Router::new(own, standing, types, scenario.cold());
+            let mut router = Router::new(own, info, types, scenario.cold());
             router.set_max_submissions(10);
             router.allow_cancelling();
             router.allow_probes(true);
             router.set_max_retry_after(Duration::from_millis(500));
             let ids = Ids {
                 front,
-                born: world.now(),
-                meets: Duration::MAX,
+                started_at: world.now(),
+                next_membership_timeout: Duration::MAX,
                 txns: Vec::new(),
                 of: HashMap::new(),
                 free: Vec::new(),
-                meant: HashMap::new(),
+                intended: HashMap::new(),
                 extra: HashMap::new(),
             };
             let (stopped, cold) = (BTreeSet::new(), None);
-            let fellows = scenario.fleet.fellows.then(|| {
+            let membership = scenario.fleet.fellows.then(|| {
                 let keys = Keys::parse(&["5a".repeat(32)]).expect("a good key");
-                let life = incarnation_at(UNIX + world.now());
-                let seed = Stream::of(seed, "fellows", front).number() ^ u64::from(life);
+                let incarnation = incarnation_at(SIMULATION_EPOCH + world.now());
+                let seed = Stream::of(seed, "fellows", front).number() ^ u64::from(incarnation);
                 Box::new(Membership::new(
                     front,
                     fronts,
-                    life,
+                    incarnation,
                     seed,
                     NEWEST_VERSION,
-                    Timing::with_period(FELLOWS),
+                    Timing::with_period(MEMBERSHIP_PERIOD),
                     keys,
                 ))
             });
-            return Front::Router(Box::new(Routed { router, ids, broken, stopped, cold, turn: 0, fellows }));
+            return Front::Router(Box::new(RouterFront {
+                router,
+                ids,
+                defect,
+                stopped,
+                cold,
+                counter: 0,
+                membership,
+            }));
         }
         let rng = Stream::of(seed, "baseline", front);
-        let (in_hand, cold, stopped) = (HashMap::new(), HashMap::new(), BTreeSet::new());
-        Front::Plain(Box::new(Plain {
+        let (in_flight, cold, stopped) = (HashMap::new(), HashMap::new(), BTreeSet::new());
+        Front::Baseline(Box::new(Baseline {
             policy,
             front,
             types,
             rng,
-            in_hand,
+            in_flight,
             cold,
             stopped,
-            tries: HashMap::new(),
-            turn: 0,
+            pending: HashMap::new(),
+            counter: 0,
         }))
     }
 
-    /// Takes in what has come, and acts.
-    pub fn take(&mut self, out: &Out, world: &mut World) {
+    /// Handles an event of the emulator.
+    pub fn handle(&mut self, out: &Out, world: &mut World) {
         match self {
-            Front::Router(front) => front.take(out, world),
-            Front::Plain(front) => front.take(out, world),
+            Front::Router(front) => front.handle(out, world),
+            Front::Baseline(front) => front.handle(out, world),
         }
     }
 
-    /// Its part among the fronts, if it has one.
-    pub fn fellows(&self) -> Option<&Membership> {
+    /// The front's membership state; `None` where the membership protocol is off.
+    pub fn membership(&self) -> Option<&Membership> {
         match self {
-            Front::Router(front) => front.fellows.as_deref(),
-            Front::Plain(_) => None,
+            Front::Router(front) => front.membership.as_deref(),
+            Front::Baseline(_) => None,
         }
     }
 
-    /// Whom the front takes for the primary of a group, if it tells.
-    pub fn believes(&self, group: usize) -> Option<Option<usize>> {
+    /// The member that the front considers primary of the group; the outer `None` if the policy tracks no primary.
+    pub fn known_primary(&self, group: usize) -> Option<Option<usize>> {
         match self {
             Front::Router(front) => Some(front.router.primary_tracker().primary(group)),
-            Front::Plain(_) => None,
+            Front::Baseline(_) => None,
         }
     }
 }
 
-/// Names of the world and indices of the router.
+/// Maps txn ids of the emulator to indices of the router, and keeps state per front.
 struct Ids {
     front: usize,
-    born: Duration,
-    /// When its part among the fronts is to be looked at next.
-    meets: Duration,
+    started_at: Duration,
+    /// Time at which the membership timer fires next.
+    next_membership_timeout: Duration,
     txns: Vec<u32>,
     of: HashMap<u32, usize>,
     free: Vec<usize>,
-    /// Where the router takes a submission to be that was sent elsewhere.
-    meant: HashMap<u32, usize>,
-    /// Ends that the router is not to hear of: of second submissions that it knows nothing of.
+    /// For submissions that a defect sent elsewhere: the member that the router had chosen.
+    intended: HashMap<u32, usize>,
+    /// Per txn, the number of completions to hide from the router: they belong to duplicate submissions that a
+    /// defect made behind its back.
     extra: HashMap<u32, u32>,
 }
 
-pub struct Routed {
+/// A front that is driven by the router of this build.
+pub struct RouterFront {
     router: Router,
     ids: Ids,
-    broken: Option<Broken>,
+    defect: Option<Defect>,
     stopped: BTreeSet<usize>,
     cold: Option<usize>,
-    turn: u32,
-    fellows: Option<Box<Membership>>,
+    counter: u32,
+    membership: Option<Box<Membership>>,
 }
 
-/// Sends between fronts go through the world; what has changed is looked up where it is wanted.
-struct Letters<'a>(usize, &'a mut World);
+/// Sends datagrams between fronts through the emulator. Membership events are ignored: the state is read
+/// where it is needed.
+struct DatagramSender<'a>(usize, &'a mut World);
 
-impl juniperdock_membership::Host for Letters<'_> {
+impl juniperdock_membership::Host for DatagramSender<'_> {
     fn send(&mut self, to: usize, datagram: &[u8]) {
         self.1.share(self.0, to, datagram);
     }
@@ -206,39 +222,39 @@
     fn event(&mut self, _: juniperdock_membership::Event) {}
 }
 
-struct Hands<'a> {
+struct RouterHost<'a> {
     ids: &'a mut Ids,
     world: &'a mut World,
-    broken: Option<Broken>,
+    defect: Option<Defect>,
     stopped: &'a BTreeSet<usize>,
     cold: Option<usize>,
-    turn: &'a mut u32,
+    counter: &'a mut u32,
 }
 
-impl Hands<'_> {
-    /// Where a router broken on purpose would send instead.
-    fn astray(&self, txn: u32, member: usize) -> usize {
+impl RouterHost<'_> {
+    /// The member to which the injected defect redirects the txn; `member` if it does not apply.
+    fn redirected(&self, txn: u32, member: usize) -> usize {
         let group = self.world.group_of(member);
         let mut all = self.world.members_of(group).iter().copied();
-        let instead = match self.broken {
-            Some(Broken::Drains) => all.find(|m| self.stopped.contains(m)),
-            Some(Broken::Cold) => self.cold.filter(|&m| self.world.group_of(m) == group),
-            Some(Broken::Stale) if !self.world.writes(txn) => all.max_by_key(|&m| self.world.age(m)),
+        let instead = match self.defect {
+            Some(Defect::Drains) => all.find(|m| self.stopped.contains(m)),
+            Some(Defect::Cold) => self.cold.filter(|&m| self.world.group_of(m) == group),
+            Some(Defect::Stale) if !self.world.writes(txn) => all.max_by_key(|&m| self.world.age(m)),
             _ => None,
         };
         instead.unwrap_or(member)
     }
 }
 
-impl Host for Hands<'_> {
+impl Host for RouterHost<'_> {
     fn send(&mut self, txn: usize, member: usize, _until: Duration) {
         let (front, id) = (self.ids.front, self.ids.txns[txn]);
-        let to = self.astray(id, member);
+        let to = self.redirected(id, member);
         if to != member {
-            self.ids.meant.insert(id, member);
+            self.ids.intended.insert(id, member);
         }
         self.world.submit(front, id, to);
-        if self.broken == Some(Broken::Twice) {
+        if self.defect == Some(Defect::Twice) {
             *self.ids.extra.entry(id).or_default() += 1;
             self.world.submit(front, id, to);
         }
@@ -249,15 +265,15 @@
     }
 
     fn decline(&mut self, txn: usize, come_back: Option<Duration>) {
-        *self.turn += 1;
-        if self.broken != Some(Broken::Answers) || !self.turn.is_multiple_of(3) {
+        *self.counter += 1;
+        if self.defect != Some(Defect::Answers) || !self.counter.is_multiple_of(3) {
             self.world.answer(self.ids.front, self.ids.txns[txn], Told::Declined, come_back);
         }
     }
 
     fn answer_unknown(&mut self, txn: usize) {
-        *self.turn += 1;
-        if self.broken != Some(Broken::Answers) || !self.turn.is_multiple_of(3) {
+        *self.counter += 1;
+        if self.defect != Some(Defect::Answers) || !self.counter.is_multiple_of(3) {
             self.world.answer(self.ids.front, self.ids.txns[txn], Told::Unknown, None);
         }
     }
@@ -274,39 +290,41 @@
     }
 
     fn set_timer(&mut self, at: Duration, handle: u64) {
-        self.world.remind(self.ids.front, self.ids.born + at, handle);
+        self.world.remind(self.ids.front, self.ids.started_at + at, handle);
     }
 
     fn subscribe_to_member_list(&mut self) {}
 }
 
-impl Routed {
-    /// What concerns the other fronts; true if it concerns nothing else.
-    fn meet(&mut self, out: &Out, world: &mut World) -> bool {
-        let (front, born) = (self.ids.front, self.ids.born);
-        let Some(fellows) = self.fellows.as_mut() else { return false };
-        let now = world.now().saturating_sub(born);
-        let mut letters = Letters(front, world);
+impl RouterFront {
+    /// Handles the part of an event that concerns membership; returns true if the event is then fully handled.
+    fn handle_membership_event(&mut self, out: &Out, world: &mut World) -> bool {
+        let (front, started_at) = (self.ids.front, self.ids.started_at);
+        let Some(core) = self.membership.as_mut() else { return false };
+        let now = world.now().saturating_sub(started_at);
+        let mut sender = DatagramSender(front, world);
         match out {
-            Out::Born { .. } | Out::Due { handle: REMINDER, .. } => fellows.handle_timeout(now, &mut letters),
-            Out::Shared { from, bytes, .. } => drop(fellows.handle_datagram(now, *from, bytes, &mut letters)),
+            Out::Born { .. } | Out::Due { handle: MEMBERSHIP_TIMER, .. } => {
+                core.handle_timeout(now, &mut sender)
+            }
+            Out::Shared { from, bytes, .. } => drop(core.handle_datagram(now, *from, bytes, &mut sender)),
             _ => return false,
         }
-        let next = fellows.next_timeout();
-        if next != self.ids.meets || now >= self.ids.meets {
-            self.ids.meets = next;
-            world.remind(front, born.saturating_add(next), REMINDER);
+        let next = core.next_timeout();
+        if next != self.ids.next_membership_timeout || now >= self.ids.next_membership_timeout {
+            self.ids.next_membership_timeout = next;
+            world.remind(front, started_at.saturating_add(next), MEMBERSHIP_TIMER);
         }
         !matches!(out, Out::Born { .. })
     }
 
-    fn take(&mut self, out: &Out, world: &mut World) {
-        if self.meet(out, world) {
+    fn handle(&mut self, out: &Out, world: &mut World) {
+        if self.handle_membership_event(out, world) {
             return;
         }
-        let now = world.now().saturating_sub(self.ids.born);
-        let born = self.ids.born;
-        let at = |at: Option<Duration>| at.and_then(|at| at.checked_sub(born));
+        let now = world.now().saturating_sub(self.ids.started_at);
+        let started_at = self.ids.started_at;
+        let at = |at: Option<Duration>| at.and_then(|at| at.checked_sub(started_at));
         match out {
             Out::Listed { entry, .. } if entry.state != ListedState::Up => {
                 self.stopped.insert(entry.member);
@@ -336,29 +354,30 @@
             Out::Left { txn, .. } | Out::Ended { txn, .. } => self.ids.of.get(txn).copied(),
             _ => None,
         };
-        let Routed { router, ids, broken, stopped, cold, turn, .. } = self;
-        let mut hands = Hands { ids, world, broken: *broken, stopped, cold: *cold, turn };
-        let up_for =
-            |entry: &Entry, now: Duration| entry.started.map(|started| (born + now).saturating_sub(started));
+        let RouterFront { router, ids, defect, stopped, cold, counter, .. } = self;
+        let mut host = RouterHost { ids, world, defect: *defect, stopped, cold: *cold, counter };
+        let up_for = |entry: &Entry, now: Duration| {
+            entry.started.map(|started| (started_at + now).saturating_sub(started))
+        };
         match (out, known) {
             (Out::Born { known, .. }, _) => {
-                let mut named = Vec::with_capacity(known.len());
+                let mut listed = Vec::with_capacity(known.len());
                 for e in known {
                     router.member_listed(now, e.member, e.group, e.zone, e.state, e.primary, up_for(e, now));
-                    named.push(e.member);
+                    listed.push(e.member);
                 }
-                router.list_completed(now, Some(&named), &mut hands);
+                router.list_completed(now, Some(&listed), &mut host);
             }
             (Out::Listed { entry: e, .. }, _) => {
                 router.member_listed(now, e.member, e.group, e.zone, e.state, e.primary, up_for(e, now));
-                router.list_completed(now, None, &mut hands);
+                router.list_completed(now, None, &mut host);
             }
             (&Out::Arrived { kind, group, left, retried, .. }, Some(index)) => {
-                router.txn_arrived(now, index, kind, group, left, retried, None, None, None, 0, &mut hands);
+                router.txn_arrived(now, index, kind, group, left, retried, None, None, None, 0, &mut host);
             }
-            (Out::Left { .. }, Some(index)) => router.client_left(now, index, &mut hands),
+            (Out::Left { .. }, Some(index)) => router.client_left(now, index, &mut host),
             (&Out::Ended { txn, member, ending, role, position, took, over, .. }, Some(index)) => {
-                let member = hands.ids.meant.remove(&txn).unwrap_or(member);
+                let member = host.ids.intended.remove(&txn).unwrap_or(member);
                 router.submission_ended(
                     now,
                     index,
@@ -368,36 +387,37 @@
                     role,
                     at(position),
                     took,
-                    &mut hands,
+                    &mut host,
                 );
             }
             (&Out::Probed { member, ending, report, .. }, _) => {
                 let report = juniperdock_router::host::Report { position: at(report.position), ..report };
-                router.probe_ended(now, member, ending, report, &mut hands);
+                router.probe_ended(now, member, ending, report, &mut host);
             }
-            (&Out::Due { handle, .. }, _) => router.timer_fired(now, handle, &mut hands),
+            (&Out::Due { handle, .. }, _) => router.timer_fired(now, handle, &mut host),
             _ => {}
         }
     }
 }
 
-/// A baseline.
-pub struct Plain {
+/// A front that is driven by a baseline policy.
+pub struct Baseline {
     policy: Policy,
     front: usize,
     types: Vec<TxnType>,
     rng: Stream,
-    in_hand: HashMap<usize, usize>,
-    /// Since when a member is cold, and who drains or is gone.
+    in_flight: HashMap<usize, usize>,
+    /// Start time of each member that was listed with one.
     cold: HashMap<usize, Duration>,
+    /// Members that are draining or gone.
     stopped: BTreeSet<usize>,
-    tries: HashMap<u32, Trying>,
-    turn: usize,
+    pending: HashMap<u32, PendingTxn>,
+    counter: usize,
 }
 
-/// A txn at a baseline.
+/// A txn that a baseline is processing.
 #[derive(Clone, Copy)]
-struct Trying {
+struct PendingTxn {
     kind: usize,
     group: usize,
     expiry: Duration,
@@ -405,13 +425,13 @@
     may_have_run: bool,
 }
 
-/// Submissions of one txn.
-const MOST: u32 = 3;
-/// What is allowed for the way when data is chosen by its true age.
-const WAY: Duration = Duration::from_millis(20);
+/// Maximum number of submissions per txn.
+const MAX_SUBMISSIONS: u32 = 3;
+/// Allowance for transit time when a member is chosen by the true age of its data.
+const TRANSIT_ALLOWANCE: Duration = Duration::from_millis(20);
 
-impl Plain {
-    fn take(&mut self, out: &Out, world: &mut World) {
+impl Baseline {
+    fn handle(&mut self, out: &Out, world: &mut World) {
         match *out {
             Out::Listed { ref entry, .. } => {
                 if entry.state == ListedState::Up {
@@ -425,15 +445,15 @@
             }
             Out::Arrived { txn, kind, group, left, .. } => {
                 let expiry = world.now() + left;
-                self.tries.insert(txn, Trying { kind, group, expiry, sent: 0, may_have_run: false });
+                self.pending.insert(txn, PendingTxn { kind, group, expiry, sent: 0, may_have_run: false });
                 self.send(txn, world);
             }
-            Out::Left { txn, .. } => drop(self.tries.remove(&txn)),
+            Out::Left { txn, .. } => drop(self.pending.remove(&txn)),
             Out::Ended { txn, member, ending, over, .. } => {
-                self.in_hand.entry(member).and_modify(|n| *n -= 1);
+                self.in_flight.entry(member).and_modify(|n| *n -= 1);
                 if over {
-                    self.tries.remove(&txn);
-                } else if let Some(at) = self.tries.get_mut(&txn) {
+                    self.pending.remove(&txn);
+                } else if let Some(at) = self.pending.get_mut(&txn) {
                     at.may_have_run |= !ending.never_ran();
                     self.send(txn, world);
                 }
@@ -443,17 +463,19 @@
     }
 
     fn send(&mut self, txn: u32, world: &mut World) {
-        let Some(&Trying { kind, group, expiry, sent, may_have_run }) = self.tries.get(&txn) else { return };
-        let harmless = !may_have_run || self.types[kind].effect == Effect::Repeatable;
-        let again = harmless && sent < MOST && world.now() < expiry;
-        if let Some(to) = again.then(|| self.choose(kind, group, world)).flatten() {
-            self.tries.insert(txn, Trying { kind, group, expiry, sent: sent + 1, may_have_run });
-            *self.in_hand.entry(to).or_default() += 1;
+        let Some(&PendingTxn { kind, group, expiry, sent, may_have_run }) = self.pending.get(&txn) else {
+            return;
+        };
+        let safe_to_resubmit = !may_have_run || self.types[kind].effect == Effect::Repeatable;
+        let resubmit = safe_to_resubmit && sent < MAX_SUBMISSIONS && world.now() < expiry;
+        if let Some(to) = resubmit.then(|| self.choose(kind, group, world)).flatten() {
+            self.pending.insert(txn, PendingTxn { kind, group, expiry, sent: sent + 1, may_have_run });
+            *self.in_flight.entry(to).or_default() += 1;
             world.submit(self.front, txn, to);
         } else {
-            self.tries.remove(&txn);
-            let told = if harmless { Told::Declined } else { Told::Unknown };
-            world.answer(self.front, txn, told, Some(Duration::from_millis(100)));
+            self.pending.remove(&txn);
+            let answer = if safe_to_resubmit { Told::Declined } else { Told::Unknown };
+            world.answer(self.front, txn, answer, Some(Duration::from_millis(100)));
         }
     }
 
@@ -464,29 +486,32 @@
             return primary;
         }
         let warm_up = world.shape().cold.warm_up;
-        let fit = |&m: &usize| {
+        let is_eligible = |&m: &usize| {
             let fresh = match self.types[kind].consistency {
-                Consistency::Bounded(bound) => world.age(m).is_some_and(|age| age + WAY < bound),
+                Consistency::Bounded(bound) => {
+                    world.age(m).is_some_and(|age| age + TRANSIT_ALLOWANCE < bound)
+                }
                 _ => true,
             };
             let warm = self.cold.get(&m).is_none_or(|&since| since + warm_up < world.now());
             fresh && warm && !self.stopped.contains(&m) && world.reachable(self.front, m)
         };
-        let fits: Vec<usize> = world.members_of(group).iter().copied().filter(fit).collect();
-        if fits.is_empty() {
+        let eligible: Vec<usize> = world.members_of(group).iter().copied().filter(is_eligible).collect();
+        if eligible.is_empty() {
             return primary;
         }
-        let hand = |m: usize| self.in_hand.get(&m).copied().unwrap_or_default();
-        self.turn += 1;
+        let in_flight_at = |m: usize| self.in_flight.get(&m).copied().unwrap_or_default();
+        self.counter += 1;
         Some(match self.policy {
-            Policy::Random => fits[self.rng.below(fits.len())],
-            Policy::RoundRobin => fits[self.turn % fits.len()],
+            Policy::Random => eligible[self.rng.below(eligible.len())],
+            Policy::RoundRobin => eligible[self.counter % eligible.len()],
             Policy::TwoChoices => {
-                let (a, b) = (fits[self.rng.below(fits.len())], fits[self.rng.below(fits.len())]);
-                if hand(b) < hand(a) { b } else { a }
+                let (a, b) =
+                    (eligible[self.rng.below(eligible.len())], eligible[self.rng.below(eligible.len())]);
+                if in_flight_at(b) < in_flight_at(a) { b } else { a }
             }
-            Policy::SeesAll => fits.iter().copied().min_by_key(|&m| (world.held(m), m))?,
-            _ => fits.iter().copied().min_by_key(|&m| (hand(m), m))?,
+            Policy::SeesAll => eligible.iter().copied().min_by_key(|&m| (world.held(m), m))?,
+            _ => eligible.iter().copied().min_by_key(|&m| (in_flight_at(m), m))?,
         })
     }
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,5 +1,5 @@
 //! The laboratory: scenarios, played in simulated time or on sockets, compared, searched and reported.
-//! Figures of simulated runs are called so everywhere. `docs/laboratory.md` says what is modelled.
+//! Figures of simulated runs are always labelled as simulated. `docs/laboratory.md` describes what is modelled.
 
 pub mod circle;
 pub mod experiment;
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,5 +1,5 @@
-//! The load tool: an open loop against any front. Txns are due at times that were drawn before; each counts
-//! from when it was due, however late it could be sent.
+//! The load tool: an open-loop load generator for any front. Txns are due at times that are drawn in advance; latency
+//! counts from the due time, however late a txn could be sent.
 
 use crate::scenario::{Load, Reads};
 use hdrhistogram::Histogram;
@@ -11,37 +11,38 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Nothing comes from a front for so long after a txn's time: it has stopped answering.
-const SILENT: Duration = Duration::from_secs(2);
+/// A front that sends nothing for this long after a txn's time counts as not answering.
+const NO_ANSWER_AFTER: Duration = Duration::from_secs(2);
 
-/// What was seen.
+/// Results of a load run.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Seen {
+pub struct Results {
     pub due: usize,
     pub sent: usize,
     pub committed: usize,
     pub declined: usize,
     pub unknown: usize,
     pub failed: usize,
-    /// Without an answer, or the connection ended.
+    /// No answer came, or the connection ended.
     pub unanswered: usize,
-    /// Never sent: the front could not be reached.
+    /// Never sent because the front could not be reached.
     pub unsent: usize,
     pub retries: usize,
     pub p50_ms: f64,
     pub p99_ms: f64,
     pub p999_ms: f64,
     pub most_ms: f64,
-    /// How late the tool itself was at most: figures of a tool that can't keep up tell nothing.
+    /// Maximum delay of the tool itself in sending; the figures are meaningless if the tool cannot keep up.
     pub late_ms: f64,
     pub lasted_s: f64,
-    /// Why it ended before its time.
+    /// Reason why the run ended early.
     pub stopped: Option<String>,
 }
 
-/// Notes something among what was seen.
-type Note<'a> = &'a dyn Fn(&mut (Seen, Histogram<u64>));
+/// An update of the results.
+type Update<'a> = &'a dyn Fn(&mut (Results, Histogram<u64>));
 
+/// A scheduled txn.
 struct Due {
     at: Duration,
     kind: usize,
@@ -49,7 +50,7 @@
     mark: u64,
 }
 
-/// Loads a front for so long with so many connections; `progress` hears of it every second.
+/// Loads a front for `lasts` over `connections` connections; `progress` is called with interim results every 200 ms.
 pub fn load(
     at: SocketAddr,
     load: &Load,
@@ -57,21 +58,32 @@
     lasts: Duration,
     connections: usize,
     seed: u64,
-    progress: &(dyn Fn(&Seen) + Sync),
-) -> Seen {
+    progress: &(dyn Fn(&Results) + Sync),
+) -> Results {
     let due = schedule(load, groups, lasts, seed);
     let (next, stop) = (AtomicUsize::new(0), AtomicBool::new(false));
-    let seen = Mutex::new((
-        Seen { due: due.len(), ..Seen::default() },
-        Histogram::<u64>::new_with_bounds(1, 600_000_000, 3).expect("good bounds"),
+    let results = Mutex::new((
+        Results { due: due.len(), ..Results::default() },
+        Histogram::<u64>::new_with_bounds(1, 600_000_000, 3).expect("valid bounds"),
     ));
     let begun = Instant::now();
-    let silent = AtomicUsize::new(0);
+    let unanswered_in_a_row = AtomicUsize::new(0);
     std::thread::scope(|scope| {
-        let (due, next, stop, seen, silent) = (&due[..], &next, &stop, &seen, &silent);
+        let (due, next, stop, results, unanswered_in_a_row) =
+            (&due[..], &next, &stop, &results, &unanswered_in_a_row);
         for worker in 0..connections.max(1) {
             scope.spawn(move || {
-                work(at, load, due, next, stop, seen, silent, begun, Stream::of(seed, "load", worker))
+                run_worker(
+                    at,
+                    load,
+                    due,
+                    next,
+                    stop,
+                    results,
+                    unanswered_in_a_row,
+                    begun,
+                    Stream::of(seed, "load", worker),
+                )
             });
         }
         while begun.elapsed() < lasts + Duration::from_secs(60) && !stop.load(Ordering::Relaxed) {
@@ -79,25 +91,26 @@
             if next.load(Ordering::Relaxed) >= due.len() + connections.max(1) {
                 break;
             }
-            if let Ok(seen) = seen.lock() {
-                progress(&seen.0);
+            if let Ok(results) = results.lock() {
+                progress(&results.0);
             }
-            if silent.load(Ordering::Relaxed) > 3 * connections.max(1) {
+            if unanswered_in_a_row.load(Ordering::Relaxed) > 3 * connections.max(1) {
                 stop.store(true, Ordering::Relaxed);
-                if let Ok(mut seen) = seen.lock() {
-                    seen.0.stopped = Some("the front does not answer".to_owned());
+                if let Ok(mut results) = results.lock() {
+                    results.0.stopped = Some("the front does not answer".to_owned());
                 }
             }
         }
         stop.store(true, Ordering::Relaxed);
     });
-    let (mut seen, times) = seen.into_inner().unwrap_or_else(PoisonError::into_inner);
+    let (mut results, times) = results.into_inner().unwrap_or_else(PoisonError::into_inner);
     let at = |percent: f64| {
         if times.is_empty() { 0.0 } else { times.value_at_percentile(percent) as f64 / 1000.0 }
     };
-    (seen.p50_ms, seen.p99_ms, seen.p999_ms, seen.most_ms) = (at(50.0), at(99.0), at(99.9), at(100.0));
-    seen.lasted_s = begun.elapsed().as_secs_f64();
-    seen
+    (results.p50_ms, results.p99_ms, results.p999_ms, results.most_ms) =
+        (at(50.0), at(99.0), at(99.9), at(100.0));
+    results.lasted_s = begun.elapsed().as_secs_f64();
+    results
 }
 
 fn schedule(load: &Load, groups: &[u64], lasts: Duration, seed: u64) -> Vec<Due> {
@@ -128,7 +141,7 @@
     }
 }
 
-/// The statement of a txn, as clients of the front's protocol write it.
+/// The statement of a txn in the form that the front's protocol expects.
 pub fn statement(
     name: &str,
     write: bool,
@@ -138,30 +151,30 @@
     group: u64,
     retried: bool,
 ) -> String {
-    let again = if retried { ",r=1" } else { "" };
+    let retry_field = if retried { ",r=1" } else { "" };
     let rest = if write {
         "INSERT INTO rows (handle, blob) VALUES ('7f3a', '\\x9f03') RETURNING blob"
     } else {
         "SELECT blob FROM rows WHERE handle = '7f3a'"
     };
-    format!("/* id={id},c={name},d={left_ms},k={mark:016x},cluster={group}{again} */ {rest}")
+    format!("/* id={id},c={name},d={left_ms},k={mark:016x},cluster={group}{retry_field} */ {rest}")
 }
 
-fn work(
+fn run_worker(
     at: SocketAddr,
     load: &Load,
     due: &[Due],
     next: &AtomicUsize,
     stop: &AtomicBool,
-    seen: &Mutex<(Seen, Histogram<u64>)>,
-    silent: &AtomicUsize,
+    results: &Mutex<(Results, Histogram<u64>)>,
+    unanswered_in_a_row: &AtomicUsize,
     begun: Instant,
     mut rng: Stream,
 ) {
     let mut client: Option<Client> = None;
-    let note = |what: Note| {
-        if let Ok(mut seen) = seen.lock() {
-            what(&mut seen);
+    let update = |what: Update| {
+        if let Ok(mut results) = results.lock() {
+            what(&mut results);
         }
     };
     loop {
@@ -174,52 +187,52 @@
         let expiry = Duration::from_millis(kind.expiry_ms).mul_f64(patience);
         for attempt in 0..=load.retries {
             if client.is_none() {
-                client = Client::open_within(at, SILENT);
+                client = Client::open_within(at, NO_ANSWER_AFTER);
             }
             let Some(open) = client.as_mut() else {
-                silent.fetch_add(1, Ordering::Relaxed);
-                note(&|seen| seen.0.unsent += usize::from(attempt == load.retries));
+                unanswered_in_a_row.fetch_add(1, Ordering::Relaxed);
+                update(&|results| results.0.unsent += usize::from(attempt == load.retries));
                 std::thread::sleep(Duration::from_millis(20));
                 continue;
             };
-            let _ = open.stream.set_read_timeout(Some(expiry + SILENT));
+            let _ = open.stream.set_read_timeout(Some(expiry + NO_ANSWER_AFTER));
             let id = format!("{:016x}", rng.number());
             let write = kind.reads == Reads::Write;
             let text =
                 statement(&kind.name, write, &id, expiry.as_millis(), txn.mark, txn.group, attempt > 0);
             let reply = if open.tell(&text) { open.reply() } else { Default::default() };
             let (code, value) = (reply.code.as_deref(), reply.value.is_some());
-            let gone = reply.last != b'Z';
-            if gone {
+            let disconnected = reply.last != b'Z';
+            if disconnected {
                 client = None;
-                silent.fetch_add(1, Ordering::Relaxed);
+                unanswered_in_a_row.fetch_add(1, Ordering::Relaxed);
             } else {
-                silent.store(0, Ordering::Relaxed);
+                unanswered_in_a_row.store(0, Ordering::Relaxed);
             }
             let declined = matches!(code, Some("53300" | "57P03"));
-            let again = declined && attempt < load.retries && !stop.load(Ordering::Relaxed);
-            note(&|(seen, times)| {
-                seen.sent += usize::from(attempt == 0);
-                seen.retries += usize::from(attempt > 0);
-                seen.late_ms = seen.late_ms.max(if attempt == 0 { late } else { 0.0 });
-                seen.committed += usize::from(value);
-                seen.declined += usize::from(declined && !again);
-                seen.unknown += usize::from(code == Some("40003"));
-                seen.failed += usize::from(!value && !declined && code.is_some() && code != Some("40003"));
-                seen.unanswered += usize::from(gone && !value && code.is_none());
+            let will_retry = declined && attempt < load.retries && !stop.load(Ordering::Relaxed);
+            update(&|(results, times)| {
+                results.sent += usize::from(attempt == 0);
+                results.retries += usize::from(attempt > 0);
+                results.late_ms = results.late_ms.max(if attempt == 0 { late } else { 0.0 });
+                results.committed += usize::from(value);
+                results.declined += usize::from(declined && !will_retry);
+                results.unknown += usize::from(code == Some("40003"));
+                results.failed += usize::from(!value && !declined && code.is_some() && code != Some("40003"));
+                results.unanswered += usize::from(disconnected && !value && code.is_none());
                 if value {
                     times.saturating_record(
                         (begun.elapsed().saturating_sub(txn.at).as_micros() as u64).max(1),
                     );
                 }
             });
-            if !again {
+            if !will_retry {
                 break;
             }
-            let told =
+            let retry_after =
                 reply.detail.and_then(|ms| ms.parse().ok()).map_or(Duration::ZERO, Duration::from_millis);
             let back_off = load.back_off_ms.map(|ms| Duration::from_secs_f64(ms / 1000.0));
-            std::thread::sleep(rng.span((back_off[0], back_off[1])).max(told));
+            std::thread::sleep(rng.span((back_off[0], back_off[1])).max(retry_after));
         }
     }
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,11 +1,11 @@
-//! `juniperdock-lab`: plays scenarios, compares, searches, reports, loads.
+//! `juniperdock-lab`: runs, compares and searches scenarios, writes reports, and generates load.
 
 use clap::{Parser, Subcommand};
 use juniperdock_emulator::RULES;
 use juniperdock_lab::experiment::{self, Side};
 use juniperdock_lab::fronts::Policy;
 use juniperdock_lab::measure::Outcome;
-use juniperdock_lab::scenario::{self, SHELF, Scenario, find};
+use juniperdock_lab::scenario::{self, BUILT_IN_SCENARIOS, Scenario, find};
 use juniperdock_lab::simulate::simulate;
 use juniperdock_lab::{circle, fleet, load, offices, prove, report, request_logs, scale, sockets, upgrade};
 use std::io::IsTerminal;
@@ -14,47 +14,47 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// The laboratory: scenarios in simulated time and on sockets.
+/// Laboratory: runs scenarios in simulated time and on sockets.
 #[derive(Parser)]
 #[command(name = "juniperdock-lab", version, about)]
-struct Words {
+struct Cli {
     #[command(subcommand)]
-    what: What,
+    what: Command,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Lists the scenarios that come with the laboratory.
+enum Command {
+    /// List the built-in scenarios.
     Scenarios,
-    /// Checks a scenario's file; every fault is told with line and field.
+    /// Check a scenario file; errors are reported with line and field.
     Check { file: String },
-    /// Prints the schema of scenarios.
+    /// Print the JSON schema of scenario files.
     Schema,
-    /// Plays a scenario in simulated time.
+    /// Run a scenario in simulated time.
     Run {
         scenario: String,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Who decides: router, primary, random, round-robin, least, two-choices, sees-all.
+        /// Routing policy: router, primary, random, round-robin, least, two-choices, sees-all.
         #[arg(long, default_value = "router", value_parser = Policy::named)]
         policy: Policy,
-        /// A field and its value, such as load.per_second=500.
+        /// Override a field, for example load.per_second=500.
         #[arg(long, value_name = "FIELD=VALUE")]
         set: Vec<String>,
         #[arg(long)]
         json: bool,
-        /// Writes a page of HTML, too.
+        /// Also write an HTML report.
         #[arg(long, value_name = "FILE")]
         report: Option<PathBuf>,
     },
-    /// Plays a scenario on loopback sockets, with the program itself.
+    /// Run a scenario on loopback sockets with the real program.
     Sockets {
         scenario: String,
         #[arg(long, default_value_t = 1)]
         seed: u64,
         #[arg(long, default_value = "target/release/juniperdock")]
         front: String,
-        /// The operators' file of the fronts.
+        /// Operators' configuration file of the fronts.
         #[arg(long, value_name = "FILE")]
         charter: Option<PathBuf>,
         #[arg(long, value_name = "FIELD=VALUE")]
@@ -64,11 +64,11 @@
         #[arg(long, value_name = "FILE")]
         report: Option<PathBuf>,
     },
-    /// Plays A and B on the same seeds: policies, or paths of other builds' laboratories.
+    /// Compare A and B on the same seeds; each is a policy or the path of another build's juniperdock-lab.
     Compare {
         a: String,
         b: String,
-        /// All scenarios unless some are named.
+        /// Scenarios to run; all built-in ones by default.
         scenarios: Vec<String>,
         #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u64).range(1..=10_000))]
         seeds: u64,
@@ -77,7 +77,7 @@
         #[arg(long, value_name = "FILE")]
         report: Option<PathBuf>,
     },
-    /// Plays a scenario with a field at one value after the other.
+    /// Run a scenario with a field set to each of several values.
     Sweep {
         scenario: String,
         /// FIELD=VALUE,VALUE,...
@@ -89,20 +89,20 @@
         #[arg(long)]
         json: bool,
     },
-    /// Looks for the scenario on which the router loses most against the one that sees all.
+    /// Search for the scenario on which the router loses most against the sees-all policy.
     Search {
-        /// The fleet and load to start from.
+        /// Scenario that provides the fleet and the base load.
         #[arg(default_value = "calm")]
         scenario: String,
         #[arg(long, default_value_t = 1)]
         seed: u64,
         #[arg(long, default_value_t = 100, value_parser = clap::value_parser!(u64).range(1..=100_000))]
         tries: u64,
-        /// Where the scenario found is written.
+        /// Write the scenario found to this file instead of standard output.
         #[arg(long, value_name = "FILE")]
         out: Option<PathBuf>,
     },
-    /// Loads any front in an open loop; latency counts from when a txn was due.
+    /// Generate open-loop load for a front; latency counts from the time at which a txn was due.
     Load {
         at: SocketAddr,
         #[arg(long, default_value_t = 200.0)]
@@ -111,10 +111,10 @@
         seconds: u64,
         #[arg(long, default_value_t = 64, value_parser = clap::value_parser!(u64).range(1..=4096))]
         connections: u64,
-        /// The groups' numbers in the front's list.
+        /// Numbers of the groups in the front's server list.
         #[arg(long, value_delimiter = ',', default_value = "0")]
         groups: Vec<u64>,
-        /// A scenario whose load is taken.
+        /// Scenario that provides the load.
         #[arg(long, default_value = "calm")]
         scenario: String,
         #[arg(long, default_value_t = 1)]
@@ -122,7 +122,7 @@
         #[arg(long)]
         json: bool,
     },
-    /// What the size of the server list costs one real front, before hollow servers.
+    /// Measure what the size of the server list costs one real front, with minimal stub servers.
     Scale {
         #[arg(long, default_value = "target/release/juniperdock")]
         front: String,
@@ -139,63 +139,65 @@
         #[arg(long)]
         json: bool,
     },
-    /// The fronts' membership at size, in simulated time, for a file in JSON5 or some sizes.
+    /// Simulate the membership protocol of many fronts, from a JSON5 file or for several sizes.
     Circle {
-        /// What befalls the fronts, by a file; nothing without one.
+        /// JSON5 file with the parameters and faults; defaults and no faults without it.
         file: Option<PathBuf>,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Sizes to play it at, in place of the file's.
+        /// Numbers of fronts to simulate, instead of the one in the file.
         #[arg(long, value_delimiter = ',')]
         fronts: Vec<usize>,
-        /// Writes a page with plots over the sizes.
+        /// Write an HTML report with plots over the number of fronts.
         #[arg(long, value_name = "FILE")]
         report: Option<PathBuf>,
-        /// Prints the schema of such files instead.
+        /// Print the JSON schema of such files and exit.
         #[arg(long)]
         schema: bool,
     },
-    /// Many processes of the program, with faults between them.
+    /// Run many processes of the program with faults between them.
     Fleet {
-        /// A schedule in JSON5; one drawn from the seed without it.
+        /// Schedule in JSON5; generated from the seed by default.
         schedule: Option<PathBuf>,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Processes and mishaps of a schedule that is drawn.
+        /// Number of processes in a generated schedule.
         #[arg(long, default_value_t = 7, value_parser = clap::value_parser!(u64).range(2..=30))]
         fronts: u64,
+        /// Number of faults in a generated schedule.
         #[arg(long, default_value_t = 14)]
         mishaps: usize,
         #[arg(long, default_value = "target/release/juniperdock")]
         front: String,
-        /// Where everything that happened is written.
+        /// File for the history of all events.
         #[arg(long, default_value = "target/fleet.jsonl")]
         history: PathBuf,
         #[arg(long, value_name = "FILE")]
         report: Option<PathBuf>,
         #[arg(long)]
         json: bool,
-        /// A schedule that fails is cut down to what still does, in so many plays at most.
+        /// If the schedule fails, reduce it to a smaller one that still fails, in at most this many runs.
         #[arg(long, value_name = "PLAYS")]
         shrink: Option<usize>,
-        /// Prints the schema of schedules instead.
+        /// Print the JSON schema of schedules and exit.
         #[arg(long)]
         schema: bool,
-        /// Prints the schedule instead.
+        /// Print the schedule and exit.
         #[arg(long)]
         dry_run: bool,
-        /// Looks at a history that lies there, and plays nothing.
+        /// Analyse an existing history without running anything.
         #[arg(long)]
         look: bool,
-        /// The wall clocks of all fronts are stepped meanwhile.
+        /// Step the wall clocks of all fronts during the run.
         #[arg(long)]
         clock_steps: bool,
     },
-    /// Many processes under faults of all kinds that overlap: kills, ends, hold-ups, failing calls, crowds, lost primaries.
+    /// Run many processes under overlapping faults: kills, shutdowns, stalls, failing system calls, load surges, lost
+    /// primaries.
     Soak {
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How many seeds, one after the other.
+        /// Number of consecutive seeds to run.
         #[arg(long, default_value_t = 1)]
         seeds: u64,
         #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u64).range(2..=40))]
@@ -204,16 +206,16 @@
         seconds: u64,
         #[arg(long, default_value = "target/release/juniperdock")]
         front: String,
-        /// Where everything that happened is written; one file a seed and process.
+        /// Folder for the histories, one file per seed and process.
         #[arg(long, default_value = "target")]
         histories: PathBuf,
     },
-    /// Reads the logs of processes that ran with JUNIPERDOCK_LOG=debug: requests without an end, hold-ups of workers.
+    /// Analyse logs of processes that ran with JUNIPERDOCK_LOG=debug: requests without an end, stalled workers.
     Logs {
         #[arg(required = true)]
         folders: Vec<PathBuf>,
     },
-    /// Owners of duties by the hundred seeds, simulated: kills, stops, cuts, loss, drift of clocks.
+    /// Simulate lease holders of fleet tasks over many seeds, with kills, pauses, partitions, loss and clock drift.
     Offices {
         #[arg(long, default_value_t = 1)]
         seed: u64,
@@ -223,93 +225,94 @@
         fronts: u64,
         #[arg(long, default_value_t = 40, value_parser = clap::value_parser!(u64).range(10..=3600))]
         seconds: u64,
-        /// Clocks drift by so many times what is allowed; beyond 1 two at once are no fault.
+        /// Clock drift as a multiple of the allowed drift; above 1, two simultaneous owners are not a failure.
         #[arg(long, default_value_t = 1.0)]
         drift: f64,
-        /// Receivers refuse nothing: a run that has to fail.
+        /// Receivers accept stale effects; the run is then expected to fail.
         #[arg(long)]
         unfenced: bool,
     },
-    /// Seven processes that share work, their owners stopped, killed and cut off while changes are ordered.
+    /// Run processes that share fleet tasks; the owners are paused, killed and partitioned while changes are ordered.
     Owners {
-        /// Any number; the same one plays the same mishaps in the same order.
+        /// The same seed gives the same faults in the same order.
         #[arg(long, default_value_t = 1)]
         seed: u64,
         #[arg(long, default_value_t = 7, value_parser = clap::value_parser!(u64).range(3..=30))]
         fronts: u64,
         #[arg(long, default_value = "target/release/juniperdock")]
         front: String,
-        /// How long mishaps go on.
+        /// Time in seconds during which faults are injected.
         #[arg(long, default_value_t = 36, value_parser = clap::value_parser!(u64).range(10..=3600))]
         seconds: u64,
-        /// Fewer changes of owners prove too little.
+        /// Minimum number of owner changes for the run to pass.
         #[arg(long, default_value_t = 30)]
         changes: usize,
-        /// The wall clocks of all fronts are stepped meanwhile.
+        /// Step the wall clocks of all fronts during the run.
         #[arg(long)]
         clock_steps: bool,
-        /// Where everything that happened is written.
+        /// File for the history of all events.
         #[arg(long, default_value = "target/owners.jsonl")]
         history: PathBuf,
     },
-    /// One front among members whose primaries are killed, hung, cut off, drained and moved under load.
+    /// Run one front under load while primaries are killed, hung, partitioned, drained and moved.
     Primaries {
-        /// Any number; the same one plays the same changes in the same order.
+        /// The same seed gives the same changes in the same order.
         #[arg(long, default_value_t = 1)]
         seed: u64,
         #[arg(long, default_value = "target/release/juniperdock")]
         front: String,
-        /// How long changes go on.
+        /// Time in seconds during which primaries change.
         #[arg(long, default_value_t = 30, value_parser = clap::value_parser!(u64).range(1..=3600))]
         seconds: u64,
-        /// The wall clocks of all fronts are stepped meanwhile.
+        /// Step the wall clocks of all fronts during the run.
         #[arg(long)]
         clock_steps: bool,
-        /// Where everything that happened is written.
+        /// File for the history of all events.
         #[arg(long, default_value = "target/primaries.jsonl")]
         history: PathBuf,
     },
-    /// The front is upgraded again and again under steady load, with failed starts among the good ones.
+    /// Upgrade a front repeatedly under steady load, with failing starts mixed in.
     Upgrades {
-        /// Any number; the same one plays the same starts in the same order.
+        /// The same seed gives the same starts in the same order.
         #[arg(long, default_value_t = 1)]
         seed: u64,
         #[arg(long, default_value = "target/release/juniperdock")]
         front: String,
-        /// How many upgrades are to succeed.
+        /// Number of upgrades that have to succeed.
         #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(u64).range(1..=100))]
         upgrades: u64,
-        /// Clients that are connected and say nothing all the while.
+        /// Number of clients that stay connected and idle.
         #[arg(long, default_value_t = 0)]
         idle: usize,
-        /// Groups of three members.
+        /// Number of groups, with three members each.
         #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u64).range(1..=100))]
         groups: u64,
     },
-    /// A successor that fails; started by the front that is upgraded.
+    /// Act as a failing new process; started by the front that is being upgraded.
     #[command(hide = true)]
     Successor { how: String },
-    /// Same seed, same day; auditors find what is broken; simulated and real are near.
+    /// Check the laboratory itself: runs are reproducible, auditors detect violations, simulated and real figures are
+    /// close.
     Prove {
         #[arg(long, default_value_t = 1)]
         seed: u64,
         #[arg(long, default_value = "target/release/juniperdock")]
         front: String,
     },
-    /// Three groups, one front on sockets, a primary killed half-way; prints what clients saw.
+    /// Run three groups and one front on sockets, kill a primary, and print what the clients observed.
     Demo {
         #[arg(long, default_value = "target/release/juniperdock")]
         front: String,
         #[arg(long, default_value = "target/demo.html")]
         report: PathBuf,
-        /// Stays up, and says how to reach it, until Enter.
+        /// Stay up until Enter is pressed, and print how to connect.
         #[arg(long)]
         keep: bool,
     },
 }
 
 fn main() -> ExitCode {
-    match act(Words::parse().what) {
+    match run(Cli::parse().what) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(why) => {
@@ -319,11 +322,11 @@
     }
 }
 
-fn changed(name: &str, set: &[String]) -> Result<Scenario, String> {
+fn find_with_overrides(name: &str, set: &[String]) -> Result<Scenario, String> {
     set.iter().try_fold(find(name)?, |scenario, set| {
         let (field, value) =
             set.split_once('=').ok_or_else(|| format!("expected FIELD=VALUE, found {set:?}"))?;
-        experiment::with(&scenario, field, value)
+        experiment::with_field(&scenario, field, value)
     })
 }
 
@@ -363,13 +366,18 @@
         println!("  rule {} broken {count} times: {}", rule + 1, RULES[rule]);
     }
     outcome.broken.iter().take(5).for_each(|word| println!("    {word}"));
-    outcome.misses(scenario).iter().for_each(|miss| println!("  missed: {miss}"));
+    outcome.unmet_expectations(scenario).iter().for_each(|miss| println!("  missed: {miss}"));
     let trace = if outcome.simulated { format!("trace {}, ", outcome.trace) } else { String::new() };
     println!("  {trace}{} events in {:.2} s", outcome.events, outcome.wall_s);
 }
 
-/// Prints, reports, and says whether what was expected came about.
-fn close(outcome: &Outcome, scenario: &Scenario, json: bool, page: Option<&Path>) -> Result<bool, String> {
+/// Prints the outcome and writes the report; returns whether the expectations were met (always true with `json`).
+fn print_and_report(
+    outcome: &Outcome,
+    scenario: &Scenario,
+    json: bool,
+    page: Option<&Path>,
+) -> Result<bool, String> {
     if json {
         println!("{}", serde_json::to_string(outcome).map_err(|e| e.to_string())?);
     } else {
@@ -378,27 +386,27 @@
     if let Some(page) = page {
         write(page, &report::of_runs(scenario, &[outcome])?)?;
     }
-    Ok(json || outcome.misses(scenario).is_empty())
+    Ok(json || outcome.unmet_expectations(scenario).is_empty())
 }
 
-fn act(what: What) -> Result<bool, String> {
+fn run(what: Command) -> Result<bool, String> {
     let quiet = !std::io::stderr().is_terminal();
     match what {
-        What::Scenarios => {
-            for (name, _) in SHELF {
+        Command::Scenarios => {
+            for (name, _) in BUILT_IN_SCENARIOS {
                 let scenario = find(name)?;
                 println!("{name:<18} {}. {}", scenario.title, scenario.about);
             }
             Ok(true)
         }
-        What::Check { file } => {
+        Command::Check { file } => {
             find(&file).map(|scenario| println!("{}: no fault found", scenario.title)).map(|()| true)
         }
-        What::Schema => {
+        Command::Schema => {
             println!("{:#}", juniperdock_operator_config::schema_of::<scenario::Scenario>());
             Ok(true)
         }
-        What::Fleet {
+        Command::Fleet {
             schedule,
             seed,
             fronts,
@@ -423,8 +431,8 @@
                     let text =
                         std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
                     fleet::schedule::read(&text).map_err(|faults| {
-                        let told = faults.iter().map(|fault| format!("{}: {fault}", path.display()));
-                        told.collect::<Vec<_>>().join("\n")
+                        let messages = faults.iter().map(|fault| format!("{}: {fault}", path.display()));
+                        messages.collect::<Vec<_>>().join("\n")
                     })?
                 }
             };
@@ -455,7 +463,7 @@
             }
             Ok(seen.holds())
         }
-        What::Soak { seed, seeds, fronts, seconds, front, histories } => {
+        Command::Soak { seed, seeds, fronts, seconds, front, histories } => {
             let mut all_hold = true;
             for seed in seed..seed + seeds {
                 let schedule = fleet::Schedule::soak(seed, fronts as usize, seconds as f64);
@@ -472,7 +480,7 @@
             }
             Ok(all_hold)
         }
-        What::Logs { folders } => {
+        Command::Logs { folders } => {
             let mut seen = request_logs::Findings::default();
             for folder in &folders {
                 seen.read_folder(folder)?;
@@ -480,14 +488,14 @@
             println!("{seen}");
             Ok(seen.hold())
         }
-        What::Offices { seed, seeds, fronts, seconds, drift, unfenced } => {
+        Command::Offices { seed, seeds, fronts, seconds, drift, unfenced } => {
             let lasts = Duration::from_secs(seconds);
             let shape = offices::Shape { fronts: fronts as usize, lasts, drift, unfenced };
             let seen = offices::all(seed, seeds, shape);
             println!("{seen}");
             Ok(seen.holds())
         }
-        What::Owners { seed, fronts, front, seconds, changes, clock_steps, history } => {
+        Command::Owners { seed, fronts, front, seconds, changes, clock_steps, history } => {
             let schedule = fleet::Schedule::owners(seed, fronts as usize, seconds as f64);
             let schedule = if clock_steps { schedule.with_clock_steps() } else { schedule };
             fleet::play(&schedule, seed, &front, &history, None)?;
@@ -495,8 +503,8 @@
             println!("seed {seed}\n{seen}");
             Ok(seen.holds(changes))
         }
-        What::Primaries { seed, front, seconds, clock_steps, history } => {
-            // Held for as long as its client waits: what a change costs shows in full.
+        Command::Primaries { seed, front, seconds, clock_steps, history } => {
+            // Txns wait for as long as their client does, so that the full cost of a change of primary shows.
             let held = |_: usize, _: &mut serde_json::Value, charter: &mut serde_json::Value| {
                 charter["held"] = serde_json::json!({ "untaken_share": 1.0 });
             };
@@ -507,15 +515,15 @@
             println!("seed {seed}\n{seen}");
             Ok(seen.holds())
         }
-        What::Upgrades { seed, front, upgrades, idle, groups } => {
+        Command::Upgrades { seed, front, upgrades, idle, groups } => {
             std::fs::metadata(&front).map_err(|e| format!("{front}: {e}"))?;
             let own = std::env::current_exe().map_err(|e| e.to_string())?;
             let figures = upgrade::upgrade(&front, &own, seed, upgrades as usize, idle, groups as usize)?;
             println!("seed {seed}\n{figures}");
             Ok(figures.holds())
         }
-        What::Successor { how } => Ok(upgrade::successor(&how)),
-        What::Scale { front, servers, behaviour, changes_per_second, changes_seconds, seed, json } => {
+        Command::Successor { how } => Ok(upgrade::successor(&how)),
+        Command::Scale { front, servers, behaviour, changes_per_second, changes_seconds, seed, json } => {
             let sizes = servers.into_iter().map(|servers| servers as usize).collect();
             let changes_for = Duration::from_secs(changes_seconds);
             let plan = scale::Plan {
@@ -537,7 +545,7 @@
             }
             Ok(true)
         }
-        What::Circle { file, seed, fronts, report, schema } => {
+        Command::Circle { file, seed, fronts, report, schema } => {
             if schema {
                 println!("{:#}", juniperdock_operator_config::schema_of::<circle::Circle>());
                 return Ok(true);
@@ -558,19 +566,19 @@
             }
             Ok(true)
         }
-        What::Run { scenario, seed, policy, set, json, report } => {
-            let scenario = changed(&scenario, &set)?;
+        Command::Run { scenario, seed, policy, set, json, report } => {
+            let scenario = find_with_overrides(&scenario, &set)?;
             let outcome = simulate(&scenario, seed, policy, None, report.is_some());
-            close(&outcome, &scenario, json, report.as_deref())
+            print_and_report(&outcome, &scenario, json, report.as_deref())
         }
-        What::Sockets { scenario, seed, front, charter, set, json, report } => {
-            let scenario = changed(&scenario, &set)?;
+        Command::Sockets { scenario, seed, front, charter, set, json, report } => {
+            let scenario = find_with_overrides(&scenario, &set)?;
             let charter = charter
                 .map(|path| std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display())));
             let outcome = sockets::play(&scenario, seed, &front, charter.transpose()?.as_deref(), None)?;
-            close(&outcome, &scenario, json, report.as_deref())
+            print_and_report(&outcome, &scenario, json, report.as_deref())
         }
-        What::Compare { a, b, scenarios, seeds, json, report } => {
+        Command::Compare { a, b, scenarios, seeds, json, report } => {
             let (a, b, scenarios) = (Side::named(&a)?, Side::named(&b)?, experiment::find_all(&scenarios)?);
             let seeds: Vec<u64> = (1..=seeds).collect();
             let pairs = experiment::compare(&a, &b, &scenarios, &seeds, quiet)?;
@@ -602,11 +610,11 @@
                 }
             }
             if let Some(page) = report {
-                let most = scenarios
+                let largest_difference = scenarios
                     .iter()
                     .zip(&pairs)
                     .max_by(|x, y| x.1.difference.mean.abs().total_cmp(&y.1.difference.mean.abs()));
-                let shown = most.map(|(scenario, _)| scenario);
+                let shown = largest_difference.map(|(scenario, _)| scenario);
                 let runs: Vec<Outcome> = match (shown, &a, &b) {
                     (Some(scenario), Side::Here(a), Side::Here(b)) => {
                         vec![
@@ -623,7 +631,7 @@
             }
             Ok(pairs.iter().all(|pair| pair.rules_broken == (0, 0)))
         }
-        What::Sweep { scenario, field, side, seeds, json } => {
+        Command::Sweep { scenario, field, side, seeds, json } => {
             let (field, values) = field.split_once('=').ok_or("expected FIELD=VALUE,VALUE,...")?;
             let values: Vec<String> = values.split(',').map(str::to_owned).collect();
             let seeds: Vec<u64> = (1..=seeds).collect();
@@ -642,9 +650,9 @@
             }
             Ok(true)
         }
-        What::Search { scenario, seed, tries, out } => {
+        Command::Search { scenario, seed, tries, out } => {
             let found = experiment::search(&find(&scenario)?, seed, tries as usize, quiet)
-                .ok_or("nothing was played")?;
+                .ok_or("no scenario was run")?;
             println!(
                 "simulated: served {:.3}, within reach {:.3}, rules broken {:?}, seed {}",
                 found.served, found.within_reach, found.rules_broken, found.seed
@@ -656,10 +664,10 @@
             }
             Ok(found.rules_broken.iter().all(|&n| n == 0))
         }
-        What::Load { at, per_second, seconds, connections, groups, scenario, seed, json } => {
+        Command::Load { at, per_second, seconds, connections, groups, scenario, seed, json } => {
             let load = scenario::Load { per_second, ..find(&scenario)?.load };
             let lasts = Duration::from_secs(seconds);
-            let progress = |seen: &load::Seen| {
+            let progress = |seen: &load::Results| {
                 if !quiet {
                     eprint!(
                         "\r{} of {} sent, {} committed, {} declined ",
@@ -690,12 +698,12 @@
             }
             seen.stopped.clone().map_or(Ok(true), Err)
         }
-        What::Prove { seed, front } => {
+        Command::Prove { seed, front } => {
             let figures = prove::prove(seed, Some(&front))?;
             println!("seed {seed}\n{figures}");
             Ok(figures.holds())
         }
-        What::Demo { front, report, keep } => demo(&front, &report, keep),
+        Command::Demo { front, report, keep } => demo(&front, &report, keep),
     }
 }
 
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -1,4 +1,4 @@
-//! What a run has shown: value by second, latency, what was held and believed.
+//! Results of a run: value per second, latency, txns held by members, and the fronts' view of the primaries.
 
 use crate::scenario::Scenario;
 use hdrhistogram::Histogram;
@@ -7,13 +7,13 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The worst time is looked for in windows of so many seconds.
-const WINDOW: usize = 5;
-/// Service is as before from when it is this share of what it was, for some seconds.
-const AS_BEFORE: f64 = 0.95;
-const FOR: usize = 3;
+/// Length in seconds of the sliding window for the worst share of served value.
+const WORST_WINDOW_S: usize = 5;
+/// Service has recovered when it reaches this share of its earlier level over `RECOVERY_WINDOW_S` seconds.
+const RECOVERED_SHARE: f64 = 0.95;
+const RECOVERY_WINDOW_S: usize = 3;
 
-/// One second, by when wishes began.
+/// Counts of one second; a wish (a txn including its retries) counts in the second in which it began.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Second {
     pub wishes: u32,
@@ -27,26 +27,26 @@
     /// Percentiles of the time to a committed answer, in milliseconds.
     pub p50_ms: f64,
     pub p99_ms: f64,
-    /// Answers of fronts, tries counted one by one.
+    /// Declines sent by fronts, counted per attempt.
     pub declines: u32,
 }
 
-/// How things stood at a moment.
+/// A sample of the state of the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Moment {
+pub struct StateSample {
     pub at_s: f64,
     /// Txns held by each member.
     pub held: Vec<u16>,
-    /// By group: 0 a front and the truth agree on who is primary, 1 there is none, 2 the front knows of none,
-    /// 3 it takes another for it.
+    /// By group: 0 the first front's view matches the actual primary, 1 there is no primary, 2 the front knows no
+    /// primary, 3 the front's view names a different member.
     pub primaries: Vec<u8>,
-    /// Txns waiting at all fronts.
+    /// Txns that wait at the fronts, over all fronts.
     pub open: usize,
 }
 
-/// How the fronts stood towards each other at the end, and what that took.
+/// Connectivity of the fronts at the end of a run, and the traffic of the membership protocol.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Fellowship {
+pub struct MembershipSummary {
     pub whole: usize,
     pub part: usize,
     pub alone: usize,
@@ -54,9 +54,10 @@
     pub bytes: u64,
 }
 
-impl Fellowship {
-    pub fn of<'a>(fronts: impl Iterator<Item = &'a Membership>) -> Fellowship {
-        let mut sum = Fellowship::default();
+impl MembershipSummary {
+    /// Sums up the membership state of the given fronts.
+    pub fn of<'a>(fronts: impl Iterator<Item = &'a Membership>) -> MembershipSummary {
+        let mut sum = MembershipSummary::default();
         for front in fronts {
             match front.connectivity().0 {
                 Connectivity::Majority => sum.whole += 1,
@@ -70,14 +71,14 @@
     }
 }
 
-/// A run's figures.
+/// Figures of a run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Outcome {
     pub title: String,
     pub seed: u64,
-    /// Who decided.
+    /// Name of the policy that made the routing decisions.
     pub by: String,
-    /// Plays in simulated time, or on sockets.
+    /// True for a run in simulated time, false for a run on sockets.
     pub simulated: bool,
     pub wishes: u64,
     pub tries: u64,
@@ -85,19 +86,20 @@
     pub got: f64,
     pub served: f64,
     pub worst_window: f64,
-    /// Seconds from the end of the last trouble until service was as before the first; none if it never was.
+    /// Seconds from the end of the last fault until service was back at its level before the first one; `None` if it
+    /// never was.
     pub recovered_s: Option<f64>,
     pub p50_ms: f64,
     pub p99_ms: f64,
     pub declined: u64,
     pub unknown: u64,
-    /// Wishes whose last try had no answer when its client's time was up.
+    /// Wishes whose last attempt had no answer when the client stopped waiting.
     pub unanswered: u64,
-    /// Tries, of those too that were asked again, whose answer came within the grace after that.
+    /// Attempts, including retried ones, that were answered within the grace period after the client stopped waiting.
     #[serde(default)]
     pub in_grace: u64,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub fellows: Option<Fellowship>,
+    pub fellows: Option<MembershipSummary>,
     pub late: u64,
     pub rules_broken: [usize; 5],
     pub broken: Vec<String>,
@@ -106,21 +108,21 @@
     pub wall_s: f64,
     pub seconds: Vec<Second>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub moments: Vec<Moment>,
+    pub moments: Vec<StateSample>,
 }
 
-/// Counts while a run goes on.
+/// Collects counts during a run.
 pub struct Measure {
     kinds: Vec<Kind>,
     seconds: Vec<Second>,
     by_second: Vec<Histogram<u32>>,
     all: Histogram<u64>,
     tries: u64,
-    pub moments: Vec<Moment>,
+    pub moments: Vec<StateSample>,
 }
 
 fn histogram<C: hdrhistogram::Counter>() -> Histogram<C> {
-    Histogram::new_with_bounds(1, 120_000_000, 2).expect("these bounds are good")
+    Histogram::new_with_bounds(1, 120_000_000, 2).expect("the histogram bounds are valid")
 }
 
 fn percentile<C: hdrhistogram::Counter>(of: &Histogram<C>, percent: f64) -> f64 {
@@ -128,6 +130,7 @@
 }
 
 impl Measure {
+    /// Prepares counters for a run of length `lasts`.
     pub fn new(kinds: Vec<Kind>, lasts: Duration) -> Measure {
         let n = lasts.as_secs_f64().ceil().max(1.0) as usize;
         let by_second = (0..n).map(|_| histogram()).collect();
@@ -141,7 +144,8 @@
         }
     }
 
-    pub fn note(&mut self, now: Duration, out: &Out) {
+    /// Counts an event of the emulator.
+    pub fn record(&mut self, now: Duration, out: &Out) {
         let last = self.seconds.len() - 1;
         match *out {
             Out::Done { kind, begun, took, how, .. } => {
@@ -177,7 +181,7 @@
         }
     }
 
-    /// Closes the books.
+    /// Computes the figures of the run.
     pub fn outcome(
         mut self,
         scenario: &Scenario,
@@ -196,15 +200,17 @@
             let (value, got) = of.iter().fold((0.0, 0.0), |(v, g), s| (v + s.value, g + s.got));
             if value > 0.0 { got / value } else { 1.0 }
         };
-        let window = WINDOW.min(self.seconds.len());
+        let window = WORST_WINDOW_S.min(self.seconds.len());
         let worst_window = self.seconds.windows(window).map(share).fold(1.0, f64::min);
-        let recovered_s = scenario.healed_s().and_then(|healed| {
+        let recovered_s = scenario.last_fault_end_s().and_then(|last_fault_end| {
             let first = scenario.troubles.iter().map(|t| t.at_s).fold(f64::MAX, f64::min) as usize;
             let before = share(&self.seconds[..first.clamp(1, self.seconds.len())]);
-            let from = (healed as usize).min(self.seconds.len());
-            let well = |of: &[Second]| share(of) >= AS_BEFORE * before;
-            let at = self.seconds[from..].windows(FOR.min(self.seconds.len() - from).max(1)).position(well);
-            at.map(|at| (from + at) as f64 - healed.floor())
+            let from = (last_fault_end as usize).min(self.seconds.len());
+            let recovered = |of: &[Second]| share(of) >= RECOVERED_SHARE * before;
+            let at = self.seconds[from..]
+                .windows(RECOVERY_WINDOW_S.min(self.seconds.len() - from).max(1))
+                .position(recovered);
+            at.map(|at| (from + at) as f64 - last_fault_end.floor())
         });
         Outcome {
             title: scenario.title.clone(),
@@ -241,24 +247,25 @@
 }
 
 impl Outcome {
+    /// Whether no rule was violated.
     pub fn rules_kept(&self) -> bool {
         self.rules_broken.iter().all(|&n| n == 0)
     }
 
-    /// What the scenario expected and did not get.
-    pub fn misses(&self, scenario: &Scenario) -> Vec<String> {
+    /// The scenario's expectations that were not met.
+    pub fn unmet_expectations(&self, scenario: &Scenario) -> Vec<String> {
         let expect = &scenario.expect;
         let mut misses = Vec::new();
         if !self.rules_kept() {
             misses.push(format!("rules broken: {:?}", self.rules_broken));
         }
-        let mut least = |name: &str, found: f64, expected: Option<f64>| {
+        let mut check_minimum = |name: &str, found: f64, expected: Option<f64>| {
             if let Some(expected) = expected.filter(|&expected| found < expected) {
                 misses.push(format!("{name} {found:.3}, expected {expected:.3} at least"));
             }
         };
-        least("served", self.served, expect.served);
-        least("worst window", self.worst_window, expect.worst_window);
+        check_minimum("served", self.served, expect.served);
+        check_minimum("worst window", self.worst_window, expect.worst_window);
         if let Some(expected) = expect.recovered_s {
             match self.recovered_s {
                 Some(found) if found <= expected => {}
--- a/crates/lab/src/offices.rs
+++ b/crates/lab/src/offices.rs
@@ -1,6 +1,6 @@
-//! Owners at size and by the hundred seeds, in simulated time: the program's own membership and leases, between them
-//! a network that loses, doubles, delays and cuts, clocks that drift, processes that are killed, and stopped between
-//! their look at the clock and the write. What is judged is what is true, not what any front says.
+//! Simulates lease holders over many seeds: the program's own membership and lease protocols, over a network that
+//! loses, duplicates, delays and partitions, with drifting clocks, and with processes that are killed, or paused
+//! between reading the clock and writing. Checks use the simulation's global state, not what any front reports.
 
 use juniperdock_emulator::Stream;
 use juniperdock_lease::{CLOCK_DRIFT_DIVISOR, FleetView, LeaseManager, TaskId, TaskSet};
@@ -14,14 +14,14 @@
 use std::time::Duration;
 
 const STEP: Duration = Duration::from_millis(5);
-const EVERY: Duration = Duration::from_millis(250);
-const LASTS: Duration = Duration::from_millis(1500);
-/// Any time; lives count from it.
-const UNIX: Duration = Duration::from_secs(1_790_000_000);
-/// An owner acts so often on each of its duties.
-const ACTS: Duration = Duration::from_millis(150);
+const MEMBERSHIP_PERIOD: Duration = Duration::from_millis(250);
+const LEASE_DURATION: Duration = Duration::from_millis(1500);
+/// Wall-clock time at which the simulation starts; incarnations are derived from it. The value is arbitrary.
+const SIMULATION_EPOCH: Duration = Duration::from_secs(1_790_000_000);
+/// Interval at which a lease holder sends an effect for each of its tasks.
+const EFFECT_INTERVAL: Duration = Duration::from_millis(150);
 
-/// What all seeds together showed.
+/// Figures, summed up over all seeds.
 #[derive(Clone, Debug, Default)]
 pub struct Figures {
     pub seeds: u64,
@@ -30,14 +30,15 @@
     pub stale_sent: u64,
     pub stale_applied: u64,
     pub two_at_once: u64,
-    /// Of fronts that have a majority round them and are met by nothing, the longest time that a duty had no owner.
+    /// Longest time for which a task had no owner while no fault was active.
     pub longest_gap: Duration,
-    pub mishaps: u64,
-    /// The seeds on which anything went wrong that must not.
+    pub faults: u64,
+    /// Seeds on which a rule was violated.
     pub broken: Vec<u64>,
 }
 
 impl Figures {
+    /// Whether no seed violated a rule and the run exercised stale effects and changes of owners.
     pub fn holds(&self) -> bool {
         self.broken.is_empty() && self.stale_sent > 0 && self.changes > self.seeds
     }
@@ -49,7 +50,7 @@
         self.stale_sent += other.stale_sent;
         self.stale_applied += other.stale_applied;
         self.two_at_once += other.two_at_once;
-        self.mishaps += other.mishaps;
+        self.faults += other.faults;
         self.longest_gap = self.longest_gap.max(other.longest_gap);
         self.broken.extend(other.broken);
         self
@@ -63,7 +64,7 @@
             "offices (simulated): seeds={} mishaps={} changes={} effects={} stale_effects_sent={} stale_effects_applied={} \
              two_at_once={} longest_gap_ms={} broken={:?}",
             self.seeds,
-            self.mishaps,
+            self.faults,
             self.changes,
             self.effects,
             self.stale_sent,
@@ -75,24 +76,25 @@
     }
 }
 
-/// How far clocks and networks go.
+/// Parameters of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct Shape {
     pub fronts: usize,
     pub lasts: Duration,
-    /// Clocks drift by so many times what is allowed; beyond 1 two owners at once are to be expected.
+    /// Clock drift as a multiple of the allowed drift; above 1, two simultaneous owners are expected.
     pub drift: f64,
-    /// Receivers carry out whatever comes: to see that it does harm.
+    /// Receivers also apply stale effects, to show that the simulation produces them and detects the harm.
     pub unfenced: bool,
 }
 
+/// Collects what the membership core sends and delivers.
 #[derive(Default)]
-struct Out {
+struct MembershipIo {
     sends: Vec<(usize, Vec<u8>)>,
     bodies: Vec<(usize, Vec<u8>)>,
 }
 
-impl Host for Out {
+impl Host for MembershipIo {
     fn send(&mut self, to: usize, datagram: &[u8]) {
         self.sends.push((to, datagram.to_vec()));
     }
@@ -102,28 +104,28 @@
     }
 }
 
-/// The office's way out: through the membership, sealed.
-struct Ways<'a> {
+/// Sends lease messages through the membership protocol, which authenticates them, and records lease events.
+struct LeaseIo<'a> {
     core: &'a mut Membership,
-    out: &'a mut Out,
+    io: &'a mut MembershipIo,
     done: &'a mut Vec<(TaskId, u64)>,
     refused: &'a mut Vec<(TaskId, u64)>,
-    took: &'a mut u64,
+    acquired: &'a mut u64,
 }
 
-impl juniperdock_lease::Host for Ways<'_> {
+impl juniperdock_lease::Host for LeaseIo<'_> {
     fn send(&mut self, to: usize, body: &[u8]) {
-        self.core.send_payload(to, body, self.out);
+        self.core.send_payload(to, body, self.io);
     }
     fn event(&mut self, event: juniperdock_lease::Event) {
         match event {
-            juniperdock_lease::Event::Acquired(..) => *self.took += 1,
-            juniperdock_lease::Event::StaleEffect(duty, term, _) => self.refused.push((duty, term)),
+            juniperdock_lease::Event::Acquired(..) => *self.acquired += 1,
+            juniperdock_lease::Event::StaleEffect(task, term, _) => self.refused.push((task, term)),
             _ => {}
         }
     }
-    fn effect(&mut self, _from: usize, duty: TaskId, term: u64, _payload: &[u8]) {
-        self.done.push((duty, term));
+    fn effect(&mut self, _from: usize, task: TaskId, term: u64, _payload: &[u8]) {
+        self.done.push((task, term));
     }
     fn report(&mut self, _from: usize, _duty: TaskId, _term: u64, _payload: &[u8]) {}
     fn announcement(&mut self, _from: usize, _duty: TaskId, _payload: &[u8]) {}
@@ -131,8 +133,8 @@
 
 struct Front {
     core: Membership,
-    office: LeaseManager,
-    /// When it started, and how fast its clock goes.
+    lease_manager: LeaseManager,
+    /// Start time, and rate of the front's clock.
     started: Duration,
     rate: f64,
     stopped_until: Duration,
@@ -145,179 +147,198 @@
     }
 }
 
-/// On its way: when it comes, in which order it was sent, from whom, to whom.
-type Way = Reverse<(Duration, u64, usize, usize, Vec<u8>)>;
+/// A datagram in transit: time of arrival, sequence number, sender, receiver, content.
+type InTransit = Reverse<(Duration, u64, usize, usize, Vec<u8>)>;
 
 struct World {
     now: Duration,
     shape: Shape,
     fronts: Vec<Option<Front>>,
-    back_at: Vec<Duration>,
-    ways: BinaryHeap<Way>,
+    restart_at: Vec<Duration>,
+    in_transit: BinaryHeap<InTransit>,
     sent: u64,
-    chance: Stream,
-    /// Fronts of one side of a cut, and until when; one that is not heard; one whose words come late.
+    rng: Stream,
+    /// Fronts on one side of a partition and its end; a front whose datagrams are all lost; a front whose datagrams are
+    /// delayed.
     cut: (Vec<usize>, Duration),
-    unheard: (usize, Duration),
-    late: (usize, Duration),
-    duties: TaskSet,
-    /// By place, whoever was there: the newest term that was carried out.
+    muted: (usize, Duration),
+    delayed: (usize, Duration),
+    tasks: TaskSet,
+    /// By front index (across restarts) and task: the highest term of an applied effect.
     newest: BTreeMap<(usize, TaskId), u64>,
     ownerless: BTreeMap<TaskId, Duration>,
     calm_since: Duration,
-    seen: Figures,
+    figures: Figures,
 }
 
-/// Plays one seed.
+/// Simulates one seed.
 pub fn play(seed: u64, shape: Shape) -> Figures {
     let mut world = World {
         now: Duration::ZERO,
         shape,
         fronts: (0..shape.fronts).map(|_| None).collect(),
-        back_at: vec![Duration::ZERO; shape.fronts],
-        ways: BinaryHeap::new(),
+        restart_at: vec![Duration::ZERO; shape.fronts],
+        in_transit: BinaryHeap::new(),
         sent: 0,
-        chance: Stream::of(seed, "offices", 0),
+        rng: Stream::of(seed, "offices", 0),
         cut: Default::default(),
-        unheard: Default::default(),
-        late: Default::default(),
-        duties: (0..6).collect(),
+        muted: Default::default(),
+        delayed: Default::default(),
+        tasks: (0..6).collect(),
         newest: BTreeMap::new(),
         ownerless: BTreeMap::new(),
         calm_since: Duration::ZERO,
-        seen: Figures { seeds: 1, ..Figures::default() },
+        figures: Figures { seeds: 1, ..Figures::default() },
     };
     let mut next = Duration::from_secs(4);
     while world.now < shape.lasts {
         world.now += STEP;
         if world.now >= next && world.now + Duration::from_secs(6) < shape.lasts {
-            world.mishap();
-            next = world.now + Duration::from_secs_f64(0.6 + 1.6 * world.chance.share());
+            world.inject_fault();
+            next = world.now + Duration::from_secs_f64(0.6 + 1.6 * world.rng.share());
         }
         world.step();
-        world.judge();
+        world.check_owners();
     }
-    if world.seen.stale_applied > 0 || world.seen.two_at_once > 0 && shape.drift <= 1.0 {
-        world.seen.broken.push(seed);
+    if world.figures.stale_applied > 0 || world.figures.two_at_once > 0 && shape.drift <= 1.0 {
+        world.figures.broken.push(seed);
     }
-    world.seen
+    world.figures
 }
 
-/// Plays many seeds on all cores.
+/// Simulates many seeds on all cores.
 pub fn all(first: u64, seeds: u64, shape: Shape) -> Figures {
     let each = (first..first + seeds).into_par_iter().map(|seed| play(seed, shape));
-    let mut seen = each.reduce(Figures::default, Figures::add);
-    seen.broken.sort_unstable();
-    seen
+    let mut figures = each.reduce(Figures::default, Figures::add);
+    figures.broken.sort_unstable();
+    figures
 }
 
 impl World {
-    fn start(&mut self, place: usize) {
-        let keys = Keys::parse(&["5a".repeat(32)]).expect("a good key");
-        let seed = self.chance.below(usize::MAX >> 1) as u64;
-        let life = incarnation_at(UNIX + self.now);
+    fn start(&mut self, index: usize) {
+        let keys = Keys::parse(&["5a".repeat(32)]).expect("a valid key");
+        let seed = self.rng.below(usize::MAX >> 1) as u64;
+        let incarnation = incarnation_at(SIMULATION_EPOCH + self.now);
         let core = Membership::new(
-            place,
+            index,
             self.shape.fronts,
-            life,
+            incarnation,
             seed,
             NEWEST_VERSION,
-            Timing::with_period(EVERY),
+            Timing::with_period(MEMBERSHIP_PERIOD),
             keys,
         );
         let off = self.shape.drift / f64::from(CLOCK_DRIFT_DIVISOR);
-        let rate = 1.0 + off * (2.0 * self.chance.share() - 1.0);
-        let duties = self.duties.clone();
-        let office = LeaseManager::new(Duration::ZERO, place, self.shape.fronts, life, seed, LASTS, duties);
+        let rate = 1.0 + off * (2.0 * self.rng.share() - 1.0);
+        let tasks = self.tasks.clone();
+        let lease_manager = LeaseManager::new(
+            Duration::ZERO,
+            index,
+            self.shape.fronts,
+            incarnation,
+            seed,
+            LEASE_DURATION,
+            tasks,
+        );
         let (started, next_act) = (self.now, self.now);
-        self.fronts[place] =
-            Some(Front { core, office, started, rate, stopped_until: Duration::ZERO, next_act });
+        self.fronts[index] =
+            Some(Front { core, lease_manager, started, rate, stopped_until: Duration::ZERO, next_act });
     }
 
-    fn mishap(&mut self) {
-        self.seen.mishaps += 1;
-        let place = self.chance.below(self.shape.fronts);
-        let span = Duration::from_secs_f64(0.8 + 3.2 * self.chance.share());
+    fn inject_fault(&mut self) {
+        self.figures.faults += 1;
+        let index = self.rng.below(self.shape.fronts);
+        let span = Duration::from_secs_f64(0.8 + 3.2 * self.rng.share());
         let ends = self.now + span;
         self.calm_since = self.calm_since.max(ends);
-        match self.chance.below(6) {
+        match self.rng.below(6) {
             0 => {
-                self.fronts[place] = None;
-                self.back_at[place] = ends;
+                self.fronts[index] = None;
+                self.restart_at[index] = ends;
             }
-            1 | 2 => self.fronts[place].iter_mut().for_each(|front| front.stopped_until = ends),
+            1 | 2 => self.fronts[index].iter_mut().for_each(|front| front.stopped_until = ends),
             3 => {
-                let size = 1 + self.chance.below(self.shape.fronts / 2);
-                self.cut = ((place..place + size).map(|front| front % self.shape.fronts).collect(), ends);
+                let size = 1 + self.rng.below(self.shape.fronts / 2);
+                self.cut = ((index..index + size).map(|front| front % self.shape.fronts).collect(), ends);
             }
-            4 => self.unheard = (place, ends),
-            _ => self.late = (place, ends),
+            4 => self.muted = (index, ends),
+            _ => self.delayed = (index, ends),
         }
     }
 
-    fn send(&mut self, from: usize, sends: Vec<(usize, Vec<u8>)>, held: Duration) {
+    fn send(&mut self, from: usize, sends: Vec<(usize, Vec<u8>)>, departure_delay: Duration) {
         for (to, datagram) in sends {
             self.sent += 1;
-            let apart = self.now < self.cut.1 && self.cut.0.contains(&from) != self.cut.0.contains(&to);
-            let unheard = self.now < self.unheard.1 && self.unheard.0 == from;
-            if apart || unheard || self.chance.share() < 0.02 {
+            let partitioned = self.now < self.cut.1 && self.cut.0.contains(&from) != self.cut.0.contains(&to);
+            let muted = self.now < self.muted.1 && self.muted.0 == from;
+            if partitioned || muted || self.rng.share() < 0.02 {
                 continue;
             }
-            let late = if self.now < self.late.1 && self.late.0 == from { 4.0 } else { 0.02 };
-            for _ in 0..1 + usize::from(self.chance.share() < 0.02) {
-                let way = Duration::from_secs_f64(0.001 + late * self.chance.share());
-                self.ways.push(Reverse((self.now + held + way, self.sent, from, to, datagram.clone())));
+            let delayed = if self.now < self.delayed.1 && self.delayed.0 == from { 4.0 } else { 0.02 };
+            for _ in 0..1 + usize::from(self.rng.share() < 0.02) {
+                let way = Duration::from_secs_f64(0.001 + delayed * self.rng.share());
+                self.in_transit.push(Reverse((
+                    self.now + departure_delay + way,
+                    self.sent,
+                    from,
+                    to,
+                    datagram.clone(),
+                )));
             }
         }
     }
 
-    /// Calls a front with all that it needs, and takes up what it has done.
-    fn with(
+    /// Calls a front that is running, then records what it did and sends its datagrams after `departure_delay`.
+    fn call_front(
         &mut self,
-        place: usize,
-        held: Duration,
-        call: impl FnOnce(&mut Front, Duration, &mut Out, &mut Tally),
+        index: usize,
+        departure_delay: Duration,
+        call: impl FnOnce(&mut Front, Duration, &mut MembershipIo, &mut Tally),
     ) {
-        let Some(mut front) = self.fronts[place].take() else { return };
-        let (clock, mut out, mut tally) = (front.clock(self.now), Out::default(), Tally::default());
-        call(&mut front, clock, &mut out, &mut tally);
-        self.fronts[place] = Some(front);
-        self.seen.changes += tally.took;
-        self.seen.stale_sent += tally.refused.len() as u64;
-        self.seen.effects += tally.done.len() as u64;
-        for (duty, term) in tally.done {
-            let newest = self.newest.entry((place, duty)).or_default();
-            self.seen.stale_applied += u64::from(term < *newest);
+        let Some(mut front) = self.fronts[index].take() else { return };
+        let (clock, mut io, mut tally) = (front.clock(self.now), MembershipIo::default(), Tally::default());
+        call(&mut front, clock, &mut io, &mut tally);
+        self.fronts[index] = Some(front);
+        self.figures.changes += tally.acquired;
+        self.figures.stale_sent += tally.refused.len() as u64;
+        self.figures.effects += tally.done.len() as u64;
+        for (task, term) in tally.done {
+            let newest = self.newest.entry((index, task)).or_default();
+            self.figures.stale_applied += u64::from(term < *newest);
             *newest = term.max(*newest);
         }
-        self.send(place, out.sends, held);
+        self.send(index, io.sends, departure_delay);
     }
 
     fn step(&mut self) {
-        for place in 0..self.shape.fronts {
-            if self.fronts[place].is_none() && self.now >= self.back_at[place] {
-                self.start(place);
+        for index in 0..self.shape.fronts {
+            if self.fronts[index].is_none() && self.now >= self.restart_at[index] {
+                self.start(index);
             }
         }
-        while let Some(Reverse((_, _, from, to, datagram))) =
-            self.ways.peek().is_some_and(|way| way.0.0 <= self.now).then(|| self.ways.pop()).flatten()
+        while let Some(Reverse((_, _, from, to, datagram))) = self
+            .in_transit
+            .peek()
+            .is_some_and(|way| way.0.0 <= self.now)
+            .then(|| self.in_transit.pop())
+            .flatten()
         {
             let runs = self.fronts[to].as_ref().map(|front| front.stopped_until);
             match runs {
                 None => {}
-                // It reads it once it goes on.
+                // The front reads the datagram when it resumes.
                 Some(until) if until > self.now => {
                     self.sent += 1;
-                    self.ways.push(Reverse((until, self.sent, from, to, datagram)));
+                    self.in_transit.push(Reverse((until, self.sent, from, to, datagram)));
                 }
                 Some(_) => {
                     let unfenced = self.shape.unfenced;
-                    self.with(to, Duration::ZERO, |front, clock, out, tally| {
-                        let _ = front.core.handle_datagram(clock, from, &datagram, out);
-                        for (from, body) in std::mem::take(&mut out.bodies) {
-                            tally.hear(front, clock, from, &body, out);
+                    self.call_front(to, Duration::ZERO, |front, clock, io, tally| {
+                        let _ = front.core.handle_datagram(clock, from, &datagram, io);
+                        for (from, body) in std::mem::take(&mut io.bodies) {
+                            tally.handle_message(front, clock, from, &body, io);
                         }
-                        // As if the fence were not there: what was refused is carried out.
+                        // Without fencing, refused effects are applied as well.
                         if unfenced {
                             tally.done.extend(tally.refused.iter().copied());
                         }
@@ -325,97 +346,105 @@
                 }
             }
         }
-        for place in 0..self.shape.fronts {
-            if self.fronts[place].as_ref().is_none_or(|front| front.stopped_until > self.now) {
+        for index in 0..self.shape.fronts {
+            if self.fronts[index].as_ref().is_none_or(|front| front.stopped_until > self.now) {
                 continue;
             }
             let others: Vec<usize> = (0..self.shape.fronts).collect();
-            self.with(place, Duration::ZERO, |front, clock, out, tally| {
-                front.core.handle_timeout(clock, out);
+            self.call_front(index, Duration::ZERO, |front, clock, io, tally| {
+                front.core.handle_timeout(clock, io);
                 let present = front.core.present();
                 let eligible = front.core.connectivity().0 == Connectivity::Majority && !front.core.slow();
-                let sight = FleetView { present: &present, eligible };
-                front.office.raise_term_floor(front.core.incarnation());
-                tally.due(front, clock, sight, out);
+                let view = FleetView { present: &present, eligible };
+                front.lease_manager.raise_term_floor(front.core.incarnation());
+                tally.handle_timeout(front, clock, view, io);
             });
-            let acts = self.fronts[place].as_ref().is_some_and(|front| front.next_act <= self.now);
+            let acts = self.fronts[index].as_ref().is_some_and(|front| front.next_act <= self.now);
             if acts {
-                // Now and then it is stopped right behind its look at the clock, and what it writes leaves later.
-                let stops = self.chance.share() < 0.01;
-                let held = if stops {
-                    Duration::from_secs_f64(0.5 + 4.0 * self.chance.share())
+                // Occasionally the front is paused right after it has read the clock, so that its datagrams leave late.
+                let stops = self.rng.share() < 0.01;
+                let departure_delay = if stops {
+                    Duration::from_secs_f64(0.5 + 4.0 * self.rng.share())
                 } else {
                     Duration::ZERO
                 };
                 let now = self.now;
-                self.with(place, held, |front, clock, out, tally| {
-                    front.next_act = now + ACTS;
-                    for (duty, term) in front.office.held_tasks(clock) {
-                        tally.act(front, clock, duty, term, &others, out);
+                self.call_front(index, departure_delay, |front, clock, io, tally| {
+                    front.next_act = now + EFFECT_INTERVAL;
+                    for (task, term) in front.lease_manager.held_tasks(clock) {
+                        tally.send_effect(front, clock, task, term, &others, io);
                     }
                 });
-                if stops && let Some(front) = &mut self.fronts[place] {
-                    front.stopped_until = now + held;
-                    self.calm_since = self.calm_since.max(now + held);
+                if stops && let Some(front) = &mut self.fronts[index] {
+                    front.stopped_until = now + departure_delay;
+                    self.calm_since = self.calm_since.max(now + departure_delay);
                 }
             }
         }
     }
 
-    /// What is true of owners now.
-    fn judge(&mut self) {
-        for duty in self.duties.clone() {
-            let holds = |front: &&Front| front.office.held_term(front.clock(self.now), duty).is_some();
+    /// Checks the actual owners of each task.
+    fn check_owners(&mut self) {
+        for task in self.tasks.clone() {
+            let holds = |front: &&Front| front.lease_manager.held_term(front.clock(self.now), task).is_some();
             let owners = self.fronts.iter().flatten().filter(holds).count();
-            self.seen.two_at_once += u64::from(owners > 1);
+            self.figures.two_at_once += u64::from(owners > 1);
             let calm = self.now > self.calm_since + Duration::from_secs(1);
             if owners > 0 || !calm {
-                self.ownerless.remove(&duty);
+                self.ownerless.remove(&task);
             } else {
-                let since = *self.ownerless.entry(duty).or_insert(self.now);
-                self.seen.longest_gap = self.seen.longest_gap.max(self.now - since);
+                let since = *self.ownerless.entry(task).or_insert(self.now);
+                self.figures.longest_gap = self.figures.longest_gap.max(self.now - since);
             }
         }
     }
 }
 
-/// What one call to a front did.
+/// What a front did during one call.
 #[derive(Default)]
 struct Tally {
     done: Vec<(TaskId, u64)>,
     refused: Vec<(TaskId, u64)>,
-    took: u64,
+    acquired: u64,
 }
 
 impl Tally {
-    fn ways<'a>(&'a mut self, core: &'a mut Membership, out: &'a mut Out) -> Ways<'a> {
-        Ways { core, out, done: &mut self.done, refused: &mut self.refused, took: &mut self.took }
+    fn lease_io<'a>(&'a mut self, core: &'a mut Membership, io: &'a mut MembershipIo) -> LeaseIo<'a> {
+        LeaseIo { core, io, done: &mut self.done, refused: &mut self.refused, acquired: &mut self.acquired }
     }
 
-    fn hear(&mut self, front: &mut Front, clock: Duration, from: usize, body: &[u8], out: &mut Out) {
-        let _ = front.office.handle_message(clock, from, body, &mut self.ways(&mut front.core, out));
+    fn handle_message(
+        &mut self,
+        front: &mut Front,
+        clock: Duration,
+        from: usize,
+        body: &[u8],
+        io: &mut MembershipIo,
+    ) {
+        let _ =
+            front.lease_manager.handle_message(clock, from, body, &mut self.lease_io(&mut front.core, io));
     }
 
-    fn due(&mut self, front: &mut Front, clock: Duration, sight: FleetView, out: &mut Out) {
-        front.office.handle_timeout(clock, sight, &mut self.ways(&mut front.core, out));
+    fn handle_timeout(&mut self, front: &mut Front, clock: Duration, view: FleetView, io: &mut MembershipIo) {
+        front.lease_manager.handle_timeout(clock, view, &mut self.lease_io(&mut front.core, io));
     }
 
-    fn act(
+    fn send_effect(
         &mut self,
         front: &mut Front,
         clock: Duration,
-        duty: TaskId,
+        task: TaskId,
         term: u64,
         to: &[usize],
-        out: &mut Out,
+        io: &mut MembershipIo,
     ) {
-        front.office.send_effect(
+        front.lease_manager.send_effect(
             &mut || clock,
-            duty,
+            task,
             term,
             to,
             b"effect",
-            &mut self.ways(&mut front.core, out),
+            &mut self.lease_io(&mut front.core, io),
         );
     }
 }
--- a/crates/lab/src/prove.rs
+++ b/crates/lab/src/prove.rs
@@ -1,23 +1,24 @@
-//! The laboratory's own proof: same seed, same day; every auditor finds what it is there for; simulated and
-//! real are near each other.
+//! Self-check of the laboratory: the same seed gives the same run, every auditor detects the violation that it exists
+//! for, and simulated figures are close to those measured on sockets.
 
-use crate::experiment::all;
-use crate::fronts::{Broken, Policy};
+use crate::experiment::run_all;
+use crate::fronts::{Defect, Policy};
 use crate::measure::Outcome;
 use crate::scenario::{Befallen, Befalls, Of, Runs, Scenario, find};
 use crate::simulate::simulate;
 use crate::sockets;
 use std::fmt;
 
-/// Served on sockets may differ by so much from what is simulated.
-pub const NEAR: f64 = 0.10;
+/// Maximum difference between the served shares on sockets and in simulated time.
+pub const MAX_DIFFERENCE: f64 = 0.10;
 
+/// Results of the self-check.
 #[derive(Debug, Default)]
 pub struct Figures {
     pub scenarios: usize,
     pub equal: usize,
     pub wanted: usize,
-    /// Which auditors found their rule broken.
+    /// Number of auditors that detected the violation of their rule.
     pub auditors: usize,
     pub difference: Option<f64>,
     pub events_per_s: f64,
@@ -25,10 +26,11 @@
 }
 
 impl Figures {
+    /// Whether all checks passed.
     pub fn holds(&self) -> bool {
         self.equal == self.wanted
-            && self.auditors == Broken::ALL.len()
-            && self.difference.is_none_or(|d| d <= NEAR)
+            && self.auditors == Defect::ALL.len()
+            && self.difference.is_none_or(|d| d <= MAX_DIFFERENCE)
     }
 }
 
@@ -44,9 +46,9 @@
     }
 }
 
-/// A day on which a router that is broken in that way breaks its rule.
-pub fn trap(broken: Broken) -> Scenario {
-    let mut scenario = Scenario { title: format!("{broken:?}"), lasts_s: 14.0, ..Scenario::default() };
+/// A scenario in which a router with this defect violates the corresponding rule.
+pub fn scenario_exposing(defect: Defect) -> Scenario {
+    let mut scenario = Scenario { title: format!("{defect:?}"), lasts_s: 14.0, ..Scenario::default() };
     let trouble = |what, of, at_s, lasts_s, by| Befallen {
         at_s,
         lasts_s,
@@ -56,47 +58,51 @@
         share: None,
         by,
     };
-    match broken {
-        // Something has to be declined.
-        Broken::Answers => scenario.troubles.push(trouble(Befalls::Surge, Of::All, 3.0, 6.0, Some(6.0))),
-        Broken::Twice => scenario.load.kinds[2].runs = Runs::OnceOnly,
-        Broken::Drains => scenario.troubles.push(trouble(Befalls::Drained, Of::Member, 2.0, 9.0, None)),
-        Broken::Cold => {
-            // Little is needed for it to fall, and much can wait there.
+    match defect {
+        // The surge makes the router decline txns.
+        Defect::Answers => scenario.troubles.push(trouble(Befalls::Surge, Of::All, 3.0, 6.0, Some(6.0))),
+        Defect::Twice => scenario.load.kinds[2].runs = Runs::OnceOnly,
+        Defect::Drains => scenario.troubles.push(trouble(Befalls::Drained, Of::Member, 2.0, 9.0, None)),
+        Defect::Cold => {
+            // The member crashes under a small overload, and its long queue allows that overload.
             (scenario.load.per_second, scenario.fleet.falls_at, scenario.fleet.waiting) = (900.0, 0.7, 400);
             scenario.troubles.push(trouble(Befalls::Killed, Of::Replicas, 3.0, 3.0, None));
         }
-        Broken::Stale => scenario.troubles.push(trouble(Befalls::Lags, Of::Replicas, 2.0, 9.0, Some(200.0))),
+        Defect::Stale => scenario.troubles.push(trouble(Befalls::Lags, Of::Replicas, 2.0, 9.0, Some(200.0))),
     }
     scenario
 }
 
-/// Whether the auditor of a rule sees that a router is broken, and finds nothing on a sound one.
+/// Checks that the auditor of a rule detects the defective router and reports nothing for the sound one.
 pub fn auditor(rule: usize, seed: u64) -> Result<(), String> {
-    let broken = Broken::ALL[rule];
-    let scenario = trap(broken);
-    let sound = simulate(&scenario, seed, Policy::Router, None, false);
-    if !sound.rules_kept() {
-        return Err(format!("the sound router breaks {:?}: {:?}", sound.rules_broken, sound.broken.first()));
+    let defect = Defect::ALL[rule];
+    let scenario = scenario_exposing(defect);
+    let without_defect = simulate(&scenario, seed, Policy::Router, None, false);
+    if !without_defect.rules_kept() {
+        return Err(format!(
+            "the sound router violates rules {:?}: {:?}",
+            without_defect.rules_broken,
+            without_defect.broken.first()
+        ));
     }
-    let caught = simulate(&scenario, seed, Policy::Router, Some(broken), false);
-    if caught.rules_broken[rule] == 0 {
-        return Err(format!("rule {} is not seen to be broken", rule + 1));
+    let with_defect = simulate(&scenario, seed, Policy::Router, Some(defect), false);
+    if with_defect.rules_broken[rule] == 0 {
+        return Err(format!("the violation of rule {} was not detected", rule + 1));
     }
     Ok(())
 }
 
-/// Plays three scenarios twice, and once on another number of threads; breaks the router once for each rule;
-/// plays one scenario both ways, if there is a program.
+/// Runs three scenarios twice, and once more on a single thread; checks each auditor with a defective router; runs
+/// one scenario both in simulated time and on sockets if `program` is given.
 pub fn prove(seed: u64, program: Option<&str>) -> Result<Figures, String> {
     let mut figures = Figures::default();
     let names = ["primary-killed", "zone-cut", "everything"];
     let scenarios: Vec<Scenario> = names.iter().map(|name| find(name)).collect::<Result<_, _>>()?;
     let twice: Vec<&Scenario> = scenarios.iter().chain(&scenarios).collect();
     let run = |scenario: &&Scenario| simulate(scenario, seed, Policy::Router, None, false);
-    let many: Vec<Outcome> = all(&twice, true, run);
+    let many: Vec<Outcome> = run_all(&twice, true, run);
     let one = rayon::ThreadPoolBuilder::new().num_threads(1).build().map_err(|e| e.to_string())?;
-    let alone: Vec<Outcome> = one.install(|| all(&twice[..scenarios.len()], true, run));
+    let alone: Vec<Outcome> = one.install(|| run_all(&twice[..scenarios.len()], true, run));
     (figures.scenarios, figures.wanted) = (scenarios.len(), scenarios.len());
     for (i, name) in names.iter().enumerate() {
         let traces = [&many[i], &many[i + scenarios.len()], &alone[i]].map(|run| &run.trace);
@@ -115,7 +121,7 @@
     }
     let (events, wall) = alone.iter().fold((0, 0.0), |(e, w), run| (e + run.events, w + run.wall_s));
     figures.events_per_s = events as f64 / f64::max(wall, 1e-9);
-    for rule in 0..Broken::ALL.len() {
+    for rule in 0..Defect::ALL.len() {
         match auditor(rule, seed) {
             Ok(()) => figures.auditors += 1,
             Err(why) => figures.notes.push(format!("auditor {}: {why}", rule + 1)),
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,4 +1,4 @@
-//! One page of HTML that needs nothing else: figures, and plots with the troubles shaded.
+//! Reports as self-contained HTML pages: figures, and plots in which the times of faults are shaded.
 
 use crate::experiment::Pair;
 use crate::measure::Outcome;
@@ -9,8 +9,8 @@
 const SIZE: (u32, u32) = (920, 240);
 const COLOURS: [RGBColor; 4] =
     [RGBColor(31, 90, 166), RGBColor(200, 80, 30), RGBColor(40, 130, 70), RGBColor(120, 60, 140)];
-/// What each state of belief is called, and its colour.
-const BELIEFS: [(&str, RGBColor); 4] = [
+/// Label and colour of each state of a front's view of the primary, by the codes in `StateSample::primaries`.
+const PRIMARY_VIEWS: [(&str, RGBColor); 4] = [
     ("agreed", RGBColor(205, 225, 205)),
     ("no primary", RGBColor(235, 190, 90)),
     ("front knows of none", RGBColor(130, 160, 210)),
@@ -53,40 +53,40 @@
     format!("rgb({},{},{})", colour.0, colour.1, colour.2)
 }
 
-fn plain(why: impl std::fmt::Display) -> String {
-    format!("a plot: {why}")
+fn plot_error(why: impl std::fmt::Display) -> String {
+    format!("cannot draw the plot: {why}")
 }
 
-/// Lines over the seconds of a day, troubles shaded behind them.
+/// Line plot over the seconds of a run, with the times of faults shaded.
 fn lines(scenario: &Scenario, series: &[(String, Vec<(f64, f64)>)]) -> Result<String, String> {
     let mut svg = String::new();
     {
         let root = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        root.fill(&WHITE).map_err(plain)?;
+        root.fill(&WHITE).map_err(plot_error)?;
         let most = series.iter().flat_map(|s| &s.1).map(|p| p.1).fold(0.0, f64::max).max(1e-3);
         let mut chart = ChartBuilder::on(&root)
             .margin(8)
             .x_label_area_size(28)
             .y_label_area_size(52)
             .build_cartesian_2d(0.0..scenario.lasts_s, 0.0..most * 1.08)
-            .map_err(plain)?;
+            .map_err(plot_error)?;
         let shade = scenario.troubles.iter().map(|t| {
             let corners = [(t.at_s, 0.0), (t.at_s + t.lasts_s, most * 1.08)];
             Rectangle::new(corners, RGBColor(200, 120, 120).mix(0.13).filled())
         });
-        chart.draw_series(shade).map_err(plain)?;
-        chart.configure_mesh().x_desc("seconds").light_line_style(WHITE).draw().map_err(plain)?;
+        chart.draw_series(shade).map_err(plot_error)?;
+        chart.configure_mesh().x_desc("seconds").light_line_style(WHITE).draw().map_err(plot_error)?;
         for ((_, points), colour) in series.iter().zip(COLOURS.iter().cycle()) {
             chart
                 .draw_series(LineSeries::new(points.iter().copied(), colour.stroke_width(2)))
-                .map_err(plain)?;
+                .map_err(plot_error)?;
         }
-        root.present().map_err(plain)?;
+        root.present().map_err(plot_error)?;
     }
     Ok(svg)
 }
 
-/// Lines over sizes, both axes by their logarithm.
+/// Line plot over the number of fronts, with both axes logarithmic.
 fn by_size(unit: &str, series: &[(String, Vec<(f64, f64)>)]) -> Result<String, String> {
     let points = || series.iter().flat_map(|s| &s.1).copied().filter(|p| p.1 > 0.0);
     let fold =
@@ -96,29 +96,35 @@
     let mut svg = String::new();
     {
         let root = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        root.fill(&WHITE).map_err(plain)?;
+        root.fill(&WHITE).map_err(plot_error)?;
         let (x, y) = ((x0 * 0.9..x1 * 1.1).log_scale(), (y0 * 0.7..y1 * 1.4).log_scale());
         let mut chart = ChartBuilder::on(&root)
             .margin(8)
             .x_label_area_size(28)
             .y_label_area_size(60)
             .build_cartesian_2d(x, y)
-            .map_err(plain)?;
-        chart.configure_mesh().x_desc("fronts").y_desc(unit).light_line_style(WHITE).draw().map_err(plain)?;
+            .map_err(plot_error)?;
+        chart
+            .configure_mesh()
+            .x_desc("fronts")
+            .y_desc(unit)
+            .light_line_style(WHITE)
+            .draw()
+            .map_err(plot_error)?;
         for ((_, points), colour) in series.iter().zip(COLOURS.iter().cycle()) {
             let there: Vec<(f64, f64)> = points.iter().copied().filter(|p| p.1 > 0.0).collect();
             let marks = there.iter().map(|&at| Circle::new(at, 3, colour.filled()));
-            chart.draw_series(marks).map_err(plain)?;
-            chart.draw_series(LineSeries::new(there, colour.stroke_width(2))).map_err(plain)?;
+            chart.draw_series(marks).map_err(plot_error)?;
+            chart.draw_series(LineSeries::new(there, colour.stroke_width(2))).map_err(plot_error)?;
         }
-        root.present().map_err(plain)?;
+        root.present().map_err(plot_error)?;
     }
     Ok(svg)
 }
 
-/// A page of what membership costs and does in tiers of several sizes.
-pub fn of_sizes(title: &str, rows: &[crate::circle::Seen]) -> Result<String, String> {
-    let series = |name: &str, of: fn(&crate::circle::Seen) -> f64| {
+/// Page on the cost and behaviour of the membership protocol for several numbers of fronts.
+pub fn of_sizes(title: &str, rows: &[crate::circle::Results]) -> Result<String, String> {
+    let series = |name: &str, of: fn(&crate::circle::Results) -> f64| {
         (name.to_owned(), rows.iter().map(|row| (row.fronts as f64, of(row))).collect::<Vec<_>>())
     };
     let plots = [
@@ -156,29 +162,29 @@
     pages.add_template("page", PAGE).map_err(|e| e.to_string())?;
     let page = pages.get_template("page").map_err(|e| e.to_string())?;
     let about = "Simulated figures: the program's own core for each front, in simulated time.";
-    page.render(context! { title, about, plots }).map_err(|e| format!("the page: {e:#}"))
+    page.render(context! { title, about, plots }).map_err(|e| format!("cannot render the page: {e:#}"))
 }
 
-/// The axes of a plot with a row for each thing.
+/// Axes of a plot with one row per group or member.
 fn bands(scenario: &Scenario, rows: usize, name: &str) -> Result<String, String> {
     let mut svg = String::new();
     {
         let height = (rows as u32 * 12).clamp(60, 620) + 60;
         let root = SVGBackend::with_string(&mut svg, (SIZE.0, height)).into_drawing_area();
-        root.fill(&WHITE).map_err(plain)?;
+        root.fill(&WHITE).map_err(plot_error)?;
         let mut chart = ChartBuilder::on(&root)
             .margin(8)
             .x_label_area_size(28)
             .y_label_area_size(52)
             .build_cartesian_2d(0.0..scenario.lasts_s, 0.0..rows as f64)
-            .map_err(plain)?;
-        chart.configure_mesh().disable_mesh().x_desc("seconds").y_desc(name).draw().map_err(plain)?;
-        root.present().map_err(plain)?;
+            .map_err(plot_error)?;
+        chart.configure_mesh().disable_mesh().x_desc("seconds").y_desc(name).draw().map_err(plot_error)?;
+        root.present().map_err(plot_error)?;
     }
     Ok(svg)
 }
 
-/// Neighbours of one colour in a row are one cell.
+/// Merges adjacent cells of the same colour in a row.
 fn merged(mut cells: Vec<(f64, usize, RGBColor)>, step: f64) -> Vec<(f64, f64, usize, RGBColor)> {
     cells.sort_by(|a, b| a.1.cmp(&b.1).then(a.0.total_cmp(&b.0)));
     let mut merged: Vec<(f64, f64, usize, RGBColor)> = Vec::new();
@@ -221,26 +227,26 @@
     let Some(run) = runs.iter().find(|run| !run.moments.is_empty()) else { return Ok(plots) };
     let step = run.moments.get(1).map_or(0.25, |m| m.at_s - run.moments[0].at_s);
     let groups = run.moments.iter().map(|m| m.primaries.len()).max().unwrap_or(0);
-    let beliefs: Vec<_> = run
+    let primary_views: Vec<_> = run
         .moments
         .iter()
         .flat_map(|m| {
             m.primaries
                 .iter()
                 .enumerate()
-                .map(|(g, &b)| (m.at_s, g, BELIEFS[usize::from(b) % BELIEFS.len()].1))
+                .map(|(g, &b)| (m.at_s, g, PRIMARY_VIEWS[usize::from(b) % PRIMARY_VIEWS.len()].1))
         })
         .collect();
-    let key: Vec<_> = BELIEFS.iter().map(|(name, colour)| ((*name).to_owned(), *colour)).collect();
+    let key: Vec<_> = PRIMARY_VIEWS.iter().map(|(name, colour)| ((*name).to_owned(), *colour)).collect();
     plots.push(plot(
         "Who is primary, by group: the first front beside the truth",
         &key,
-        cells(scenario, groups, beliefs, step, "group")?,
+        cells(scenario, groups, primary_views, step, "group")?,
     ));
     let members = run.moments.iter().map(|m| m.held.len()).max().unwrap_or(0);
     let most = run.moments.iter().flat_map(|m| &m.held).copied().max().unwrap_or(1).max(1);
     let shade = |held: u16| {
-        // Few steps: neighbours that look alike become one.
+        // Only a few shades, so that similar neighbours merge into one cell.
         let level = (f64::from(held) / f64::from(most) * 6.0).ceil() / 6.0;
         let part = |full: f64| (255.0 - (255.0 - full) * level) as u8;
         RGBColor(part(150.0), part(20.0), part(20.0))
@@ -293,10 +299,11 @@
 fn page(context: Value) -> Result<String, String> {
     let mut environment = Environment::new();
     environment.set_auto_escape_callback(|_| AutoEscape::Html);
-    environment.render_str(PAGE, context).map_err(|e| format!("the page: {e:#}"))
+    environment.render_str(PAGE, context).map_err(|e| format!("cannot render the page: {e:#}"))
 }
 
-/// The page of runs of one scenario; the first is the one whose moments are shown.
+/// Page on runs of one scenario. The first run determines heading and unmet expectations; the state samples shown are
+/// those of the first run that has any.
 pub fn of_runs(scenario: &Scenario, runs: &[&Outcome]) -> Result<String, String> {
     let rows: Vec<Value> = runs
         .iter()
@@ -327,21 +334,21 @@
             context! { what, from => t.at_s, to => t.at_s + t.lasts_s }
         })
         .collect();
-    let first = runs.first().ok_or("no run to be shown")?;
+    let first = runs.first().ok_or("there is no run to report")?;
     page(context! {
         title => scenario.title,
         about => scenario.about,
         simulated => first.simulated,
         seed => first.seed,
         runs => rows,
-        misses => first.misses(scenario),
+        misses => first.unmet_expectations(scenario),
         words => first.broken,
         troubles,
         plots => plots(scenario, runs)?,
     })
 }
 
-/// The page of a comparison, with the plots of one scenario overlaid.
+/// Page on a comparison, with the plots of one scenario overlaid.
 pub fn of_pairs(
     pairs: &[Pair],
     a: &str,
--- a/crates/lab/src/request_logs.rs
+++ b/crates/lab/src/request_logs.rs
@@ -1,35 +1,36 @@
-//! Reads what processes have logged at debug level (`JUNIPERDOCK_LOG=debug`, form of a terminal): whether each request that
-//! was received came to an end, what was written after an end, what connections owed when the process ended them, and how
-//! long workers were held up.
+//! Analyses logs that processes wrote at debug level (`JUNIPERDOCK_LOG=debug`, terminal format): whether each request
+//! that was received ended, what was written after its end, which connections were closed by the process with work
+//! outstanding, and how long workers were held up.
 
 use std::collections::HashMap;
 use std::fmt;
 use std::path::Path;
 use std::time::Duration;
 
-/// Hold-ups over this are counted apart.
-const LONG: Duration = Duration::from_millis(60);
+/// Hold-ups longer than this are also counted separately.
+const LONG_HOLD_UP: Duration = Duration::from_millis(60);
 
-/// What the logs of one or more processes have shown.
+/// Findings from the logs of one or more processes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Findings {
     pub processes: usize,
     pub received: usize,
-    /// Received, and neither answered nor abandoned by the end of the log: a process that was killed has some.
+    /// Requests received, but neither answered nor abandoned by the end of the log; expected for a process that was
+    /// killed.
     pub without_end: usize,
-    /// Written to a server after the request's end.
+    /// Requests written to a server after their end.
     pub written_after_end: usize,
-    /// Connections that the process ended while it owed something on them.
+    /// Connections that the process closed while requests or answers on them were incomplete.
     pub closed_with_debt: usize,
-    /// Times that a worker did not run for over 40 ms.
+    /// Number of times that a worker did not run for more than 40 ms.
     pub held_up: usize,
     pub held_up_long: usize,
     pub longest: Duration,
-    /// Of these, the worker slept though work was ready.
+    /// Hold-ups in which the worker slept although work was ready.
     pub slept: usize,
 }
 
-/// The word behind `key: ` in a line.
+/// The value after `key: ` in a line.
 fn field<'a>(line: &'a str, key: &str) -> Option<&'a str> {
     let begin = line.find(&format!(", {key}: "))? + key.len() + 4;
     let rest = &line[begin..];
@@ -40,27 +41,27 @@
     field(line, key)?.parse().ok()
 }
 
-/// The process ended this connection, and not its client.
-fn by_process(reason: &str) -> bool {
+/// Whether this close reason means that the process closed the connection, not the client.
+fn is_closed_by_process(reason: &str) -> bool {
     matches!(reason, "Idle" | "MadeRoom" | "NoSlot" | "ShuttingDown")
 }
 
 impl Findings {
-    /// Takes in the log of one process.
+    /// Adds the log of one process.
     pub fn read_process(&mut self, text: &str) {
         let mut ended: HashMap<u64, bool> = HashMap::new();
         for line in text.lines() {
             if let (Some(request), Some(event)) = (number(line, "request"), field(line, "event")) {
                 self.request(request, event, &mut ended);
             } else if line.contains(" client closed, ") {
-                let owes =
+                let has_debt =
                     ["unanswered", "unsent", "half_read"].iter().any(|key| number(line, key) > Some(0));
-                let ended_here = field(line, "reason").is_some_and(by_process);
-                self.closed_with_debt += usize::from(owes && ended_here);
+                let closed_by_process = field(line, "reason").is_some_and(is_closed_by_process);
+                self.closed_with_debt += usize::from(has_debt && closed_by_process);
             } else if line.contains(" held up, ") {
                 let lasted = Duration::from_micros(number(line, "for_us").unwrap_or(0));
                 self.held_up += 1;
-                self.held_up_long += usize::from(lasted > LONG);
+                self.held_up_long += usize::from(lasted > LONG_HOLD_UP);
                 self.longest = self.longest.max(lasted);
             } else if line.contains(" beat delayed, ") {
                 self.slept += usize::from(field(line, "idle") == Some("true"));
@@ -84,10 +85,10 @@
         }
     }
 
-    /// Takes in all logs of a folder.
+    /// Adds all files named `*.log` in a folder.
     ///
     /// # Errors
-    /// Where the folder or a file can't be read, or there is no log.
+    /// Fails if the folder or a file cannot be read, or if there is no log.
     pub fn read_folder(&mut self, folder: &Path) -> Result<(), String> {
         let failed = |e: std::io::Error| format!("{}: {e}", folder.display());
         let before = self.processes;
@@ -104,7 +105,7 @@
         Ok(())
     }
 
-    /// Nothing that must not be. Requests without an end are those of processes that were killed, or a fault.
+    /// Whether no violation was found. Requests without an end do not count: they also come from killed processes.
     pub fn hold(&self) -> bool {
         self.written_after_end == 0 && self.closed_with_debt == 0
     }
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -1,5 +1,5 @@
-//! Scenarios: a fleet, its load, what befalls it, and what is expected of the fronts. Files in JSON5, checked
-//! with line and field.
+//! Scenarios: a fleet, its load, the faults injected into it, and the results expected of the fronts.
+//! Scenario files are JSON5; errors are reported with line and field.
 
 use garde::Validate;
 use juniperdock_emulator::{Crowd, Election, Ill, Kind, Log, Node, Shape, Trouble, What, Whom};
@@ -9,33 +9,35 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Which txns a type stands for.
+/// Consistency that a txn type needs.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Reads {
-    /// Taken by the primary alone.
+    /// Accepted by the primary only.
     Write,
-    /// Data no older than `bound_ms`.
+    /// Reads data that is at most `bound_ms` old.
     Bounded,
-    /// Any data.
+    /// Reads data of any age.
     Loose,
 }
 
+/// Whether a txn type may be run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Runs {
     Repeatable,
-    /// Its group drops a repeat for `marks_ms`.
+    /// The group discards duplicates for `marks_ms`.
     Referenced,
     OnceOnly,
 }
 
+/// A txn type in the load.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct OfKind {
     #[garde(length(min = 1, max = 40))]
     pub name: String,
-    /// Its part of all txns, against those of the others.
+    /// Weight of this type among all txns, relative to the other types.
     #[garde(range(min = 0.0, max = 1e6))]
     pub part: f64,
     #[garde(skip)]
@@ -44,7 +46,7 @@
     pub runs: Runs,
     #[garde(range(min = 1, max = 600_000))]
     pub bound_ms: u64,
-    /// Work of one core, least and most.
+    /// Minimum and maximum CPU time on one core.
     #[garde(custom(ordered))]
     pub work_ms: [f64; 2],
     #[garde(range(min = 1, max = 600_000))]
@@ -53,7 +55,7 @@
     pub expiry_ms: u64,
     #[garde(range(min = 0.0, max = 1e6))]
     pub value: f64,
-    /// Share of the value that is left after the SLA time.
+    /// Share of the value that remains after the SLA time.
     #[garde(range(min = 0.0, max = 1.0))]
     pub late_value: f64,
 }
@@ -75,6 +77,7 @@
     }
 }
 
+/// The emulated fronts and members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fleet {
@@ -82,12 +85,12 @@
     pub zones: usize,
     #[garde(range(min = 1, max = 2000))]
     pub fronts: usize,
-    /// The fronts know each other.
+    /// Whether the fronts run the membership protocol among themselves.
     #[garde(skip)]
     pub fellows: bool,
     #[garde(range(min = 1, max = 10_000))]
     pub groups: usize,
-    /// Members of each group.
+    /// Members per group.
     #[garde(range(min = 1, max = 100))]
     pub members: usize,
     #[garde(range(min = 0.1, max = 1024.0))]
@@ -96,7 +99,7 @@
     pub slots: usize,
     #[garde(range(min = 0, max = 100_000))]
     pub waiting: usize,
-    /// Txns a core beyond which each one more slows the member down.
+    /// Txns per core above which each additional one slows the member down.
     #[garde(range(min = 1.0, max = 1e6))]
     pub thrash: f64,
     #[garde(range(min = 1, max = 1_000_000))]
@@ -105,7 +108,7 @@
     pub handshake_ms: f64,
     #[garde(range(min = 0.0, max = 1000.0))]
     pub probe_ms: f64,
-    /// One way, within a zone and between two.
+    /// One-way latency within a zone (`near_ms`) and between zones (`far_ms`).
     #[garde(range(min = 0.01, max = 1000.0))]
     pub near_ms: f64,
     #[garde(range(min = 0.01, max = 1000.0))]
@@ -114,12 +117,12 @@
     pub report_every_ms: u64,
     #[garde(custom(ordered))]
     pub list_late_ms: [f64; 2],
-    /// Share of its capacity with which a member starts, and the time until it has all of it.
+    /// Share of its capacity that a member has when it starts; `warm_up_ms` is the time until full capacity.
     #[garde(range(min = 0.01, max = 1.0))]
     pub cold_share: f64,
     #[garde(range(min = 1, max = 600_000))]
     pub warm_up_ms: u64,
-    /// A cold member falls over that is sent so many times what it can do, for so long.
+    /// A cold member crashes when it receives this multiple of its capacity for `falls_after_ms`.
     #[garde(range(min = 1.0, max = 100.0))]
     pub falls_at: f64,
     #[garde(range(min = 1, max = 60_000))]
@@ -128,10 +131,10 @@
     pub ship_ms: f64,
     #[garde(range(min = 0.0, max = 1000.0))]
     pub apply_ms: f64,
-    /// Reads longer than this keep the log of their member from being applied.
+    /// Reads that take longer than this block log replay on their member.
     #[garde(range(min = 1.0, max = 1e6))]
     pub blocks_ms: f64,
-    /// Writes are answered once a replica has them.
+    /// Writes are answered only after a replica has received them.
     #[garde(skip)]
     pub synchronous: bool,
     #[garde(range(min = 0, max = 25_000))]
@@ -182,18 +185,19 @@
     }
 }
 
+/// The load that clients generate.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct Load {
     #[garde(range(min = 0.0, max = 1e6))]
     pub per_second: f64,
-    /// How many times that, second by second; the last one stays.
+    /// Multiplier of `per_second` for each second of the run; the last one applies from then on.
     #[garde(inner(range(min = 0.0, max = 1000.0)))]
     pub series: Vec<f64>,
-    /// Zipf's exponent over the groups; 0 loads all alike.
+    /// Exponent of the Zipf distribution over the groups; 0 loads all groups equally.
     #[garde(range(min = 0.0, max = 5.0))]
     pub skew: f64,
-    /// Share of the expiry for which a client waits, least and most.
+    /// Minimum and maximum share of the expiry for which a client waits.
     #[garde(custom(ordered))]
     pub patience: [f64; 2],
     #[garde(range(min = 0, max = 100))]
@@ -238,7 +242,7 @@
     }
 }
 
-/// What befalls whom. `by`: how many times slower, later or more, or the share that fails.
+/// Kind of fault. `by` is the factor by which something gets slower, later or more, or the share that fails.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Befalls {
@@ -263,7 +267,7 @@
     Surge,
 }
 
-/// Whom: a member, zone or front by its number, or members by a group's number.
+/// Target of a fault: a member or zone by its number, or members of a group by the group's number.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Of {
@@ -272,10 +276,11 @@
     Replicas,
     Zone,
     All,
-    /// `share` of all members, drawn by the seed.
+    /// `share` of all members, selected at random from the seed.
     Some,
 }
 
+/// A fault that is injected at a given time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Befallen {
@@ -288,7 +293,7 @@
     #[garde(skip)]
     #[serde(default)]
     pub of: Option<Of>,
-    /// The number of the member, group, zone or front.
+    /// Number of the member, group, zone or front, counted from 0.
     #[garde(skip)]
     #[serde(default)]
     pub number: usize,
@@ -300,26 +305,28 @@
     pub by: Option<f64>,
 }
 
-/// What a run has to show.
+/// Results that a run is expected to reach.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct Expect {
-    /// Value answered in time over value asked for, in all, and in the worst five seconds.
+    /// Value answered in time divided by value requested, over the whole run; `worst_window` is the same
+    /// ratio in the worst five seconds.
     #[garde(inner(range(min = 0.0, max = 1.0)))]
     pub served: Option<f64>,
     #[garde(inner(range(min = 0.0, max = 1.0)))]
     pub worst_window: Option<f64>,
-    /// Seconds after the end of the last trouble until service is as before it.
+    /// Seconds from the end of the last fault until service is back at its level before the faults.
     #[garde(inner(range(min = 0.0, max = 86_400.0)))]
     pub recovered_s: Option<f64>,
 }
 
+/// A complete scenario.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct Scenario {
     #[garde(length(min = 1, max = 120))]
     pub title: String,
-    /// What is looked at, in a sentence or two.
+    /// Description in one or two sentences.
     #[garde(skip)]
     pub about: String,
     #[garde(range(min = 1.0, max = 86_400.0))]
@@ -351,7 +358,7 @@
 fn ordered(range: &[f64; 2], _: &()) -> garde::Result {
     let [least, most] = *range;
     if least < 0.0 || least > most || !most.is_finite() || most > 1e9 {
-        return Err(garde::Error::new("expected a least and a most, in this order"));
+        return Err(garde::Error::new("expected a minimum and a maximum, in this order"));
     }
     Ok(())
 }
@@ -364,10 +371,10 @@
     (ms(least), ms(most))
 }
 
-/// Reads a scenario; every fault is told with its line and field.
+/// Parses and validates a scenario; every error is reported with its line and field.
 pub fn read(text: &str) -> Result<Scenario, Vec<Fault>> {
     let scenario: Scenario = juniperdock_operator_config::read_as(text)?;
-    let faults = scenario.impossible();
+    let faults = scenario.validate_consistency();
     if !faults.is_empty() {
         return Err(faults.into_iter().map(|(field, why)| fault(text, &field, why)).collect());
     }
@@ -375,8 +382,8 @@
 }
 
 impl Scenario {
-    /// What is asked for and can't be.
-    fn impossible(&self) -> Vec<(String, String)> {
+    /// Validates constraints between fields; returns the field and the reason for each violation.
+    fn validate_consistency(&self) -> Vec<(String, String)> {
         let (fleet, mut faults) = (&self.fleet, Vec::new());
         let members = fleet.groups * fleet.members;
         if members > 20_000 {
@@ -387,24 +394,30 @@
         }
         for (i, kind) in self.load.kinds.iter().enumerate() {
             if self.load.kinds[..i].iter().any(|other| other.name == kind.name) {
-                faults.push((format!("load.kinds[{i}].name"), format!("{:?} is there twice", kind.name)));
+                faults.push((
+                    format!("load.kinds[{i}].name"),
+                    format!("{:?} is defined more than once", kind.name),
+                ));
             }
             if kind.reads == Reads::Write && kind.runs == Runs::Repeatable {
                 continue;
             }
             if kind.reads != Reads::Write && kind.runs != Runs::Repeatable {
-                faults.push((format!("load.kinds[{i}].runs"), "a read is repeatable".to_owned()));
+                faults.push((format!("load.kinds[{i}].runs"), "expected repeatable for a read".to_owned()));
             }
         }
         if self.load.kinds.iter().map(|kind| kind.part).sum::<f64>() <= 0.0 {
-            faults.push(("load.kinds".to_owned(), "expected a part over 0".to_owned()));
+            faults.push(("load.kinds".to_owned(), "expected at least one part greater than 0".to_owned()));
         }
         for (i, trouble) in self.troubles.iter().enumerate() {
-            let mut wrong = |name: &str, why: String| faults.push((format!("troubles[{i}].{name}"), why));
+            let mut report = |name: &str, why: String| faults.push((format!("troubles[{i}].{name}"), why));
             if trouble.at_s + trouble.lasts_s > self.lasts_s {
-                wrong(
+                report(
                     "at_s",
-                    format!("it ends {} s after the end", trouble.at_s + trouble.lasts_s - self.lasts_s),
+                    format!(
+                        "the fault ends {} s after the end of the scenario",
+                        trouble.at_s + trouble.lasts_s - self.lasts_s
+                    ),
                 );
             }
             let fleet_wide = matches!(trouble.what, Befalls::ListSilent | Befalls::ListLate | Befalls::Surge);
@@ -415,7 +428,7 @@
                 (Befalls::ZoneCut, _) => (fleet.zones, "zones"),
                 (Befalls::FrontStands | Befalls::FrontKilled, _) => (fleet.fronts, "fronts"),
                 (_, None) => {
-                    wrong("what", "expected of: member, primary, replicas, zone, all or some".to_owned());
+                    report("what", "expected of: member, primary, replicas, zone, all or some".to_owned());
                     continue;
                 }
                 (_, Some(Of::Member)) => (members, "members"),
@@ -424,13 +437,16 @@
                 (_, Some(Of::All | Of::Some)) => (usize::MAX, ""),
             };
             if trouble.number >= most {
-                wrong(
+                report(
                     "number",
-                    format!("expected one of {most} {what}, counted from 0, found {}", trouble.number),
+                    format!(
+                        "expected a number below {most} ({what} are counted from 0), found {}",
+                        trouble.number
+                    ),
                 );
             }
             if trouble.of == Some(Of::Some) && !fleet_wide && !by_number && trouble.share.is_none() {
-                wrong("of", "expected a share".to_owned());
+                report("of", "expected a value for share".to_owned());
             }
             let needs = matches!(
                 trouble.what,
@@ -442,24 +458,24 @@
                     | Befalls::Surge
             );
             if needs && trouble.by.is_none() {
-                wrong("what", "expected by".to_owned());
+                report("what", "expected a value for by".to_owned());
             }
             let share = matches!(trouble.what, Befalls::Errors | Befalls::LosesAnswers);
             if trouble.by.is_some_and(|by| share && by > 1.0 || !share && by <= 0.0) {
-                wrong("by", "expected a share up to 1, or a number over 0".to_owned());
+                report("by", "expected a share of at most 1, or a number greater than 0".to_owned());
             }
         }
         faults
     }
 
-    /// The world that a seed makes of it.
+    /// Parameters of the emulator for this scenario and seed.
     pub fn shape(&self, seed: u64) -> Shape {
         let fleet = &self.fleet;
         let kinds = self.load.kinds.iter().map(|kind| Kind {
             name: kind.name.clone(),
             part: kind.part,
             work: range(kind.work_ms),
-            terms: self.terms(kind),
+            terms: self.txn_type(kind),
             expiry: Duration::from_millis(kind.expiry_ms),
         });
         let members = (0..fleet.groups).flat_map(|group| {
@@ -513,6 +529,7 @@
         }
     }
 
+    /// Parameters of a member's cold start.
     pub fn cold(&self) -> ColdStart {
         ColdStart {
             share: self.fleet.cold_share,
@@ -522,7 +539,7 @@
         }
     }
 
-    fn terms(&self, kind: &OfKind) -> TxnType {
+    fn txn_type(&self, kind: &OfKind) -> TxnType {
         let window = Duration::from_millis(self.fleet.marks_ms);
         TxnType {
             sla: Duration::from_millis(kind.sla_ms),
@@ -541,8 +558,8 @@
         }
     }
 
-    /// When the last trouble ends.
-    pub fn healed_s(&self) -> Option<f64> {
+    /// Time at which the last fault ends, in seconds; `None` without faults.
+    pub fn last_fault_end_s(&self) -> Option<f64> {
         self.troubles.iter().map(|t| t.at_s + t.lasts_s).max_by(f64::total_cmp)
     }
 }
@@ -585,15 +602,15 @@
     }
 }
 
-macro_rules! shelf {
+macro_rules! built_in_scenarios {
     ($($name:literal),* $(,)?) => {
-        /// The scenarios that come with the laboratory, by name.
-        pub const SHELF: &[(&str, &str)] =
+        /// Scenarios that are compiled into the laboratory: name and text.
+        pub const BUILT_IN_SCENARIOS: &[(&str, &str)] =
             &[$(($name, include_str!(concat!("../scenarios/", $name, ".json5")))),*];
     };
 }
 
-shelf![
+built_in_scenarios![
     "calm",
     "launch-evening",
     "rolling-redeploy",
@@ -613,15 +630,15 @@
     "everything",
 ];
 
-/// A scenario of the shelf, or of a file.
+/// Returns the built-in scenario of this name, or reads the file of this name.
 pub fn find(name: &str) -> Result<Scenario, String> {
-    let text = match SHELF.iter().find(|(known, _)| *known == name) {
+    let text = match BUILT_IN_SCENARIOS.iter().find(|(known, _)| *known == name) {
         Some((_, text)) => (*text).to_owned(),
         None => std::fs::read_to_string(name)
-            .map_err(|e| format!("{name}: {e}; `scenarios` lists those that are here"))?,
+            .map_err(|e| format!("{name}: {e}; `scenarios` lists the built-in ones"))?,
     };
     read(&text).map_err(|faults| {
-        let told: Vec<String> = faults.iter().map(|fault| format!("{name}: {fault}")).collect();
-        told.join("\n")
+        let messages: Vec<String> = faults.iter().map(|fault| format!("{name}: {fault}")).collect();
+        messages.join("\n")
     })
 }
--- a/crates/lab/src/simulate.rs
+++ b/crates/lab/src/simulate.rs
@@ -1,22 +1,22 @@
-//! A scenario in simulated time, with the fronts in this process.
+//! Runs a scenario in simulated time, with the fronts in this process.
 
-use crate::fronts::{Broken, Front, Policy};
-use crate::measure::{Fellowship, Measure, Moment, Outcome};
+use crate::fronts::{Defect, Front, Policy};
+use crate::measure::{Measure, MembershipSummary, Outcome, StateSample};
 use crate::scenario::Scenario;
 use juniperdock_emulator::{Out, World};
 use std::time::{Duration, Instant};
 
-/// How often it is noted how things stand.
-const MOMENT: Duration = Duration::from_millis(250);
-/// After the last arrival all goes on for so long, or until nothing waits any more.
-const AFTER: Duration = Duration::from_secs(10);
+/// Interval between samples of the fleet's state.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
+/// The run continues for at most this long after the last arrival, or until no txn is open.
+const MAX_TAIL: Duration = Duration::from_secs(10);
 
-/// Plays a scenario. The same seed plays the same, on any machine.
+/// Runs a scenario. The same seed gives the same run on any machine. `moments` turns on samples of the fleet's state.
 pub fn simulate(
     scenario: &Scenario,
     seed: u64,
     policy: Policy,
-    broken: Option<Broken>,
+    defect: Option<Defect>,
     moments: bool,
 ) -> Outcome {
     let begun = Instant::now();
@@ -26,23 +26,23 @@
     let mut fronts: Vec<Option<Front>> = (0..world.shape().fronts.len()).map(|_| None).collect();
     let mut next = Duration::ZERO;
     loop {
-        let until = if moments { next.min(lasts + AFTER) } else { lasts + AFTER };
+        let until = if moments { next.min(lasts + MAX_TAIL) } else { lasts + MAX_TAIL };
         let Some(out) = world.next(until) else {
-            if until >= lasts + AFTER || world.next_at().is_none() {
+            if until >= lasts + MAX_TAIL || world.next_at().is_none() {
                 break;
             }
             if next <= lasts {
                 world.pass(next);
-                measure.moments.push(moment(&world, &fronts));
+                measure.moments.push(sample_state(&world, &fronts));
             }
-            next += MOMENT;
+            next += SAMPLE_INTERVAL;
             continue;
         };
         match &out {
-            Out::Done { .. } | Out::Answered { .. } => measure.note(world.now(), &out),
+            Out::Done { .. } | Out::Answered { .. } => measure.record(world.now(), &out),
             Out::Born { front, .. } => {
-                let mut new = Front::new(policy, broken, scenario, seed, *front, &world);
-                new.take(&out, &mut world);
+                let mut new = Front::new(policy, defect, scenario, seed, *front, &world);
+                new.handle(&out, &mut world);
                 fronts[*front] = Some(new);
             }
             Out::Listed { front, .. }
@@ -53,11 +53,11 @@
             | Out::Shared { front, .. }
             | Out::Due { front, .. } => {
                 if let Some(front) = fronts[*front].as_mut() {
-                    front.take(&out, &mut world);
+                    front.handle(&out, &mut world);
                 }
             }
         }
-        // Reminders go on for ever; the day does not.
+        // Timers are rearmed for ever; the run ends once no txn is open.
         if world.now() > lasts && (0..fronts.len()).all(|front| world.open(front) == 0) {
             break;
         }
@@ -65,7 +65,7 @@
     let mut outcome =
         measure.outcome(scenario, seed, policy.name(), true, world.audit.counts, &world.audit.broken);
     if scenario.fleet.fellows {
-        outcome.fellows = Some(Fellowship::of(fronts.iter().flatten().filter_map(Front::fellows)));
+        outcome.fellows = Some(MembershipSummary::of(fronts.iter().flatten().filter_map(Front::membership)));
     }
     outcome.in_grace = world.answered_in_grace;
     (outcome.trace, outcome.events) = (format!("{:016x}", world.trace()), world.events);
@@ -73,19 +73,19 @@
     outcome
 }
 
-/// How things stand: the first front's belief beside the truth.
-pub fn moment(world: &World, fronts: &[Option<Front>]) -> Moment {
+/// Samples the state of the fleet, with the first front's view of each primary compared with the actual one.
+pub fn sample_state(world: &World, fronts: &[Option<Front>]) -> StateSample {
     let front = fronts.iter().flatten().next();
     let primaries = (0..world.groups()).map(|group| {
-        let (truth, belief) = (world.primary(group), front.and_then(|front| front.believes(group)));
-        match (truth, belief) {
+        let (actual, view) = (world.primary(group), front.and_then(|front| front.known_primary(group)));
+        match (actual, view) {
             (None, _) => 1,
             (Some(_), Some(None)) => 2,
-            (Some(truth), Some(Some(belief))) if truth != belief => 3,
+            (Some(actual), Some(Some(view))) if actual != view => 3,
             _ => 0,
         }
     });
-    Moment {
+    StateSample {
         at_s: world.now().as_secs_f64(),
         held: (0..world.members())
             .map(|member| world.held(member).min(usize::from(u16::MAX)) as u16)
