--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -1,9 +1,9 @@
-//! A scenario on real sockets: the real program among members, list and clients that are moved by the same
-//! world, which goes by the machine's clock. Simulated and real differ in what lies between: the program's own
-//! time, the machine's sockets, and connections, which the world also models.
+//! Runs a scenario on real sockets: the real program, with members, server list and clients driven by the same
+//! emulator on the machine's clock. Compared with simulated time, the run adds the program's own processing time,
+//! the machine's sockets, and real connections in addition to those that the emulator models.
 
 use crate::load::statement;
-use crate::measure::{Measure, Moment, Outcome};
+use crate::measure::{Measure, Outcome, StateSample};
 use crate::scenario::{OfKind, Reads, Runs, Scenario};
 use juniperdock_connection::monotonic;
 use juniperdock_emulator::{Entry, Out, Stream, Told, World};
@@ -17,50 +17,62 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How often the world is looked at while nothing is due.
+/// Interval at which the emulator is advanced.
 const STEP: Duration = Duration::from_millis(1);
-/// How often a member looks whether the front still waits for it.
-const LOOK: Duration = Duration::from_millis(4);
-const MOMENT: Duration = Duration::from_millis(250);
-/// Time before the day begins, in which fronts learn who is primary.
-const BEFORE: Duration = Duration::from_millis(400);
-/// Connections of clients to one front: more would be closed between txns, as the front's descriptors are few.
+/// Interval at which a member checks whether the front has closed the connection.
+const DISCONNECT_POLL: Duration = Duration::from_millis(4);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
+/// Time of the first sample; before it, the fronts learn who is primary.
+const FIRST_SAMPLE_AT: Duration = Duration::from_millis(400);
+/// Maximum number of client connections per front: the front has few descriptors and would close more of them
+/// between txns.
 const MOST_CLIENTS: usize = 160;
-/// What sockets and threads may add to a grace.
-const SLACK: Duration = Duration::from_millis(100);
+/// Extra delay that sockets and threads may add to the answer grace.
+const GRACE_SLACK: Duration = Duration::from_millis(100);
 
-/// Called with the fronts' addresses once the day is over; all stays up until it returns.
+/// Called with the fronts' addresses after the run; everything stays up until it returns.
 pub type Keep<'a> = &'a dyn Fn(&[SocketAddr]);
 
+/// Result of a submission at a member.
 pub(crate) struct Ended {
     pub ending: AttemptOutcome,
     pub role: Option<Role>,
     pub position: Option<Duration>,
 }
 
+/// A statement that a client has to send.
 pub(crate) struct Ask {
     pub txn: u32,
     pub text: String,
     pub left: Duration,
 }
 
-/// Who writes down what clients send and are told.
+/// Observes what clients send and receive.
 pub(crate) trait Ledger: Send {
-    /// A statement has been written whole to a front.
+    /// A statement has been completely written to a front.
     fn asked(&mut self, at: Duration, front: usize, ask: &Ask);
-    /// Its answer, or none, with an error's code; whether the connection had ended.
-    fn answered(&mut self, at: Duration, front: usize, txn: u32, told: Told, code: Option<&str>, ended: bool);
-    /// The connection of a statement ended before its time was over, without an answer.
+    /// The statement's answer or its absence, the error code, and whether the connection had ended.
+    fn answered(
+        &mut self,
+        at: Duration,
+        front: usize,
+        txn: u32,
+        outcome: Told,
+        code: Option<&str>,
+        ended: bool,
+    );
+    /// The connection ended without an answer before the statement's time was over.
     fn cut_off(&mut self, _at: Duration, _front: usize, _txn: u32) {}
-    /// A client closed its connection before it had its answer.
+    /// A client closed its connection before it received an answer.
     fn left(&mut self, _at: Duration, _front: usize, _txn: u32) {}
-    /// A client was not let in.
+    /// A client could not connect.
     fn refused(&mut self, _front: usize) {}
 }
 
+/// State shared by the threads of a run.
 pub(crate) struct State {
     pub world: World,
-    /// Who waits for a submission's end, by front, txn and member; and for a report, by front and member.
+    /// Receivers of submission results, by front, txn and member, and of probe reports, by front and member.
     pub waits: HashMap<(usize, u32, usize), SyncSender<Ended>>,
     pub probes: HashMap<(usize, usize), VecDeque<SyncSender<Option<Report>>>>,
     pub asks: Vec<VecDeque<Ask>>,
@@ -75,7 +87,7 @@
         State { world, waits: HashMap::new(), probes: HashMap::new(), asks, ledger, over: false }
     }
 
-    /// What the world has for members and clients goes to whoever waits for it; all else is given back.
+    /// Passes an event for members or clients to the thread that waits for it; returns any other event.
     pub fn pass_on(&mut self, out: Out, scenario: &Scenario) -> Option<Out> {
         match out {
             Out::Arrived { front, txn, kind, group, left, retried } => {
@@ -104,35 +116,36 @@
     }
 }
 
+/// The members, clients and emulator around the fronts under test.
 pub(crate) struct Town {
     pub state: Mutex<State>,
     pub asked: Condvar,
     pub begun: Instant,
-    /// The machine's time at the beginning, in milliseconds since 1970.
+    /// Wall-clock time of the start, in milliseconds since 1970.
     pub origin: u128,
-    /// The machine's monotonic clock at the beginning, by which processes date their logs.
+    /// The machine's monotonic clock at the start; processes use this clock for the timestamps in their logs.
     pub monotonic_origin: Duration,
-    /// How long clients wait beyond their time.
+    /// How long clients wait for an answer beyond the statement's time.
     pub slack: Duration,
-    /// Decides who leaves early.
+    /// Decides which clients disconnect early.
     pub leaving: Mutex<Leaving>,
-    /// Where connections to members are taken in.
+    /// Addresses on which members accept connections.
     listening: Mutex<Vec<SocketAddr>>,
 }
 
-/// A share of the clients leaves a moment after it has asked.
+/// Makes a share of the clients disconnect shortly after they have sent a statement.
 pub(crate) struct Leaving {
     pub share: f64,
     chance: Stream,
 }
 
-/// Who leaves does so in this time.
-const LEAVES_WITHIN: Duration = Duration::from_millis(120);
+/// Maximum delay before such a client disconnects.
+const MAX_LEAVE_DELAY: Duration = Duration::from_millis(120);
 
 impl Leaving {
     fn draw(&mut self) -> Option<Duration> {
         let leaves = self.share > 0.0 && self.chance.share() < self.share;
-        leaves.then(|| LEAVES_WITHIN.mul_f64(self.chance.share()))
+        leaves.then(|| MAX_LEAVE_DELAY.mul_f64(self.chance.share()))
     }
 }
 
@@ -145,30 +158,31 @@
         Arc::new(Town { state, asked, begun, origin, monotonic_origin, slack, leaving, listening })
     }
 
-    /// All is over: clients and members end.
+    /// Ends the run: client and member threads terminate.
     pub fn end(&self) {
         self.lock().over = true;
         self.asked.notify_all();
-        // Whoever waits for connections looks whether all is over.
+        // Each listener wakes up on a connection and then checks whether the run is over.
         let listening = std::mem::take(&mut *self.listening.lock().unwrap_or_else(PoisonError::into_inner));
         listening.iter().for_each(|at| drop(TcpStream::connect(at)));
     }
 
-    /// Members' addresses for one front, so many of them, on one address of the machine.
+    /// Starts listeners for `most` members of one front, on one IP address, and returns their addresses.
     pub fn members(self: &Arc<Town>, front: usize, most: usize) -> Result<Vec<SocketAddr>, String> {
         let ip = address().ip();
         let open = |number| {
-            let listener = TcpListener::bind(SocketAddr::new(ip, 0)).map_err(|e| format!("a member: {e}"))?;
+            let listener = TcpListener::bind(SocketAddr::new(ip, 0))
+                .map_err(|e| format!("cannot listen for a member: {e}"))?;
             let at = listener.local_addr().map_err(|e| e.to_string())?;
             self.listening.lock().unwrap_or_else(PoisonError::into_inner).push(at);
-            let town = self.clone();
+            let cluster = self.clone();
             std::thread::spawn(move || {
                 for stream in listener.incoming().flatten() {
-                    if town.lock().over {
+                    if cluster.lock().over {
                         break;
                     }
-                    let town = town.clone();
-                    std::thread::spawn(move || member(&town, stream, front, number));
+                    let cluster = cluster.clone();
+                    std::thread::spawn(move || member(&cluster, stream, front, number));
                 }
             });
             Ok(at)
@@ -184,7 +198,7 @@
         self.begun.elapsed()
     }
 
-    /// The world at the machine's present time.
+    /// Locks the state and advances the emulator to the current time.
     pub fn present(&self) -> MutexGuard<'_, State> {
         let mut state = self.lock();
         state.world.pass(self.now());
@@ -192,6 +206,7 @@
     }
 }
 
+/// The configuration of a front for this scenario; `known` is the server list that it starts with.
 pub(crate) fn settings(scenario: &Scenario, seed: u64, front: usize, known: &str) -> serde_json::Value {
     let (fleet, kinds) = (&scenario.fleet, &scenario.load.kinds);
     let kind = |kind: &OfKind| {
@@ -230,7 +245,8 @@
     })
 }
 
-pub(crate) fn list(town: &Town, version: u64, full: bool, entries: &[Entry], at: &[SocketAddr]) -> String {
+/// A server list in the form of discovery's answers; members' addresses are looked up in `at`.
+pub(crate) fn list(cluster: &Town, version: u64, full: bool, entries: &[Entry], at: &[SocketAddr]) -> String {
     let entries: Vec<serde_json::Value> = entries
         .iter()
         .map(|e| {
@@ -239,7 +255,7 @@
                 ListedState::Draining => "draining",
                 ListedState::Removed => "removed",
             };
-            let started = e.started.map_or(0, |started| town.origin + started.as_millis());
+            let started = e.started.map_or(0, |started| cluster.origin + started.as_millis());
             let role = if e.primary { "leader" } else { "follower" };
             serde_json::json!({ "id": format!("m-{}", e.member), "addr": at[e.member].to_string(), "zone": format!("z{}", e.zone),
                 "kind": "k", "cell": e.group, "state": state, "weight": 1.0, "started_ms": started as u64, "role": role })
@@ -249,25 +265,25 @@
 }
 
 /// Serves one connection of a front to a member.
-fn member(town: &Town, mut stream: TcpStream, front: usize, member: usize) -> Option<()> {
+fn member(cluster: &Town, mut stream: TcpStream, front: usize, member: usize) -> Option<()> {
     stream.set_nodelay(true).ok()?;
     read_message(&mut stream, false)?;
     stream.write_all(&[message(b'R', &[0; 4]), ready()].concat()).ok()?;
-    let written = |at: Option<Duration>| at.map(|at| (town.origin + at.as_millis()).to_string());
+    let written = |at: Option<Duration>| at.map(|at| (cluster.origin + at.as_millis()).to_string());
     while let Some((b'Q', body)) = read_message(&mut stream, true) {
         let text = String::from_utf8_lossy(&body).trim_end_matches('\0').to_owned();
         if text == "SHOW server_load" {
-            let (tell, told) = sync_channel(1);
+            let (sender, receiver) = sync_channel(1);
             {
-                let mut state = town.present();
-                state.probes.entry((front, member)).or_default().push_back(tell);
+                let mut state = cluster.present();
+                state.probes.entry((front, member)).or_default().push_back(sender);
                 state.world.probe(front, member);
             }
-            let report = told.recv_timeout(Duration::from_secs(2)).ok()??;
-            let position = town.origin as f64 / 1000.0 + report.position?.as_secs_f64();
+            let report = receiver.recv_timeout(Duration::from_secs(2)).ok()??;
+            let position = cluster.origin as f64 / 1000.0 + report.position?.as_secs_f64();
             let primary = u8::from(report.role == Some(Role::Primary));
             let (queue, busy) = (report.queue.unwrap_or_default(), report.busy.unwrap_or_default());
-            // Rounded down to whole milliseconds, as positions are.
+            // Rounded down to whole milliseconds, like all positions.
             let position = (position * 1000.0).floor() / 1000.0;
             let text = format!("x0={position:.3},x1={primary},q={queue},busy={busy:.2}");
             stream.write_all(&[row(text.as_bytes()), ready()].concat()).ok()?;
@@ -275,14 +291,14 @@
         }
         let id = field(&text, "id").unwrap_or_default().to_owned();
         let txn = u32::from_str_radix(&id, 16).ok()?;
-        let (tell, told) = sync_channel(1);
+        let (sender, receiver) = sync_channel(1);
         let submission = {
-            let mut state = town.present();
-            state.waits.insert((front, txn, member), tell);
+            let mut state = cluster.present();
+            state.waits.insert((front, txn, member), sender);
             state.world.submit(front, txn, member);
             state.world.submissions(txn) - 1
         };
-        let ended = wait(town, &stream, &told, front, txn, submission)?;
+        let ended = wait(cluster, &stream, &receiver, front, txn, submission)?;
         let body = match ended.ending {
             AttemptOutcome::Committed => row(id.as_bytes()),
             AttemptOutcome::Errored => error("XX000"),
@@ -300,17 +316,17 @@
     Some(())
 }
 
-/// Waits for a submission's end; a front that closes its connection has given it up.
+/// Waits for the result of a submission. A closed connection means that the front has cancelled it.
 fn wait(
-    town: &Town,
+    cluster: &Town,
     stream: &TcpStream,
-    told: &Receiver<Ended>,
+    receiver: &Receiver<Ended>,
     front: usize,
     txn: u32,
     submission: u32,
 ) -> Option<Ended> {
     loop {
-        match told.recv_timeout(LOOK) {
+        match receiver.recv_timeout(DISCONNECT_POLL) {
             Ok(ended) => return Some(ended),
             Err(RecvTimeoutError::Disconnected) => return None,
             Err(RecvTimeoutError::Timeout) => {}
@@ -320,22 +336,22 @@
             || stream.peek(&mut [0]).is_err_and(|e| e.kind() != std::io::ErrorKind::WouldBlock);
         let _ = stream.set_nonblocking(false);
         if closed {
-            town.present().world.cancel(front, txn, submission);
+            cluster.present().world.cancel(front, txn, submission);
             return None;
         }
     }
 }
 
-/// A client's connection to a front: asks what is to be asked, one txn at a time.
-pub(crate) fn client(town: &Town, at: SocketAddr, front: usize) {
+/// Runs one client of a front: sends the queued statements, one txn at a time.
+pub(crate) fn client(cluster: &Town, at: SocketAddr, front: usize) {
     let mut client: Option<Client> = None;
-    while let Some(ask) = town.next_ask(front) {
-        town.asks(at, front, &ask, &mut client);
+    while let Some(ask) = cluster.next_ask(front) {
+        cluster.asks(at, front, &ask, &mut client);
     }
 }
 
 impl Town {
-    /// What the next client of a front is to ask; none once all is over.
+    /// Waits for the next statement for a front; `None` once the run is over.
     pub fn next_ask(&self, front: usize) -> Option<Ask> {
         let mut state = self.lock();
         loop {
@@ -350,8 +366,8 @@
         }
     }
 
-    /// Asks on a connection, or a new one where there is none. Where the front has closed it between txns, it is
-    /// asked once more on a new one.
+    /// Sends a statement on the given connection, or on a new one if there is none, and records the answer. If the
+    /// front had closed the connection between txns, the statement is sent once more on a new one.
     pub fn asks(&self, at: SocketAddr, front: usize, ask: &Ask, client: &mut Option<Client>) {
         let (mut reply, mut reached) = (Reply::default(), false);
         for _ in 0..2 {
@@ -395,7 +411,7 @@
             *client = None;
         }
         let code = reply.code.as_deref();
-        let told = match code {
+        let outcome = match code {
             _ if reply.value.is_some() => Told::Committed,
             Some("53300" | "57P03") => Told::Declined,
             Some(_) => Told::Unknown,
@@ -410,18 +426,18 @@
             state
                 .ledger
                 .iter_mut()
-                .for_each(|ledger| ledger.answered(now, front, ask.txn, told, code, ended));
+                .for_each(|ledger| ledger.answered(now, front, ask.txn, outcome, code, ended));
         }
         let come_back = reply.detail.and_then(|ms| ms.parse().ok()).map(Duration::from_millis);
-        // One that can't be reached leaves nothing open: its clients ask others.
-        if told != Told::Nothing || !reached {
-            self.present().world.answer(front, ask.txn, told, come_back);
+        // A statement that did not reach any front leaves nothing open: the client retries elsewhere.
+        if outcome != Told::Nothing || !reached {
+            self.present().world.answer(front, ask.txn, outcome, come_back);
         }
     }
 }
 
-/// Plays a scenario against the program. `keep`: what is called with the fronts' addresses while all is up,
-/// after the day; returns when it may end.
+/// Runs a scenario against the program. `keep` is called with the fronts' addresses after the run, while everything
+/// is still up; the processes end when it returns.
 pub fn play(
     scenario: &Scenario,
     seed: u64,
@@ -431,7 +447,7 @@
 ) -> Result<Outcome, String> {
     std::fs::metadata(program).map_err(|e| format!("{program}: {e}"))?;
     let mut shape = scenario.shape(seed);
-    shape.answer_grace += SLACK;
+    shape.answer_grace += GRACE_SLACK;
     let (lasts, fronts, members) = (shape.lasts, shape.fronts.len(), shape.members.len());
     let extra = shape.troubles.len() * shape.members.len();
     if shape.troubles.iter().any(|t| {
@@ -440,16 +456,16 @@
             juniperdock_emulator::What::FrontKilled(_) | juniperdock_emulator::What::FrontStands(_)
         )
     }) {
-        return Err("fronts that stand still or are killed are played in simulated time only".to_owned());
+        return Err("scenarios in which fronts stall or are killed run in simulated time only".to_owned());
     }
     let kinds = shape.kinds.clone();
-    let town = Town::new(State::new(World::new(shape), fronts, None), SLACK);
-    // Every front reaches each member at an address of its own; those that replace others have theirs ready.
+    let cluster = Town::new(State::new(World::new(shape), fronts, None), GRACE_SLACK);
+    // Every front has its own address for each member; addresses for replacement members are reserved in advance.
     let most = members + extra.min(256);
-    let at = (0..fronts).map(|front| town.members(front, most)).collect::<Result<Vec<_>, _>>()?;
+    let at = (0..fronts).map(|front| cluster.members(front, most)).collect::<Result<Vec<_>, _>>()?;
     let mut running = Vec::new();
-    let born: Vec<Vec<Entry>> = {
-        let mut state = town.lock();
+    let initial_lists: Vec<Vec<Entry>> = {
+        let mut state = cluster.lock();
         std::iter::from_fn(|| match state.world.next(Duration::ZERO) {
             Some(Out::Born { known, .. }) => Some(known),
             _ => None,
@@ -457,9 +473,9 @@
         .take(fronts)
         .collect()
     };
-    for (front, known) in born.iter().enumerate() {
+    for (front, known) in initial_lists.iter().enumerate() {
         let agent = Agent::start(WATCH);
-        let known = list(&town, 1, true, known, &at[front]);
+        let known = list(&cluster, 1, true, known, &at[front]);
         let config = settings(scenario, seed, front, &known).to_string();
         let program = Front::with(program, address(), agent.at, &config, charter);
         drop(program.client());
@@ -469,38 +485,38 @@
     let per_front = (scenario.load.per_second * 2.0 / fronts as f64).clamp(16.0, 400.0) as usize;
     for (front, &at) in addresses.iter().enumerate() {
         for _ in 0..per_front.min(MOST_CLIENTS) {
-            let town = town.clone();
-            std::thread::spawn(move || client(&town, at, front));
+            let cluster = cluster.clone();
+            std::thread::spawn(move || client(&cluster, at, front));
         }
     }
     let mut measure = Measure::new(kinds.clone(), lasts);
-    let mut next = BEFORE;
+    let mut next = FIRST_SAMPLE_AT;
     let mut version = 1;
     loop {
-        let mut state = town.lock();
-        let now = town.now();
+        let mut state = cluster.lock();
+        let now = cluster.now();
         while let Some(out) = state.world.next(now) {
             match out {
-                Out::Done { .. } | Out::Answered { .. } => measure.note(state.world.now(), &out),
+                Out::Done { .. } | Out::Answered { .. } => measure.record(state.world.now(), &out),
                 Out::Listed { front, entry } => {
                     version += 1;
                     if entry.member < most {
-                        running[front].1.tell(list(&town, version, false, &[entry], &at[front]));
+                        running[front].1.tell(list(&cluster, version, false, &[entry], &at[front]));
                     }
                 }
                 out => drop(state.pass_on(out, scenario)),
             }
         }
-        town.asked.notify_all();
+        cluster.asked.notify_all();
         if now >= next && now < lasts {
-            next += MOMENT;
+            next += SAMPLE_INTERVAL;
             let held = (0..state.world.members())
                 .map(|m| state.world.held(m).min(usize::from(u16::MAX)) as u16)
                 .collect();
             let primaries =
                 (0..state.world.groups()).map(|g| u8::from(state.world.primary(g).is_none())).collect();
             let open = (0..fronts).map(|front| state.world.open(front)).sum();
-            measure.moments.push(Moment { at_s: now.as_secs_f64(), held, primaries, open });
+            measure.moments.push(StateSample { at_s: now.as_secs_f64(), held, primaries, open });
         }
         let waiting = (0..fronts).any(|front| state.world.open(front) > 0);
         if now > lasts && !waiting || now > lasts + Duration::from_secs(10) {
@@ -512,11 +528,11 @@
     if let Some(keep) = keep {
         keep(&addresses);
     }
-    town.end();
-    let state = town.lock();
+    cluster.end();
+    let state = cluster.lock();
     let audit = &state.world.audit;
     let mut outcome = measure.outcome(scenario, seed, "the program", false, audit.counts, &audit.broken);
-    (outcome.events, outcome.wall_s) = (state.world.events, town.now().as_secs_f64());
+    (outcome.events, outcome.wall_s) = (state.world.events, cluster.now().as_secs_f64());
     drop(state);
     Ok(outcome)
 }
--- a/crates/lab/src/upgrade.rs
+++ b/crates/lab/src/upgrade.rs
@@ -1,5 +1,5 @@
-//! The proof of upgrades: a front is upgraded again and again under steady load, with failed starts among the
-//! good ones; then every answer is matched with what the emulated members ran.
+//! Upgrade check: a front is upgraded repeatedly under steady load, with failing starts mixed in; then every answer
+//! is matched with what the emulated members ran.
 
 use crate::fleet::play::scenario;
 use crate::fleet::schedule::Schedule;
@@ -19,16 +19,18 @@
 use std::time::Duration;
 
 const CLIENTS: usize = 20;
-/// How often the world is looked at.
+/// Interval at which the emulator is advanced.
 const STEP: Duration = Duration::from_millis(1);
-/// Clients wait for so long beyond their time.
-const SLACK: Duration = Duration::from_millis(1500);
-/// Ways in which a start fails.
-const FAILS: [&str; 6] = ["exits", "hangs", "version", "offer", "half", "nonsense"];
-/// How long before and after an upgrade's end a txn counts as one that it met.
-const BEFORE: Duration = Duration::from_millis(400);
-const AFTER: Duration = Duration::from_millis(200);
+/// How long clients wait for an answer beyond the txn's time.
+const CLIENT_SLACK: Duration = Duration::from_millis(1500);
+/// Ways in which the start of a new process fails.
+const FAILURE_MODES: [&str; 6] = ["exits", "hangs", "version", "offer", "half", "nonsense"];
+/// A txn counts as affected by an upgrade if it overlaps the interval from `NEAR_UPGRADE_BEFORE` before the upgrade's
+/// end to `NEAR_UPGRADE_AFTER` after it.
+const NEAR_UPGRADE_BEFORE: Duration = Duration::from_millis(400);
+const NEAR_UPGRADE_AFTER: Duration = Duration::from_millis(200);
 
+/// Results of an upgrade run.
 #[derive(Debug, Default)]
 pub struct Figures {
     pub upgrades: usize,
@@ -52,6 +54,7 @@
 }
 
 impl Figures {
+    /// Whether no txn or connection was lost and all planned upgrades and failing starts took place.
     pub fn holds(&self) -> bool {
         self.lost + self.doubled + self.refused == 0
             && self.upgrades == self.wanted
@@ -78,27 +81,27 @@
     }
 }
 
-/// When a txn was asked, how often it was written to the front, and its answer.
-type Asked = (Duration, u32, Option<(Duration, Told)>);
+/// When a txn was first sent, how often it was written to the front, and its answer.
+type TxnRecord = (Duration, u32, Option<(Duration, Told)>);
 
-/// What clients saw, by txn.
+/// What clients observed, by txn.
 #[derive(Default)]
-struct Seen {
-    asked: HashMap<u32, Asked>,
+struct Observed {
+    asked: HashMap<u32, TxnRecord>,
     refused: usize,
 }
 
-struct Clients(Arc<Mutex<Seen>>);
+struct ClientLog(Arc<Mutex<Observed>>);
 
-impl Clients {
-    fn note(&self, change: impl FnOnce(&mut Seen)) {
+impl ClientLog {
+    fn update(&self, change: impl FnOnce(&mut Observed)) {
         change(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner));
     }
 }
 
-impl Ledger for Clients {
+impl Ledger for ClientLog {
     fn asked(&mut self, at: Duration, _front: usize, ask: &Ask) {
-        self.note(|seen| seen.asked.entry(ask.txn).or_insert((at, 0, None)).1 += 1);
+        self.update(|observed| observed.asked.entry(ask.txn).or_insert((at, 0, None)).1 += 1);
     }
 
     fn answered(
@@ -106,26 +109,26 @@
         at: Duration,
         _front: usize,
         txn: u32,
-        told: Told,
+        outcome: Told,
         _code: Option<&str>,
         _ended: bool,
     ) {
-        self.note(|seen| seen.asked.entry(txn).or_insert((at, 0, None)).2 = Some((at, told)));
+        self.update(|observed| observed.asked.entry(txn).or_insert((at, 0, None)).2 = Some((at, outcome)));
     }
 
     fn refused(&mut self, _front: usize) {
-        self.note(|seen| seen.refused += 1);
+        self.update(|observed| observed.refused += 1);
     }
 }
 
-/// Moves the world until all is over; gives how often each write has taken effect.
-fn drive(town: &Town, scenario: &Scenario) -> HashMap<u32, i64> {
+/// Advances the emulator until the run is over; returns how often each write has taken effect.
+fn drive(cluster: &Town, scenario: &Scenario) -> HashMap<u32, i64> {
     let mut ran = HashMap::new();
     loop {
-        let mut state = town.lock();
-        let now = town.now();
+        let mut state = cluster.lock();
+        let now = cluster.now();
         while let Some(out) = state.world.next(now) {
-            // Nothing befalls members: the list has nothing to tell.
+            // The members have no faults, so the server list does not change.
             drop(state.pass_on(out, scenario));
         }
         for (_, note) in state.world.take_notes() {
@@ -135,7 +138,7 @@
                 _ => {}
             }
         }
-        town.asked.notify_all();
+        cluster.asked.notify_all();
         if state.over {
             return ran;
         }
@@ -144,8 +147,8 @@
     }
 }
 
-/// Plays so many upgrades that succeed, with failed starts among them in an order by the seed. `rig`: the
-/// program whose `successor` command fails as it is told.
+/// Runs `upgrades` successful upgrades, mixed with failing starts in an order determined by the seed. `rig` is the
+/// laboratory program, whose `successor` command fails in the requested way.
 pub fn upgrade(
     program: &str,
     rig: &Path,
@@ -171,12 +174,13 @@
     world.noting();
     let known: Vec<Entry> = match world.next(Duration::ZERO) {
         Some(Out::Born { known, .. }) => known,
-        _ => return Err("the world has no front".to_owned()),
+        _ => return Err("the emulator has no front".to_owned()),
     };
-    let seen = Arc::new(Mutex::new(Seen::default()));
-    let town = Town::new(State::new(world, fronts, Some(Box::new(Clients(seen.clone())))), SLACK);
-    let members = town.members(0, groups * members)?;
-    let (known, agent, at) = (list(&town, 1, true, &known, &members), Agent::start(WATCH), address());
+    let observed = Arc::new(Mutex::new(Observed::default()));
+    let cluster =
+        Town::new(State::new(world, fronts, Some(Box::new(ClientLog(observed.clone())))), CLIENT_SLACK);
+    let members = cluster.members(0, groups * members)?;
+    let (known, agent, at) = (list(&cluster, 1, true, &known, &members), Agent::start(WATCH), address());
     agent.tell(known.clone());
     let mut config = settings(&scenario, seed, 0, &known);
     config["limits"]["sockets"] = (1024 + 8 * idle).into();
@@ -197,8 +201,8 @@
         let out = out.map_err(|e| format!("{program}: {e}"))?;
         Ok::<_, String>((out.status.success(), String::from_utf8_lossy(&out.stdout).trim().to_owned()))
     };
-    // Scripts that stand for programs which fail.
-    for how in FAILS {
+    // Scripts that act as failing new versions of the program.
+    for how in FAILURE_MODES {
         let body = match how {
             "exits" => "exit 3".to_owned(),
             "hangs" => "exec sleep 30".to_owned(),
@@ -211,18 +215,18 @@
             .map_err(|e| format!("{}: {e}", path.display()))?;
     }
     let mut starts: Vec<Option<&str>> = vec![None; upgrades];
-    let fails = if upgrades < 5 { 4 } else { FAILS.len() };
-    FAILS.iter().take(fails).for_each(|how| starts.push(Some(how)));
+    let failure_modes = if upgrades < 5 { 4 } else { FAILURE_MODES.len() };
+    FAILURE_MODES.iter().take(failure_modes).for_each(|how| starts.push(Some(how)));
     for i in (1..starts.len()).rev() {
         starts.swap(i, rng.rand_range(0..i as u32 + 1) as usize);
     }
     let mut figures = Figures { wanted: upgrades, ..Figures::default() };
     let (mut ends, mut lasted, mut ran) = (Vec::new(), Duration::ZERO, HashMap::new());
     std::thread::scope(|scope| {
-        let (town, scenario) = (&*town, &scenario);
-        let driver = scope.spawn(move || drive(town, scenario));
+        let (cluster, scenario) = (&*cluster, &scenario);
+        let driver = scope.spawn(move || drive(cluster, scenario));
         for _ in 0..CLIENTS {
-            scope.spawn(move || client(town, at, 0));
+            scope.spawn(move || client(cluster, at, 0));
         }
         std::thread::sleep(Duration::from_millis(500));
         for start in starts {
@@ -230,80 +234,81 @@
             let program = start.map(|how| front.path(how).display().to_string());
             let args =
                 program.as_ref().map_or(vec!["upgrade"], |program| vec!["upgrade", "--program", program]);
-            let (good, said) = command(&args).unwrap_or_else(|why| (false, why));
+            let (succeeded, output) = command(&args).unwrap_or_else(|why| (false, why));
             match start {
-                None if good => figures.upgrades += 1,
-                Some(_) if !good => figures.failed_starts += 1,
+                None if succeeded => figures.upgrades += 1,
+                Some(_) if !succeeded => figures.failed_starts += 1,
                 _ => {}
             }
-            if good == start.is_some() {
-                figures.notes.push(format!("start {start:?}: {said}"));
+            if succeeded == start.is_some() {
+                figures.notes.push(format!("start {start:?}: {output}"));
             }
-            figures.notes.push(format!("{start:?} ended at {} ms", town.now().as_millis()));
-            ends.push(town.now());
+            figures.notes.push(format!("{start:?} ended at {} ms", cluster.now().as_millis()));
+            ends.push(cluster.now());
         }
         std::thread::sleep(Duration::from_millis(700));
-        lasted = town.now();
-        // Clients that were idle all the while are still there, none closed or forgotten: each asks once. What is
-        // asked twice, or not answered, shows.
+        lasted = cluster.now();
+        // Clients that were idle throughout must still be connected: each sends one statement. One that is sent twice
+        // or not answered shows in the figures.
         for client in &mut idle {
-            let Some(ask) = town.next_ask(0) else { break };
-            town.asks(at, 0, &ask, client);
+            let Some(ask) = cluster.next_ask(0) else { break };
+            cluster.asks(at, 0, &ask, client);
         }
-        // What is under way ends.
-        std::thread::sleep(SLACK);
-        town.end();
+        // Txns in flight end.
+        std::thread::sleep(CLIENT_SLACK);
+        cluster.end();
         ran = driver.join().unwrap_or_default();
     });
-    // Who serves now ends as any front does.
+    // The process that serves now is terminated with SIGTERM.
     let (_, status) = command(&["status"])?;
     let pid =
         status.split("\"pid\":").nth(1).and_then(|rest| rest.split([',', '}']).next()?.parse::<u32>().ok());
     if let Some(pid) = pid {
         let _ = Command::new("kill").args(["-TERM", &pid.to_string()]).status();
     }
-    let seen = std::mem::take(&mut *seen.lock().unwrap_or_else(PoisonError::into_inner));
+    let observed = std::mem::take(&mut *observed.lock().unwrap_or_else(PoisonError::into_inner));
     let writes = {
-        let state = town.lock();
+        let state = cluster.lock();
         let writes = |txn: &u32| state.world.writes(*txn);
-        seen.asked.keys().copied().filter(writes).collect::<std::collections::HashSet<u32>>()
+        observed.asked.keys().copied().filter(writes).collect::<std::collections::HashSet<u32>>()
     };
-    (figures.txns, figures.refused) = (seen.asked.len(), seen.refused);
-    let meanwhile = seen.asked.values().filter(|asked| asked.0 < lasted).count();
+    (figures.txns, figures.refused) = (observed.asked.len(), observed.refused);
+    let meanwhile = observed.asked.values().filter(|asked| asked.0 < lasted).count();
     figures.per_second = (meanwhile as f64 / lasted.as_secs_f64()) as usize;
-    let mut asked: Vec<_> = seen.asked.into_iter().collect();
+    let mut asked: Vec<_> = observed.asked.into_iter().collect();
     asked.sort_unstable_by_key(|asked| asked.0);
     for (txn, (from, times, answer)) in asked {
         let ran = ran.get(&txn).copied().unwrap_or(0);
-        let told = answer.map_or(Told::Nothing, |(_, told)| told);
-        let gone = told == Told::Nothing
+        let outcome = answer.map_or(Told::Nothing, |(_, outcome)| outcome);
+        let lost = outcome == Told::Nothing
             || times != 1
-            || writes.contains(&txn) && told == Told::Committed && ran < 1;
-        if gone {
+            || writes.contains(&txn) && outcome == Told::Committed && ran < 1;
+        if lost {
             figures.lost += 1;
             let from = from.as_millis();
-            figures.notes.push(format!("{txn:x} from {from} ms, written {times} times: {told:?}"));
+            figures.notes.push(format!("{txn:x} from {from} ms, written {times} times: {outcome:?}"));
         }
         figures.doubled += usize::from(ran > 1);
-        figures.declined += usize::from(told == Told::Declined);
+        figures.declined += usize::from(outcome == Told::Declined);
         let to = answer.map_or(from, |(to, _)| to);
-        let met = ends.iter().any(|&end| from < end + AFTER && to + BEFORE > end);
+        let near_upgrade =
+            ends.iter().any(|&end| from < end + NEAR_UPGRADE_AFTER && to + NEAR_UPGRADE_BEFORE > end);
         let took = to.saturating_sub(from);
-        if met { figures.late.push(took) } else { figures.steady.push(took) }
+        if near_upgrade { figures.late.push(took) } else { figures.steady.push(took) }
     }
     Ok(figures)
 }
 
-/// What a failing successor has heard so far.
+/// What a failing new process has received so far.
 #[derive(Default)]
-struct Heard {
+struct ReceivedMessages {
     agreed: bool,
     listener: bool,
     clients: Vec<u64>,
     commit: bool,
 }
 
-impl MessageHandler for Heard {
+impl MessageHandler for ReceivedMessages {
     fn agreed(&mut self, _version: u16) {
         self.agreed = true;
     }
@@ -322,29 +327,31 @@
     fn nonsense(&mut self) {}
 }
 
-/// A successor that fails: by its version, by nonsense, after the offer, or once it has taken half of the
-/// clients.
+/// A new process that fails: by an unsupported version, by a malformed message, after the offer, or after it has
+/// received half of the clients. Always returns false.
 pub fn successor(how: &str) -> bool {
-    let Ok(line) = std::io::stdin().as_fd().try_clone_to_owned().map(PacketSocket::from_fd) else {
+    let Ok(socket) = std::io::stdin().as_fd().try_clone_to_owned().map(PacketSocket::from_fd) else {
         return false;
     };
     let (lowest, highest) =
         if how == "version" { (900, 901) } else { juniperdock_hot_restart::SUPPORTED_VERSIONS };
-    let (mut heard, mut ready) = (Heard::default(), false);
-    let mut said = line.send(&message::hello(lowest, highest), None).is_ok();
-    while said && let Ok(Received::Packet(word, _)) = line.receive(MAX_MESSAGE_LEN, Duration::from_secs(5)) {
-        message::deliver_to_new(&word, &mut heard);
+    let (mut received, mut ready) = (ReceivedMessages::default(), false);
+    let mut sent = socket.send(&message::hello(lowest, highest), None).is_ok();
+    while sent
+        && let Ok(Received::Packet(packet, _)) = socket.receive(MAX_MESSAGE_LEN, Duration::from_secs(5))
+    {
+        message::deliver_to_new(&packet, &mut received);
         if how == "waits" {
             continue;
         }
         if how == "nonsense" {
-            said = line.send(b"?", None).is_ok();
-        } else if heard.agreed && !std::mem::replace(&mut ready, true) {
-            said = line.send(&message::ready(), None).is_ok();
-        } else if how == "offer" && heard.listener || heard.commit {
+            sent = socket.send(b"?", None).is_ok();
+        } else if received.agreed && !std::mem::replace(&mut ready, true) {
+            sent = socket.send(&message::ready(), None).is_ok();
+        } else if how == "offer" && received.listener || received.commit {
             return false;
-        } else if let Some(client) = heard.clients.pop() {
-            said = line.send(&message::client_received(client), None).is_ok();
+        } else if let Some(client) = received.clients.pop() {
+            sent = socket.send(&message::client_received(client), None).is_ok();
             if how == "half" && client % 2 == 0 {
                 return false;
             }
--- a/crates/lab/tests/request_logs.rs
+++ b/crates/lab/tests/request_logs.rs
@@ -1,4 +1,4 @@
-//! What the reader of request logs finds, line by line.
+//! Tests of the analysis of request logs.
 
 use juniperdock_lab::request_logs::Findings;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_request_that_ends_is_fine_and_one_that_does_not_is_counted() {
+fn only_requests_without_an_end_are_counted() {
     let text = "\
 0.1 Dec 02 10:54:49.700 DEBG request, request: 7, event: Received { id: \"a, b: c\", class: 0, left: 3ms }
 0.1 Dec 02 10:54:49.700 DEBG request of client, request: 7, client: 3
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn what_is_written_after_an_end_breaks_it() {
+fn write_after_the_end_of_a_request_is_a_violation() {
     let text = "\
 DEBG request, request: 7, event: Received { id: \"a\" }
 DEBG request, request: 7, event: Abandoned
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_debt_counts_where_the_process_ends_the_connection() {
+fn outstanding_work_counts_only_if_the_process_closed_the_connection() {
     let closed = |reason: &str, unsent: u32| {
         format!(
             "DEBG client closed, client: 1, reason: {reason}, unanswered: 0, unsent: {unsent}, half_read: 0"
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn hold_ups_are_told_apart() {
+fn hold_ups_are_classified_by_length_and_cause() {
     let text = "\
 DEBG held up, for_us: 45000, ran_waited_turns: 1 2 3
 DEBG held up, for_us: 836885, ran_waited_turns: 1 2 3
@@ -57,10 +57,10 @@
 }
 
 #[test]
-fn a_folder_without_logs_is_told() {
+fn folder_without_logs_is_an_error() {
     let folder = std::env::temp_dir().join(format!("jd-no-logs-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
-    let told = Findings::default().read_folder(&folder);
+    let result = Findings::default().read_folder(&folder);
     let _ = std::fs::remove_dir_all(&folder);
-    assert!(told.is_err_and(|why| why.contains("*.log")));
+    assert!(result.is_err_and(|why| why.contains("*.log")));
 }
