--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,4 +1,4 @@
-//! The laboratory: scenarios, played in simulated time or on sockets, compared, searched and reported.
+//! Laboratory: runs scenarios in simulated time or on sockets, and compares, searches and reports them.
 //! Figures of simulated runs are always labelled as simulated. `docs/laboratory.md` describes what is modelled.
 
 pub mod circle;
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -37,7 +37,7 @@
     pub at_s: f64,
     /// Txns held by each member.
     pub held: Vec<u16>,
-    /// By group: 0 the first front's view matches the actual primary, 1 there is no primary, 2 the front knows no
+    /// By group: 0 the first front's view matches the actual primary, 1 there is no primary, 2 the front has no
     /// primary, 3 the front's view names a different member.
     pub primaries: Vec<u8>,
     /// Txns that wait at the fronts, over all fronts.
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -75,7 +75,7 @@
     /// Receivers of submission results, by front, txn and member, and of probe reports, by front and member.
     pub waits: HashMap<(usize, u32, usize), SyncSender<Ended>>,
     pub probes: HashMap<(usize, usize), VecDeque<SyncSender<Option<Report>>>>,
-    pub asks: Vec<VecDeque<Ask>>,
+    pub pending_statements: Vec<VecDeque<Ask>>,
     pub ledger: Option<Box<dyn Ledger>>,
     pub over: bool,
 }
@@ -83,8 +83,15 @@
 impl State {
     pub fn new(mut world: World, fronts: usize, ledger: Option<Box<dyn Ledger>>) -> State {
         world.remote = true;
-        let asks = (0..fronts).map(|_| VecDeque::new()).collect();
-        State { world, waits: HashMap::new(), probes: HashMap::new(), asks, ledger, over: false }
+        let pending_statements = (0..fronts).map(|_| VecDeque::new()).collect();
+        State {
+            world,
+            waits: HashMap::new(),
+            probes: HashMap::new(),
+            pending_statements,
+            ledger,
+            over: false,
+        }
     }
 
     /// Passes an event for members or clients to the thread that waits for it; returns any other event.
@@ -95,7 +102,7 @@
                 let (mark, id) = (self.world.mark(txn), format!("{txn:x}"));
                 let write = kind.reads == Reads::Write;
                 let text = statement(&kind.name, write, &id, left.as_millis(), mark, group as u64, retried);
-                self.asks[front].push_back(Ask { txn, text, left });
+                self.pending_statements[front].push_back(Ask { txn, text, left });
                 None
             }
             Out::Ended { front, txn, member, ending, role, position, .. } => {
@@ -345,20 +352,20 @@
 /// Runs one client of a front: sends the queued statements, one txn at a time.
 pub(crate) fn client(cluster: &Town, at: SocketAddr, front: usize) {
     let mut client: Option<Client> = None;
-    while let Some(ask) = cluster.next_ask(front) {
-        cluster.asks(at, front, &ask, &mut client);
+    while let Some(ask) = cluster.next_statement(front) {
+        cluster.send_statement(at, front, &ask, &mut client);
     }
 }
 
 impl Town {
     /// Waits for the next statement for a front; `None` once the run is over.
-    pub fn next_ask(&self, front: usize) -> Option<Ask> {
+    pub fn next_statement(&self, front: usize) -> Option<Ask> {
         let mut state = self.lock();
         loop {
             if state.over {
                 return None;
             }
-            if let Some(ask) = state.asks[front].pop_front() {
+            if let Some(ask) = state.pending_statements[front].pop_front() {
                 return Some(ask);
             }
             let waited = self.asked.wait_timeout(state, Duration::from_millis(100));
@@ -368,7 +375,7 @@
 
     /// Sends a statement on the given connection, or on a new one if there is none, and records the answer. If the
     /// front had closed the connection between txns, the statement is sent once more on a new one.
-    pub fn asks(&self, at: SocketAddr, front: usize, ask: &Ask, client: &mut Option<Client>) {
+    pub fn send_statement(&self, at: SocketAddr, front: usize, ask: &Ask, client: &mut Option<Client>) {
         let (mut reply, mut reached) = (Reply::default(), false);
         for _ in 0..2 {
             if client.is_none() {
--- a/crates/lab/src/upgrade.rs
+++ b/crates/lab/src/upgrade.rs
@@ -251,8 +251,8 @@
         // Clients that were idle throughout must still be connected: each sends one statement. One that is sent twice
         // or not answered shows in the figures.
         for client in &mut idle {
-            let Some(ask) = cluster.next_ask(0) else { break };
-            cluster.asks(at, 0, &ask, client);
+            let Some(ask) = cluster.next_statement(0) else { break };
+            cluster.send_statement(at, 0, &ask, client);
         }
         // Txns in flight end.
         std::thread::sleep(CLIENT_SLACK);
