--- a/crates/front/tests/fleet.rs
+++ b/crates/front/tests/fleet.rs
@@ -3,8 +3,8 @@
 
 use juniperdock_lab::fleet::audit::figures;
 use juniperdock_lab::fleet::history::{Line, read};
-use juniperdock_lab::fleet::play::{Bend, play};
-use juniperdock_lab::fleet::{Figures, Harm, Mishap, Schedule};
+use juniperdock_lab::fleet::play::{ConfigEdit, play};
+use juniperdock_lab::fleet::{FaultKind, Figures, InjectedFault, Schedule};
 use serde_json::Value;
 use std::time::Duration;
 
@@ -15,26 +15,26 @@
     seen: Figures,
 }
 
-fn fault(what: Harm, at_s: f64, lasts_s: f64) -> Mishap {
+fn fault(what: FaultKind, at_s: f64, lasts_s: f64) -> InjectedFault {
     let (front, other, side, number, share, by) = (None, None, Vec::new(), 0, None, None);
-    Mishap { at_s, lasts_s, what, front, other, side, number, share, by }
+    InjectedFault { at_s, lasts_s, what, front, other, side, number, share, by }
 }
 
-fn front_fault(front: usize, what: Harm, at_s: f64, lasts_s: f64) -> Mishap {
-    Mishap { front: Some(front), ..fault(what, at_s, lasts_s) }
+fn front_fault(front: usize, what: FaultKind, at_s: f64, lasts_s: f64) -> InjectedFault {
+    InjectedFault { front: Some(front), ..fault(what, at_s, lasts_s) }
 }
 
-fn partition(side: &[usize], at_s: f64, lasts_s: f64) -> Mishap {
-    Mishap { side: side.to_vec(), ..fault(Harm::Apart, at_s, lasts_s) }
+fn partition(side: &[usize], at_s: f64, lasts_s: f64) -> InjectedFault {
+    InjectedFault { side: side.to_vec(), ..fault(FaultKind::Apart, at_s, lasts_s) }
 }
 
 /// Runs faults over several fronts, and gives the fronts time to find each other again.
 fn run_schedule(
     name: &str,
     fronts: usize,
-    mishaps: Vec<Mishap>,
+    mishaps: Vec<InjectedFault>,
     change: impl FnOnce(&mut Schedule),
-    bend: Option<Bend>,
+    bend: Option<ConfigEdit>,
 ) -> Run {
     let mut schedule = Schedule {
         title: name.to_owned(),
@@ -136,9 +136,9 @@
 
 #[test]
 fn one_way_loss_harms_nobody_and_a_front_that_nobody_hears_is_isolated() {
-    let one_way = Mishap { other: Some(1), ..front_fault(0, Harm::OneWay, 2.5, 9.5) };
+    let one_way = InjectedFault { other: Some(1), ..front_fault(0, FaultKind::OneWay, 2.5, 9.5) };
     let run =
-        run_schedule("unheard", 5, vec![one_way, front_fault(2, Harm::Unheard, 6.0, 6.0)], |_| {}, None);
+        run_schedule("unheard", 5, vec![one_way, front_fault(2, FaultKind::Unheard, 6.0, 6.0)], |_| {}, None);
     run.assert_sound();
     let unheard = run.when("mishap", 1);
     let early = |front: usize| run.deaths(front).into_iter().filter(|d| d.0 < unheard).count();
@@ -153,7 +153,7 @@
 
 #[test]
 fn a_stalled_front_does_not_act_on_its_old_view() {
-    let run = run_schedule("still", 5, vec![front_fault(0, Harm::FrontStopped, 2.5, 7.0)], |_| {}, None);
+    let run = run_schedule("still", 5, vec![front_fault(0, FaultKind::FrontStopped, 2.5, 7.0)], |_| {}, None);
     run.assert_sound();
     let woken = run.when("healed", 0);
     assert!(run.logged(0, "this front stalled") > 0);
@@ -172,10 +172,10 @@
 
 #[test]
 fn a_killed_front_rejoins_and_replayed_datagrams_do_no_harm() {
-    let replays = Mishap { by: Some(40.0), ..front_fault(1, Harm::Replayed, 2.0, 9.0) };
-    let mut mishaps = vec![front_fault(1, Harm::FrontKilled, 3.0, 4.0), replays];
+    let replays = InjectedFault { by: Some(40.0), ..front_fault(1, FaultKind::Replayed, 2.0, 9.0) };
+    let mut mishaps = vec![front_fault(1, FaultKind::FrontKilled, 3.0, 4.0), replays];
     // All but one of the others are killed at once too, for a moment.
-    mishaps.extend([2, 3, 4].map(|front| front_fault(front, Harm::FrontKilled, 9.5, 1.0)));
+    mishaps.extend([2, 3, 4].map(|front| front_fault(front, FaultKind::FrontKilled, 9.5, 1.0)));
     let run = run_schedule("killed", 5, mishaps, |_| {}, None);
     run.assert_sound();
     let killed = run.when("mishap", 0);
@@ -191,9 +191,9 @@
 
 #[test]
 fn forged_and_altered_datagrams_and_a_flood_are_refused_while_it_serves() {
-    let forged = Mishap { by: Some(30.0), ..fault(Harm::Forged, 2.0, 6.0) };
-    let bent = Mishap { share: Some(0.5), ..fault(Harm::Bent, 2.0, 3.0) };
-    let flood = Mishap { by: Some(50_000.0), ..front_fault(0, Harm::Flooded, 5.5, 2.5) };
+    let forged = InjectedFault { by: Some(30.0), ..fault(FaultKind::Forged, 2.0, 6.0) };
+    let bent = InjectedFault { share: Some(0.5), ..fault(FaultKind::Bent, 2.0, 3.0) };
+    let flood = InjectedFault { by: Some(50_000.0), ..front_fault(0, FaultKind::Flooded, 5.5, 2.5) };
     let run = run_schedule("forged", 4, vec![forged, bent, flood], |_| {}, None);
     run.assert_sound();
     assert!(run.refused("forged") > 1000, "{:?}", run.seen.why_refused);
@@ -211,7 +211,7 @@
 #[test]
 fn a_fleet_is_upgraded_one_by_one_with_two_versions_in_it() {
     let upgrades =
-        (0..4).map(|front| front_fault(front, Harm::Upgraded, 2.5 + 1.8 * front as f64, 1.0)).collect();
+        (0..4).map(|front| front_fault(front, FaultKind::Upgraded, 2.5 + 1.8 * front as f64, 1.0)).collect();
     let run = run_schedule("upgraded", 4, upgrades, |schedule| schedule.older = vec![1, 3], None);
     run.assert_sound();
     let upgraded = run.lines.iter().filter(|line| line.what == "upgraded" && line.number("pid").is_some());
@@ -233,7 +233,7 @@
             _ => {}
         }
     };
-    let mishaps = vec![front_fault(4, Harm::ListCut, 2.0, 3.0)];
+    let mishaps = vec![front_fault(4, FaultKind::ListCut, 2.0, 3.0)];
     let run = run_schedule("mixed", 5, mishaps, |_| {}, Some(&bend));
     let rules: Vec<_> = run.seen.found.iter().filter(|found| found.auditor != "views").collect();
     assert!(rules.is_empty() && run.seen.committed > 50, "{rules:?}");
@@ -257,7 +257,7 @@
     let run = run_schedule(
         "off",
         2,
-        vec![front_fault(0, Harm::FrontKilled, 2.0, 1.0)],
+        vec![front_fault(0, FaultKind::FrontKilled, 2.0, 1.0)],
         |schedule| schedule.fellows = false,
         None,
     );
@@ -269,13 +269,13 @@
 /// Fronts restart while their wall clocks are an hour off, either way: nobody is left out, and all agree.
 #[test]
 fn a_front_that_starts_with_its_clock_an_hour_off_joins() {
-    let off = |front, number| Mishap {
+    let off = |front, number| InjectedFault {
         number,
         share: Some(1.0),
         by: Some(3_600_000.0),
-        ..front_fault(front, Harm::ClockStepped, 2.5, 4.0)
+        ..front_fault(front, FaultKind::ClockStepped, 2.5, 4.0)
     };
-    let killed = |front| front_fault(front, Harm::FrontKilled, 3.0, 1.0);
+    let killed = |front| front_fault(front, FaultKind::FrontKilled, 3.0, 1.0);
     let run = run_schedule("hours", 5, vec![off(1, 1), off(2, 0), killed(1), killed(2)], |_| {}, None);
     run.assert_sound();
     let end = run.lines.iter().find(|line| line.what == "told to end").expect("it ended").at;
--- a/crates/front/tests/owners.rs
+++ b/crates/front/tests/owners.rs
@@ -3,8 +3,8 @@
 
 use juniperdock_lab::fleet::history::{Line, read};
 use juniperdock_lab::fleet::owners::{Figures, changes, probes};
-use juniperdock_lab::fleet::play::{Bend, play};
-use juniperdock_lab::fleet::{Harm, Mishap, Schedule};
+use juniperdock_lab::fleet::play::{ConfigEdit, play};
+use juniperdock_lab::fleet::{FaultKind, InjectedFault, Schedule};
 use serde_json::Value;
 use std::time::Duration;
 
@@ -13,17 +13,17 @@
 /// The preferred owner of rolling upgrades among four fronts, by rendezvous hashing.
 const UPGRADE_OWNER_OF_FOUR: usize = 0;
 
-fn fault(what: Harm, at_s: f64, lasts_s: f64) -> Mishap {
+fn fault(what: FaultKind, at_s: f64, lasts_s: f64) -> InjectedFault {
     let (front, other, side, number, share, by) = (None, None, Vec::new(), 0, None, None);
-    Mishap { at_s, lasts_s, what, front, other, side, number, share, by }
+    InjectedFault { at_s, lasts_s, what, front, other, side, number, share, by }
 }
 
-fn front_fault(front: usize, what: Harm, at_s: f64, lasts_s: f64) -> Mishap {
-    Mishap { front: Some(front), ..fault(what, at_s, lasts_s) }
+fn front_fault(front: usize, what: FaultKind, at_s: f64, lasts_s: f64) -> InjectedFault {
+    InjectedFault { front: Some(front), ..fault(what, at_s, lasts_s) }
 }
 
 /// Runs faults over several fronts that share tasks.
-fn run_faults(name: &str, fronts: usize, lasts_s: f64, mishaps: Vec<Mishap>) -> (Vec<Line>, Figures) {
+fn run_faults(name: &str, fronts: usize, lasts_s: f64, mishaps: Vec<InjectedFault>) -> (Vec<Line>, Figures) {
     run_faults_at(name, 40.0, fronts, lasts_s, mishaps, true, None)
 }
 
@@ -32,9 +32,9 @@
     per_second: f64,
     fronts: usize,
     lasts_s: f64,
-    mishaps: Vec<Mishap>,
+    mishaps: Vec<InjectedFault>,
     duties: bool,
-    bend: Option<Bend>,
+    bend: Option<ConfigEdit>,
 ) -> (Vec<Line>, Figures) {
     let title = name.to_owned();
     let schedule = Schedule { title, fronts, per_second, lasts_s, duties, mishaps, ..shared_work() };
@@ -47,7 +47,7 @@
 }
 
 /// Runs a schedule, and checks its history against all rules.
-fn run_schedule(schedule: &Schedule, bend: Option<Bend>) -> (Vec<Line>, Figures) {
+fn run_schedule(schedule: &Schedule, bend: Option<ConfigEdit>) -> (Vec<Line>, Figures) {
     let name = &schedule.title;
     let path = std::env::temp_dir().join(format!("jd-{name}-{}.jsonl", std::process::id()));
     play(schedule, 11, PROGRAM, &path, bend).unwrap_or_else(|why| panic!("{name}: {why}"));
@@ -87,8 +87,8 @@
 fn a_stopped_owner_that_continues_late_does_no_harm() {
     let mut mishaps = Vec::new();
     for (front, at_s) in [(0, 5.0), (1, 9.0), (2, 13.0)] {
-        mishaps.push(Mishap { by: Some(4500.0), ..front_fault(front, Harm::Late, at_s, 1.0) });
-        mishaps.push(front_fault(front, Harm::FrontStopped, at_s + 0.9, 2.6));
+        mishaps.push(InjectedFault { by: Some(4500.0), ..front_fault(front, FaultKind::Late, at_s, 1.0) });
+        mishaps.push(front_fault(front, FaultKind::FrontStopped, at_s + 0.9, 2.6));
     }
     // A rate at which members are probed for all, so that owners have something to send.
     let (lines, seen) = run_faults_at("wakes", 240.0, 5, 18.0, mishaps, true, None);
@@ -103,7 +103,7 @@
 /// A partition leaves a minority without tasks, and the others take them over.
 #[test]
 fn a_minority_owns_nothing_and_the_majority_takes_over() {
-    let partition = Mishap { side: vec![2, 3], ..fault(Harm::Apart, 5.0, 5.0) };
+    let partition = InjectedFault { side: vec![2, 3], ..fault(FaultKind::Apart, 5.0, 5.0) };
     let (lines, seen) = run_faults("cut", 5, 14.0, vec![partition]);
     assert!(owns(&lines, 2, 2.5, 5.0) && owns(&lines, 3, 2.5, 5.0), "they owned something before");
     // A lease lasts 1.5 s; by then they have noticed, or it has expired.
@@ -121,7 +121,7 @@
 /// All fronts are killed at once and remember nothing: no task has an owner while an old lease may run, terms rise.
 #[test]
 fn fronts_that_are_all_killed_at_once_come_back_with_higher_terms() {
-    let mishaps = (0..3).map(|front| front_fault(front, Harm::FrontKilled, 5.0, 0.6)).collect();
+    let mishaps = (0..3).map(|front| front_fault(front, FaultKind::FrontKilled, 5.0, 0.6)).collect();
     let (lines, seen) = run_faults("all", 3, 11.0, mishaps);
     let term = |before: bool| {
         let its = logs(&lines, "duty taken").filter(|(_, at, _)| (*at < secs(5.0)) == before);
@@ -142,7 +142,7 @@
 /// A majority is gone: no task has an owner, and the others keep serving.
 #[test]
 fn without_a_majority_nobody_owns_anything_and_all_keep_serving() {
-    let mishaps = (2..5).map(|front| front_fault(front, Harm::FrontKilled, 5.0, 6.0)).collect();
+    let mishaps = (2..5).map(|front| front_fault(front, FaultKind::FrontKilled, 5.0, 6.0)).collect();
     let (lines, _) = run_faults("few", 5, 14.0, mishaps);
     assert!(!owns(&lines, 0, 7.5, 11.0) && !owns(&lines, 1, 7.5, 11.0));
     let served = |from: f64, to: f64| {
@@ -158,7 +158,10 @@
 /// group at another front is refused meanwhile.
 #[test]
 fn all_fronts_hold_for_a_planned_change() {
-    let order = |front, number, at_s| Mishap { number, ..front_fault(front, Harm::MoveOrdered, at_s, 0.0) };
+    let order = |front, number, at_s| InjectedFault {
+        number,
+        ..front_fault(front, FaultKind::MoveOrdered, at_s, 0.0)
+    };
     let mishaps = vec![order(1, 0, 4.5), order(3, 0, 4.52), order(2, 1, 7.5)];
     let (lines, seen) = run_faults("moves", 4, 13.0, mishaps);
     let done: Vec<&Value> =
@@ -189,11 +192,11 @@
 #[test]
 fn holds_end_by_themselves_when_their_owner_dies() {
     // One front's reports do not reach the owner, so that the change does not proceed before the owner dies.
-    let one_way = Mishap { other: Some(1), ..front_fault(3, Harm::OneWay, 4.9, 3.0) };
+    let one_way = InjectedFault { other: Some(1), ..front_fault(3, FaultKind::OneWay, 4.9, 3.0) };
     let mishaps = vec![
         one_way,
-        front_fault(1, Harm::MoveOrdered, 5.0, 0.0),
-        front_fault(1, Harm::FrontKilled, 5.8, 3.0),
+        front_fault(1, FaultKind::MoveOrdered, 5.0, 0.0),
+        front_fault(1, FaultKind::FrontKilled, 5.8, 3.0),
     ];
     let (lines, seen) = run_faults("dies", 4, 15.5, mishaps);
     let began: Vec<usize> = logs(&lines, "primary")
@@ -226,7 +229,7 @@
 /// All fronts are upgraded under load, the owner last, under the next owner; nothing is lost.
 #[test]
 fn a_rolling_upgrade_covers_every_front_and_ends_under_another_owner() {
-    let (lines, seen) = run_faults("rolls", 3, 18.0, vec![front_fault(0, Harm::RollOrdered, 5.0, 0.0)]);
+    let (lines, seen) = run_faults("rolls", 3, 18.0, vec![front_fault(0, FaultKind::RollOrdered, 5.0, 0.0)]);
     let (ended, upgrading) = upgrade_log(&lines);
     assert!(upgrading.len() == 3 && seen.fleet.lost == 0, "{upgrading:?} {seen}");
     assert!(ended.iter().any(|(_, end)| end == "Done"), "{ended:?}");
@@ -243,7 +246,7 @@
     let bend = |_: usize, _: &mut Value, charter: &mut Value| {
         charter["upgrade"] = serde_json::json!({ "program": "/bin/false", "ready_ms": 1500 });
     };
-    let order = vec![front_fault(1, Harm::RollOrdered, 5.0, 0.0)];
+    let order = vec![front_fault(1, FaultKind::RollOrdered, 5.0, 0.0)];
     let (lines, seen) = run_faults_at("stops", 40.0, 3, 12.0, order, true, Some(&bend));
     let (ended, upgrading) = upgrade_log(&lines);
     assert!(upgrading.len() == 1 && seen.fleet.lost == 0, "{upgrading:?} {seen}");
@@ -257,9 +260,13 @@
     let bend = |_: usize, _: &mut Value, charter: &mut Value| {
         charter["upgrade"] = serde_json::json!({ "program": "/bin/false", "ready_ms": 1500 });
     };
-    let back =
-        Mishap { number: 1, share: Some(1.0), by: Some(3_600_000.0), ..fault(Harm::ClockStepped, 8.0, 8.0) };
-    let order = |front, at_s| front_fault(front, Harm::RollOrdered, at_s, 0.0);
+    let back = InjectedFault {
+        number: 1,
+        share: Some(1.0),
+        by: Some(3_600_000.0),
+        ..fault(FaultKind::ClockStepped, 8.0, 8.0)
+    };
+    let order = |front, at_s| front_fault(front, FaultKind::RollOrdered, at_s, 0.0);
     let mishaps = vec![order(1, 5.0), back, order(0, 10.0)];
     let (lines, _) = run_faults_at("two-rolls", 40.0, 3, 16.0, mishaps, true, Some(&bend));
     let ended: Vec<u64> = logs(&lines, "roll ended").filter_map(|(.., log)| log["number"].as_u64()).collect();
@@ -269,9 +276,9 @@
 /// The owner of an upgrade is killed in the middle: the next one continues from the shared state.
 #[test]
 fn the_next_owner_continues_a_rolling_upgrade() {
-    let owner = front_fault(UPGRADE_OWNER_OF_FOUR, Harm::FrontKilled, 7.0, 4.0);
+    let owner = front_fault(UPGRADE_OWNER_OF_FOUR, FaultKind::FrontKilled, 7.0, 4.0);
     let (lines, seen) =
-        run_faults("resumes", 4, 26.0, vec![front_fault(1, Harm::RollOrdered, 5.0, 0.0), owner]);
+        run_faults("resumes", 4, 26.0, vec![front_fault(1, FaultKind::RollOrdered, 5.0, 0.0), owner]);
     let (ended, upgrading) = upgrade_log(&lines);
     assert!(ended.iter().any(|(_, end)| end == "Done"), "{ended:?} {seen}");
     assert_eq!(upgrading.len(), 4, "{upgrading:?}");
--- a/crates/front/tests/scale.rs
+++ b/crates/front/tests/scale.rs
@@ -1,7 +1,7 @@
 //! The cost of large server lists. The limits are well above the normal cost (`docs/CAPACITY.md`), and far below the
 //! cost of probing all servers after one change.
 
-use juniperdock_lab::scale::{Outcome, Plan, hollow::Behaviour, line, play};
+use juniperdock_lab::scale::{Outcome, Plan, line, play, simulated::Behaviour};
 use std::time::Duration;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_juniperdock");
--- a/crates/lab/src/fleet/machine.rs
+++ b/crates/lab/src/fleet/machine.rs
@@ -1,6 +1,6 @@
 //! System-call faults in a front's process, injected through the preloaded library.
 
-use super::schedule::{Harm, Mishap};
+use super::schedule::{FaultKind, InjectedFault};
 use juniperdock_fault_controls::{Controls, preload};
 use std::path::{Path, PathBuf};
 
@@ -11,7 +11,7 @@
     file: PathBuf,
     seed: u64,
     /// The faults in effect now.
-    active: Vec<Mishap>,
+    active: Vec<InjectedFault>,
 }
 
 impl MachineFaults {
@@ -25,7 +25,7 @@
         Ok(preload(&self.file)?.map(|(name, value)| (name, value.display().to_string())).to_vec())
     }
 
-    pub fn change(&mut self, fault: &Mishap, begins: bool) {
+    pub fn change(&mut self, fault: &InjectedFault, begins: bool) {
         if begins {
             self.active.push(fault.clone());
         } else if let Some(at) = self.active.iter().position(|active| active == fault) {
@@ -40,19 +40,21 @@
             let rate = (fault.share.unwrap_or(0.0) * RATE_SCALE) as u32;
             let by = fault.by.unwrap_or(0.0);
             match fault.what {
-                Harm::HeldUp => {
+                FaultKind::HeldUp => {
                     controls.held_up += rate;
                     controls.held_up_us = controls.held_up_us.max((by * 1000.0) as u32);
                 }
-                Harm::CallsFail => controls.fails += rate,
-                Harm::ShortCalls => {
+                FaultKind::CallsFail => controls.fails += rate,
+                FaultKind::ShortCalls => {
                     controls.short += rate;
                     controls.interrupted += rate;
                 }
-                Harm::ConnectionsBreak => controls.breaks += rate,
-                Harm::DiskFails => controls.disk += rate,
-                Harm::ClockStepped if fault.number.is_multiple_of(2) => controls.wall_clock_ms += by as i64,
-                Harm::ClockStepped => controls.wall_clock_ms -= by as i64,
+                FaultKind::ConnectionsBreak => controls.breaks += rate,
+                FaultKind::DiskFails => controls.disk += rate,
+                FaultKind::ClockStepped if fault.number.is_multiple_of(2) => {
+                    controls.wall_clock_ms += by as i64
+                }
+                FaultKind::ClockStepped => controls.wall_clock_ms -= by as i64,
                 _ => {}
             }
         }
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -19,18 +19,23 @@
 pub use audit::{Figures, figures};
 pub use control::ask;
 pub use play::play;
-pub use schedule::{Harm, Mishap, Schedule};
+pub use schedule::{FaultKind, InjectedFault, Schedule};
 
 use std::path::Path;
 
 /// Plays a schedule and evaluates its history.
-pub fn judged(schedule: &Schedule, seed: u64, program: &str, into: &Path) -> Result<Figures, String> {
+pub fn play_and_evaluate(
+    schedule: &Schedule,
+    seed: u64,
+    program: &str,
+    into: &Path,
+) -> Result<Figures, String> {
     play(schedule, seed, program, into, None)?;
     Ok(figures(&history::read(into)?))
 }
 
 /// Shrinks a failing schedule: removes faults one by one while it still fails, with at most `plays` runs.
-pub fn shrunk(
+pub fn shrink(
     schedule: &Schedule,
     mut plays: usize,
     fails: &mut dyn FnMut(&Schedule) -> Result<bool, String>,
--- a/crates/lab/src/fleet/page.rs
+++ b/crates/lab/src/fleet/page.rs
@@ -36,7 +36,7 @@
 "##;
 
 /// Renders the page of a history.
-pub fn of(lines: &[Line], figures: &Figures) -> Result<String, String> {
+pub fn render(lines: &[Line], figures: &Figures) -> Result<String, String> {
     let setting = lines.iter().find(|line| line.what == "setting").ok_or("no setting in the history")?;
     let fronts = setting.number("fronts").unwrap_or(1);
     let end =
--- a/crates/lab/src/fleet/play.rs
+++ b/crates/lab/src/fleet/play.rs
@@ -7,7 +7,7 @@
 use super::machine::MachineFaults;
 use super::process::{POLL_INTERVAL, PROCESS_TIMEOUT, Process};
 use super::relay::Relay;
-use super::schedule::{Harm, Mishap, Schedule};
+use super::schedule::{FaultKind, InjectedFault, Schedule};
 use crate::scenario::{Befallen, Befalls, Fleet, Load, Of, OfKind, Reads, Runs, Scenario};
 use crate::sockets::{State, Town, client, list, settings};
 use juniperdock_emulator::{Entry, Note, Out, World};
@@ -50,18 +50,18 @@
         kind("mark", 2.0, Reads::Write, Runs::Referenced),
         kind("order", 2.0, Reads::Write, Runs::OnceOnly),
     ];
-    let world_fault = |m: &Mishap| {
+    let world_fault = |m: &InjectedFault| {
         let (what, of) = match m.what {
-            Harm::PrimaryKilled => (Befalls::Killed, Of::Primary),
-            Harm::PrimaryHung => (Befalls::Hung, Of::Primary),
-            Harm::PrimaryCut => (Befalls::CutFromFronts, Of::Primary),
-            Harm::PrimaryApart => (Befalls::CutFromPeers, Of::Primary),
-            Harm::PrimaryDrained => (Befalls::Drained, Of::Primary),
-            Harm::PrimaryMoved => (Befalls::Moved, Of::Primary),
-            Harm::MemberDrained => (Befalls::Drained, Of::Member),
+            FaultKind::PrimaryKilled => (Befalls::Killed, Of::Primary),
+            FaultKind::PrimaryHung => (Befalls::Hung, Of::Primary),
+            FaultKind::PrimaryCut => (Befalls::CutFromFronts, Of::Primary),
+            FaultKind::PrimaryApart => (Befalls::CutFromPeers, Of::Primary),
+            FaultKind::PrimaryDrained => (Befalls::Drained, Of::Primary),
+            FaultKind::PrimaryMoved => (Befalls::Moved, Of::Primary),
+            FaultKind::MemberDrained => (Befalls::Drained, Of::Member),
             _ => return None,
         };
-        let Mishap { at_s, lasts_s, number, .. } = *m;
+        let InjectedFault { at_s, lasts_s, number, .. } = *m;
         Some(Befallen { at_s, lasts_s, what, of: Some(of), number, share: None, by: None })
     };
     Scenario {
@@ -115,7 +115,7 @@
 }
 
 /// Edits the configuration and the operators' file of a front before it starts; the argument is the front's number.
-pub type Bend<'a> = &'a dyn Fn(usize, &mut Value, &mut Value);
+pub type ConfigEdit<'a> = &'a dyn Fn(usize, &mut Value, &mut Value);
 
 /// Plays a schedule with the program; the complete history is in the file afterwards.
 pub fn play(
@@ -123,7 +123,7 @@
     seed: u64,
     program: &str,
     into: &Path,
-    edit_config: Option<Bend>,
+    edit_config: Option<ConfigEdit>,
 ) -> Result<(), String> {
     std::fs::metadata(program).map_err(|e| format!("{program}: {e}"))?;
     let scenario = scenario(schedule);
@@ -182,8 +182,8 @@
         crowds: (0..n).map(|_| None).collect(),
     };
     cluster.leaving.lock().unwrap_or_else(PoisonError::into_inner).share = schedule.leaves;
-    let preloads = schedule.mishaps.iter().any(Mishap::targets_machine_calls);
-    let writes_snapshot = schedule.mishaps.iter().any(|fault| fault.what == Harm::DiskFails);
+    let preloads = schedule.mishaps.iter().any(InjectedFault::targets_machine_calls);
+    let writes_snapshot = schedule.mishaps.iter().any(|fault| fault.what == FaultKind::DiskFails);
     for front in 0..n {
         let at = cluster.members(front, members)?;
         let agent = Agent::start(WATCH);
@@ -432,15 +432,15 @@
     }
 
     /// The links between fronts that a fault affects.
-    fn affected_links(&self, m: &Mishap) -> Vec<(usize, usize)> {
+    fn affected_links(&self, m: &InjectedFault) -> Vec<(usize, usize)> {
         let n = self.schedule.fronts;
         let all = (0..n).flat_map(|i| (0..n).map(move |j| (i, j))).filter(|(i, j)| i != j);
         let met = |&(i, j): &(usize, usize)| match m.what {
-            Harm::Apart => m.side.contains(&i) != m.side.contains(&j),
-            Harm::OneWay => (Some(i), Some(j)) == (m.front, m.other),
-            Harm::Unheard => Some(i) == m.front,
-            Harm::Replayed | Harm::Forged => m.front.is_none_or(|front| j == front),
-            Harm::Flooded => Some(j) == m.front && i == (j + 1) % n,
+            FaultKind::Apart => m.side.contains(&i) != m.side.contains(&j),
+            FaultKind::OneWay => (Some(i), Some(j)) == (m.front, m.other),
+            FaultKind::Unheard => Some(i) == m.front,
+            FaultKind::Replayed | FaultKind::Forged => m.front.is_none_or(|front| j == front),
+            FaultKind::Flooded => Some(j) == m.front && i == (j + 1) % n,
             _ => m.front.is_none_or(|front| i == front || j == front),
         };
         all.filter(met).collect()
@@ -457,18 +457,18 @@
         }
     }
 
-    fn begin(&mut self, m: &Mishap) {
+    fn begin(&mut self, m: &InjectedFault) {
         let front = m.front.unwrap_or(0);
         self.refresh_pids();
         match m.what {
-            Harm::FrontKilled => self.processes[front].kill(),
-            Harm::FrontEnded => self.terminate(front),
-            Harm::FrontStopped => {
+            FaultKind::FrontKilled => self.processes[front].kill(),
+            FaultKind::FrontEnded => self.terminate(front),
+            FaultKind::FrontStopped => {
                 self.processes[front].signal("-STOP");
                 self.processes[front].stopped = true;
             }
-            Harm::FrontSlow => self.slow[front] = Some(Instant::now()),
-            Harm::Upgraded => {
+            FaultKind::FrontSlow => self.slow[front] = Some(Instant::now()),
+            FaultKind::Upgraded => {
                 let socket = self.processes[front].dir.join("control");
                 let (sender, receiver) = channel();
                 self.upgrades.push((front, receiver));
@@ -477,7 +477,7 @@
                     let _ = sender.send(answer.and_then(|answer| answer["pid"].as_u64()));
                 });
             }
-            Harm::RollOrdered => {
+            FaultKind::RollOrdered => {
                 self.rolled = true;
                 let asked = json!({ "do": "roll", "at_once": m.number.max(1) });
                 let reply =
@@ -488,7 +488,7 @@
                     json!({ "front": front, "answer": reply }),
                 );
             }
-            Harm::MoveOrdered => {
+            FaultKind::MoveOrdered => {
                 let (socket, group) = (self.processes[front].dir.join("control"), m.number);
                 let (sender, receiver) = channel();
                 self.moves.push((front, group, receiver));
@@ -497,9 +497,9 @@
                     let _ = sender.send(answer(&socket, &asked, Duration::from_secs(6)));
                 });
             }
-            Harm::MembersCut => self.set_partitioned(front, true),
-            Harm::ListCut => self.withheld[front] = Some(Vec::new()),
-            Harm::Crowd => {
+            FaultKind::MembersCut => self.set_partitioned(front, true),
+            FaultKind::ListCut => self.withheld[front] = Some(Vec::new()),
+            FaultKind::Crowd => {
                 self.crowds[front] = Some(Crowd::start(self.listen[front], m.by.unwrap_or(0.0)));
             }
             _ if m.targets_members() => {}
@@ -508,11 +508,11 @@
         }
     }
 
-    fn end(&mut self, m: &Mishap) -> Result<(), String> {
+    fn end(&mut self, m: &InjectedFault) -> Result<(), String> {
         let front = m.front.unwrap_or(0);
         match m.what {
-            Harm::FrontKilled => self.start(front)?,
-            Harm::FrontEnded => {
+            FaultKind::FrontKilled => self.start(front)?,
+            FaultKind::FrontEnded => {
                 if self.schedule.kills_the_ending {
                     // Not before the scheduled delay after SIGTERM, even if this rig sent SIGTERM late.
                     let elapsed = self.terminated_at[front].map_or(Duration::MAX, |at| at.elapsed());
@@ -524,23 +524,23 @@
                 }
                 self.start(front)?;
             }
-            Harm::FrontStopped => {
+            FaultKind::FrontStopped => {
                 self.processes[front].stopped = false;
                 self.processes[front].signal("-CONT");
             }
-            Harm::FrontSlow => {
+            FaultKind::FrontSlow => {
                 self.slow[front] = None;
                 self.processes[front].stopped = false;
                 self.processes[front].signal("-CONT");
             }
-            Harm::MembersCut => self.set_partitioned(front, false),
-            Harm::ListCut => {
+            FaultKind::MembersCut => self.set_partitioned(front, false),
+            FaultKind::ListCut => {
                 for (member, state, text) in self.withheld[front].take().unwrap_or_default() {
                     self.send_entry(self.cluster.now(), front, member, state, text);
                 }
             }
-            Harm::Crowd => self.crowds[front] = None,
-            Harm::Upgraded | Harm::MoveOrdered | Harm::RollOrdered => {}
+            FaultKind::Crowd => self.crowds[front] = None,
+            FaultKind::Upgraded | FaultKind::MoveOrdered | FaultKind::RollOrdered => {}
             _ if m.targets_members() => {}
             _ if m.targets_machine_calls() => self.set_machine_faults(m, false),
             _ => self.change_links(m, false),
@@ -559,7 +559,7 @@
     }
 
     /// Starts or stops a system-call fault at one front, or at all.
-    fn set_machine_faults(&mut self, m: &Mishap, begins: bool) {
+    fn set_machine_faults(&mut self, m: &InjectedFault, begins: bool) {
         for (front, machine) in self.machine_faults.iter_mut().enumerate() {
             if m.front.is_none_or(|its| its == front) {
                 machine.change(m, begins);
@@ -573,22 +573,22 @@
     }
 
     /// Applies a fault to the links between fronts, or removes it.
-    fn change_links(&self, m: &Mishap, begins: bool) {
+    fn change_links(&self, m: &InjectedFault, begins: bool) {
         let sign = if begins { 1.0 } else { -1.0 };
         let (share, by) = (sign * m.share.unwrap_or(0.0), sign * m.by.unwrap_or(0.0));
         let add = |to: &mut f64, by: f64| *to = if (*to + by).abs() < 1e-9 { 0.0 } else { *to + by };
         for (from, to) in self.affected_links(m) {
             self.relay.change(from, to, |link| match m.what {
-                Harm::Apart | Harm::OneWay | Harm::Unheard if begins => link.cut += 1,
-                Harm::Apart | Harm::OneWay | Harm::Unheard => link.cut -= 1,
-                Harm::Lost => add(&mut link.lost, share),
-                Harm::Doubled => add(&mut link.doubled, share),
-                Harm::Bent => add(&mut link.bent, share),
-                Harm::Late => {
+                FaultKind::Apart | FaultKind::OneWay | FaultKind::Unheard if begins => link.cut += 1,
+                FaultKind::Apart | FaultKind::OneWay | FaultKind::Unheard => link.cut -= 1,
+                FaultKind::Lost => add(&mut link.lost, share),
+                FaultKind::Doubled => add(&mut link.doubled, share),
+                FaultKind::Bent => add(&mut link.bent, share),
+                FaultKind::Late => {
                     let span = Duration::from_secs_f64(by.abs() / 1000.0);
                     link.late = if begins { link.late + span } else { link.late.saturating_sub(span) };
                 }
-                Harm::Replayed => add(&mut link.replayed, by),
+                FaultKind::Replayed => add(&mut link.replayed, by),
                 _ => add(&mut link.forged, by),
             });
         }
--- a/crates/lab/src/fleet/primaries.rs
+++ b/crates/lab/src/fleet/primaries.rs
@@ -3,7 +3,7 @@
 
 use super::audit::{HistoryView, front, micros, txn};
 use super::history::Line;
-use super::{Figures as Fleet, Harm, figures};
+use super::{FaultKind, Figures as Fleet, figures};
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 use std::time::Duration;
@@ -79,7 +79,7 @@
     };
     // Only faults of a primary: in other faults, the number has another meaning.
     let of_group = |fault: &serde_json::Value| {
-        serde_json::from_value(fault["what"].clone()).is_ok_and(|what| Harm::PRIMARY.contains(&what))
+        serde_json::from_value(fault["what"].clone()).is_ok_and(|what| FaultKind::PRIMARY.contains(&what))
     };
     let losses = view.faults.iter().filter(|(fault, ..)| of_group(fault));
     let losses: Vec<_> = losses.map(loss_of).collect();
--- a/crates/lab/src/fleet/schedule.rs
+++ b/crates/lab/src/fleet/schedule.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 #[schemars(rename = "Harm")]
-pub enum Harm {
+pub enum FaultKind {
     /// The process is killed; it restarts at the end with the same name and address.
     FrontKilled,
     /// The process gets SIGTERM; it restarts at the end.
@@ -79,50 +79,50 @@
     MoveOrdered,
 }
 
-impl Harm {
+impl FaultKind {
     /// The ways to lose a primary.
-    pub const PRIMARY: [Harm; 6] = [
-        Harm::PrimaryKilled,
-        Harm::PrimaryHung,
-        Harm::PrimaryCut,
-        Harm::PrimaryApart,
-        Harm::PrimaryDrained,
-        Harm::PrimaryMoved,
+    pub const PRIMARY: [FaultKind; 6] = [
+        FaultKind::PrimaryKilled,
+        FaultKind::PrimaryHung,
+        FaultKind::PrimaryCut,
+        FaultKind::PrimaryApart,
+        FaultKind::PrimaryDrained,
+        FaultKind::PrimaryMoved,
     ];
     /// The kinds that a random schedule draws from.
-    pub const ALL: [Harm; 19] = [
-        Harm::FrontKilled,
-        Harm::FrontEnded,
-        Harm::FrontStopped,
-        Harm::FrontSlow,
-        Harm::Upgraded,
-        Harm::Apart,
-        Harm::OneWay,
-        Harm::Unheard,
-        Harm::Lost,
-        Harm::Doubled,
-        Harm::Bent,
-        Harm::Late,
-        Harm::Replayed,
-        Harm::Forged,
-        Harm::Flooded,
-        Harm::MembersCut,
-        Harm::ListCut,
-        Harm::PrimaryKilled,
-        Harm::MemberDrained,
+    pub const ALL: [FaultKind; 19] = [
+        FaultKind::FrontKilled,
+        FaultKind::FrontEnded,
+        FaultKind::FrontStopped,
+        FaultKind::FrontSlow,
+        FaultKind::Upgraded,
+        FaultKind::Apart,
+        FaultKind::OneWay,
+        FaultKind::Unheard,
+        FaultKind::Lost,
+        FaultKind::Doubled,
+        FaultKind::Bent,
+        FaultKind::Late,
+        FaultKind::Replayed,
+        FaultKind::Forged,
+        FaultKind::Flooded,
+        FaultKind::MembersCut,
+        FaultKind::ListCut,
+        FaultKind::PrimaryKilled,
+        FaultKind::MemberDrained,
     ];
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "Mishap")]
-pub struct Mishap {
+pub struct InjectedFault {
     #[garde(range(min = 0.0, max = 3600.0))]
     pub at_s: f64,
     #[garde(range(min = 0.0, max = 3600.0))]
     pub lasts_s: f64,
     #[garde(skip)]
-    pub what: Harm,
+    pub what: FaultKind,
     #[garde(skip)]
     #[serde(default)]
     pub front: Option<usize>,
@@ -192,7 +192,7 @@
     #[garde(skip)]
     pub duties: bool,
     #[garde(dive)]
-    pub mishaps: Vec<Mishap>,
+    pub mishaps: Vec<InjectedFault>,
 }
 
 impl Default for Schedule {
@@ -244,51 +244,52 @@
             }
             let needs_front = matches!(
                 m.what,
-                Harm::FrontKilled
-                    | Harm::FrontEnded
-                    | Harm::FrontStopped
-                    | Harm::FrontSlow
-                    | Harm::Upgraded
-                    | Harm::OneWay
-                    | Harm::Unheard
-                    | Harm::Flooded
-                    | Harm::MembersCut
-                    | Harm::ListCut
-                    | Harm::MoveOrdered
-                    | Harm::RollOrdered
-                    | Harm::Crowd
+                FaultKind::FrontKilled
+                    | FaultKind::FrontEnded
+                    | FaultKind::FrontStopped
+                    | FaultKind::FrontSlow
+                    | FaultKind::Upgraded
+                    | FaultKind::OneWay
+                    | FaultKind::Unheard
+                    | FaultKind::Flooded
+                    | FaultKind::MembersCut
+                    | FaultKind::ListCut
+                    | FaultKind::MoveOrdered
+                    | FaultKind::RollOrdered
+                    | FaultKind::Crowd
             );
             if needs_front && m.front.is_none() {
                 wrong("what", "expected a front");
             }
-            if m.what == Harm::OneWay && m.other.is_none() {
+            if m.what == FaultKind::OneWay && m.other.is_none() {
                 wrong("what", "expected other");
             }
-            if m.what == Harm::Apart && (m.side.is_empty() || m.side.len() >= self.fronts) {
+            if m.what == FaultKind::Apart && (m.side.is_empty() || m.side.len() >= self.fronts) {
                 wrong("what", "expected some of the fronts as side, not all");
             }
-            if (matches!(m.what, Harm::Lost | Harm::Doubled | Harm::Bent) || m.targets_machine_calls())
+            if (matches!(m.what, FaultKind::Lost | FaultKind::Doubled | FaultKind::Bent)
+                || m.targets_machine_calls())
                 && m.share.is_none()
             {
                 wrong("what", "expected a share");
             }
             let rate = matches!(
                 m.what,
-                Harm::Late
-                    | Harm::Replayed
-                    | Harm::Forged
-                    | Harm::Flooded
-                    | Harm::HeldUp
-                    | Harm::ClockStepped
-                    | Harm::Crowd
+                FaultKind::Late
+                    | FaultKind::Replayed
+                    | FaultKind::Forged
+                    | FaultKind::Flooded
+                    | FaultKind::HeldUp
+                    | FaultKind::ClockStepped
+                    | FaultKind::Crowd
             );
             if rate && m.by.is_none() {
                 wrong("what", "expected by");
             }
             let most = match m.what {
-                what if Harm::PRIMARY.contains(&what) || what == Harm::MoveOrdered => self.groups,
-                Harm::MemberDrained => self.groups * self.members,
-                Harm::RollOrdered => 5,
+                what if FaultKind::PRIMARY.contains(&what) || what == FaultKind::MoveOrdered => self.groups,
+                FaultKind::MemberDrained => self.groups * self.members,
+                FaultKind::RollOrdered => 5,
                 _ => usize::MAX,
             };
             if m.number >= most {
@@ -323,12 +324,12 @@
             let (mut at_s, mut left) = (1.0 + random.share() / 2.0, Vec::new());
             while at_s < lasts_s {
                 if left.is_empty() {
-                    left = Harm::PRIMARY.to_vec();
+                    left = FaultKind::PRIMARY.to_vec();
                 }
                 let what = left.swap_remove(random.below(left.len()));
                 let mut lost = |what, at_s, lasts_s| {
                     let (front, other, side, share, by) = (None, None, Vec::new(), None, None);
-                    schedule.mishaps.push(Mishap {
+                    schedule.mishaps.push(InjectedFault {
                         at_s,
                         lasts_s,
                         what,
@@ -341,11 +342,11 @@
                     });
                 };
                 // A primary cut off from the fronts keeps its role, so the cut can have any length.
-                let cut = what == Harm::PrimaryCut;
+                let cut = what == FaultKind::PrimaryCut;
                 let away = if cut { 0.3 + 0.6 * random.share() } else { 0.9 + 0.5 * random.share() };
                 lost(what, at_s, away);
                 if !cut && random.below(4) == 0 {
-                    lost(Harm::PrimaryKilled, at_s + 0.8, 0.05 + 0.25 * random.share());
+                    lost(FaultKind::PrimaryKilled, at_s + 0.8, 0.05 + 0.25 * random.share());
                 }
                 at_s += away + 0.8 + 0.7 * random.share();
             }
@@ -357,15 +358,15 @@
     /// Owners that are stopped, killed, cut off and slowed, drawn from the seed, one after the other and overlapping,
     /// while planned changes are ordered; then a quiet period.
     pub fn owners(seed: u64, fronts: usize, lasts_s: f64) -> Schedule {
-        const OWNER_FAULTS: [Harm; 8] = [
-            Harm::FrontStopped,
-            Harm::FrontKilled,
-            Harm::Late,
-            Harm::Apart,
-            Harm::FrontStopped,
-            Harm::Unheard,
-            Harm::FrontEnded,
-            Harm::FrontSlow,
+        const OWNER_FAULTS: [FaultKind; 8] = [
+            FaultKind::FrontStopped,
+            FaultKind::FrontKilled,
+            FaultKind::Late,
+            FaultKind::Apart,
+            FaultKind::FrontStopped,
+            FaultKind::Unheard,
+            FaultKind::FrontEnded,
+            FaultKind::FrontSlow,
         ];
         let mut random = Stream::of(seed, "owners", 0);
         let mut schedule = Schedule {
@@ -378,7 +379,7 @@
         };
         let plain = |what, at_s: f64, lasts_s: f64| {
             let (front, other, side, number, share, by) = (None, None, Vec::new(), 0, None, None);
-            Mishap { at_s, lasts_s, what, front, other, side, number, share, by }
+            InjectedFault { at_s, lasts_s, what, front, other, side, number, share, by }
         };
         let (mut at_s, mut left, mut next_move_s) = (4.5, Vec::new(), 5.0);
         // Each front is chosen once before any is chosen again.
@@ -392,25 +393,28 @@
             }
             let what = left.swap_remove(random.below(left.len()));
             let front = unused_fronts.swap_remove(random.below(unused_fronts.len()));
-            let span = if what == Harm::FrontEnded { 4.0 } else { 2.2 + random.share() };
+            let span = if what == FaultKind::FrontEnded { 4.0 } else { 2.2 + random.share() };
             match what {
                 // Its datagrams are still in flight while it is stopped and another front takes over.
-                Harm::Late => {
-                    let late = Mishap { front: Some(front), by: Some(4500.0), ..plain(what, at_s, 1.0) };
+                FaultKind::Late => {
+                    let late =
+                        InjectedFault { front: Some(front), by: Some(4500.0), ..plain(what, at_s, 1.0) };
                     schedule.mishaps.push(late);
-                    let stopped = plain(Harm::FrontStopped, at_s + 0.9, span);
-                    schedule.mishaps.push(Mishap { front: Some(front), ..stopped });
+                    let stopped = plain(FaultKind::FrontStopped, at_s + 0.9, span);
+                    schedule.mishaps.push(InjectedFault { front: Some(front), ..stopped });
                 }
-                Harm::Apart => {
+                FaultKind::Apart => {
                     let other = (front + 1 + random.below(fronts - 1)) % fronts;
-                    schedule.mishaps.push(Mishap { side: vec![front, other], ..plain(what, at_s, span) });
+                    schedule
+                        .mishaps
+                        .push(InjectedFault { side: vec![front, other], ..plain(what, at_s, span) });
                 }
-                _ => schedule.mishaps.push(Mishap { front: Some(front), ..plain(what, at_s, span) }),
+                _ => schedule.mishaps.push(InjectedFault { front: Some(front), ..plain(what, at_s, span) }),
             }
             if at_s >= next_move_s {
                 let (number, front) = (random.below(schedule.groups), random.below(fronts));
-                let order = plain(Harm::MoveOrdered, at_s + 0.5, 0.0);
-                schedule.mishaps.push(Mishap { front: Some(front), number, ..order });
+                let order = plain(FaultKind::MoveOrdered, at_s + 0.5, 0.0);
+                schedule.mishaps.push(InjectedFault { front: Some(front), number, ..order });
                 next_move_s += 4.0;
             }
             at_s += 1.3 + 0.7 * random.share();
@@ -429,10 +433,10 @@
         for front in 0..self.fronts {
             for step in 0..steps {
                 let off_ms = STEPS_MS[(front + step) % STEPS_MS.len()];
-                self.mishaps.push(Mishap {
+                self.mishaps.push(InjectedFault {
                     at_s: step as f64 * EVERY_S,
                     lasts_s: EVERY_S,
-                    what: Harm::ClockStepped,
+                    what: FaultKind::ClockStepped,
                     front: Some(front),
                     other: None,
                     side: Vec::new(),
@@ -446,7 +450,7 @@
     }
 
     /// A schedule drawn from a seed: faults one after the other and overlapping, then a quiet period.
-    pub fn drawn(seed: u64, fronts: usize, fault_count: usize, calm_s: f64) -> Schedule {
+    pub fn random(seed: u64, fronts: usize, fault_count: usize, calm_s: f64) -> Schedule {
         let mut random = Stream::of(seed, "mishaps", 0);
         let mut schedule = Schedule {
             title: format!("Drawn from seed {seed}"),
@@ -456,10 +460,10 @@
         };
         let mut at_s = 2.5;
         // Each kind once before any is repeated.
-        let mut left: Vec<Harm> = Vec::new();
+        let mut left: Vec<FaultKind> = Vec::new();
         for _ in 0..fault_count {
             if left.is_empty() {
-                left = Harm::ALL.to_vec();
+                left = FaultKind::ALL.to_vec();
             }
             let what = left.swap_remove(random.below(left.len()));
             let front = random.below(fronts);
@@ -472,49 +476,54 @@
             }
             side.truncate(size);
             let lasts_s = match what {
-                Harm::FrontKilled | Harm::FrontStopped | Harm::Apart | Harm::Unheard => {
+                FaultKind::FrontKilled | FaultKind::FrontStopped | FaultKind::Apart | FaultKind::Unheard => {
                     3.0 + 3.0 * random.share()
                 }
-                Harm::FrontEnded => 4.0,
-                Harm::Upgraded => 1.5,
-                Harm::Flooded => 1.5,
+                FaultKind::FrontEnded => 4.0,
+                FaultKind::Upgraded => 1.5,
+                FaultKind::Flooded => 1.5,
                 _ => 2.0 + 3.0 * random.share(),
             };
             let number = match what {
-                Harm::PrimaryKilled => random.below(schedule.groups),
-                Harm::MemberDrained => random.below(schedule.groups * schedule.members),
+                FaultKind::PrimaryKilled => random.below(schedule.groups),
+                FaultKind::MemberDrained => random.below(schedule.groups * schedule.members),
                 _ => 0,
             };
             let share = match what {
-                Harm::Lost => Some(0.1 + 0.3 * random.share()),
-                Harm::Doubled | Harm::Bent => Some(0.1 + 0.5 * random.share()),
+                FaultKind::Lost => Some(0.1 + 0.3 * random.share()),
+                FaultKind::Doubled | FaultKind::Bent => Some(0.1 + 0.5 * random.share()),
                 _ => None,
             };
             let by = match what {
-                Harm::Late => Some(20.0 + 280.0 * random.share()),
-                Harm::Replayed | Harm::Forged => Some(5.0 + 20.0 * random.share()),
-                Harm::Flooded => Some(50_000.0),
+                FaultKind::Late => Some(20.0 + 280.0 * random.share()),
+                FaultKind::Replayed | FaultKind::Forged => Some(5.0 + 20.0 * random.share()),
+                FaultKind::Flooded => Some(50_000.0),
                 _ => None,
             };
             // Only one fault affects a process at a time.
             let busy = |front: usize| {
-                schedule.mishaps.iter().any(|m: &Mishap| {
+                schedule.mishaps.iter().any(|m: &InjectedFault| {
                     m.targets_process() && m.front == Some(front) && m.at_s + m.lasts_s + 1.0 > at_s
                 })
             };
             let whole = matches!(
                 what,
-                Harm::Lost | Harm::Doubled | Harm::Bent | Harm::Late | Harm::Replayed | Harm::Forged
+                FaultKind::Lost
+                    | FaultKind::Doubled
+                    | FaultKind::Bent
+                    | FaultKind::Late
+                    | FaultKind::Replayed
+                    | FaultKind::Forged
             );
             let front = (0..fronts).map(|i| (front + i) % fronts).find(|&f| !busy(f)).unwrap_or(front);
             let other = if other == front { (front + 1) % fronts } else { other };
-            let fault = Mishap {
+            let fault = InjectedFault {
                 at_s,
                 lasts_s,
                 what,
                 front: Some(front).filter(|_| !whole),
-                other: Some(other).filter(|_| what == Harm::OneWay),
-                side: if what == Harm::Apart { side } else { Vec::new() },
+                other: Some(other).filter(|_| what == FaultKind::OneWay),
+                side: if what == FaultKind::Apart { side } else { Vec::new() },
                 number,
                 share,
                 by,
@@ -527,22 +536,22 @@
     }
 }
 
-impl Mishap {
+impl InjectedFault {
     /// Whether it affects members, and not the fronts or the links between them.
     pub fn targets_members(&self) -> bool {
-        Harm::PRIMARY.contains(&self.what) || self.what == Harm::MemberDrained
+        FaultKind::PRIMARY.contains(&self.what) || self.what == FaultKind::MemberDrained
     }
 
     /// Whether it affects system calls, through the preloaded library.
     pub fn targets_machine_calls(&self) -> bool {
         matches!(
             self.what,
-            Harm::HeldUp
-                | Harm::CallsFail
-                | Harm::ShortCalls
-                | Harm::ConnectionsBreak
-                | Harm::ClockStepped
-                | Harm::DiskFails
+            FaultKind::HeldUp
+                | FaultKind::CallsFail
+                | FaultKind::ShortCalls
+                | FaultKind::ConnectionsBreak
+                | FaultKind::ClockStepped
+                | FaultKind::DiskFails
         )
     }
 
@@ -550,7 +559,11 @@
     pub fn targets_process(&self) -> bool {
         matches!(
             self.what,
-            Harm::FrontKilled | Harm::FrontEnded | Harm::FrontStopped | Harm::FrontSlow | Harm::Upgraded
+            FaultKind::FrontKilled
+                | FaultKind::FrontEnded
+                | FaultKind::FrontStopped
+                | FaultKind::FrontSlow
+                | FaultKind::Upgraded
         )
     }
 }
--- a/crates/lab/src/fleet/soak.rs
+++ b/crates/lab/src/fleet/soak.rs
@@ -3,7 +3,7 @@
 
 use super::audit::{self, Finding, HistoryView, front, txn};
 use super::history::Line;
-use super::schedule::{Harm, Mishap, Schedule};
+use super::schedule::{FaultKind, InjectedFault, Schedule};
 use super::{Figures, figures};
 use juniperdock_emulator::Stream;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -23,23 +23,23 @@
 const CROWD_PER_SECOND: f64 = 600.0;
 
 /// The fault kinds of a soak; each is drawn once before any is repeated.
-const FAULT_KINDS: [Harm; 16] = [
-    Harm::Crowd,
-    Harm::FrontEnded,
-    Harm::HeldUp,
-    Harm::PrimaryKilled,
-    Harm::CallsFail,
-    Harm::FrontSlow,
-    Harm::ShortCalls,
-    Harm::MemberDrained,
-    Harm::ConnectionsBreak,
-    Harm::FrontKilled,
-    Harm::PrimaryHung,
-    Harm::Crowd,
-    Harm::ListCut,
-    Harm::Upgraded,
-    Harm::PrimaryMoved,
-    Harm::DiskFails,
+const FAULT_KINDS: [FaultKind; 16] = [
+    FaultKind::Crowd,
+    FaultKind::FrontEnded,
+    FaultKind::HeldUp,
+    FaultKind::PrimaryKilled,
+    FaultKind::CallsFail,
+    FaultKind::FrontSlow,
+    FaultKind::ShortCalls,
+    FaultKind::MemberDrained,
+    FaultKind::ConnectionsBreak,
+    FaultKind::FrontKilled,
+    FaultKind::PrimaryHung,
+    FaultKind::Crowd,
+    FaultKind::ListCut,
+    FaultKind::Upgraded,
+    FaultKind::PrimaryMoved,
+    FaultKind::DiskFails,
 ];
 
 impl Schedule {
@@ -82,55 +82,60 @@
     }
 
     /// Draws one fault of a kind for a front that has none of that kind; none if there is no such front.
-    fn draw_fault(&self, what: Harm, at_s: f64, random: &mut Stream) -> Option<Mishap> {
+    fn draw_fault(&self, what: FaultKind, at_s: f64, random: &mut Stream) -> Option<InjectedFault> {
         let lasts_s = match what {
-            Harm::FrontEnded => self.earliest_kill_s(),
-            Harm::Upgraded => 2.0,
+            FaultKind::FrontEnded => self.earliest_kill_s(),
+            FaultKind::Upgraded => 2.0,
             _ => 1.0 + 2.5 * random.share(),
         };
         let number = match what {
-            Harm::PrimaryKilled | Harm::PrimaryHung | Harm::PrimaryMoved => random.below(self.groups),
-            Harm::MemberDrained => random.below(self.groups * self.members),
+            FaultKind::PrimaryKilled | FaultKind::PrimaryHung | FaultKind::PrimaryMoved => {
+                random.below(self.groups)
+            }
+            FaultKind::MemberDrained => random.below(self.groups * self.members),
             _ => 0,
         };
         let share = match what {
             // Long delays, but rarely: two in a row are more than a front has to tolerate.
-            Harm::HeldUp => Some(0.002 + 0.004 * random.share()),
-            Harm::CallsFail | Harm::ShortCalls => Some(0.05 + 0.1 * random.share()),
-            Harm::ConnectionsBreak => Some(0.005 + 0.02 * random.share()),
-            Harm::DiskFails => Some(0.5),
+            FaultKind::HeldUp => Some(0.002 + 0.004 * random.share()),
+            FaultKind::CallsFail | FaultKind::ShortCalls => Some(0.05 + 0.1 * random.share()),
+            FaultKind::ConnectionsBreak => Some(0.005 + 0.02 * random.share()),
+            FaultKind::DiskFails => Some(0.5),
             _ => None,
         };
         let by = match what {
-            Harm::HeldUp => Some(150.0),
-            Harm::Crowd => Some(CROWD_PER_SECOND * (0.5 + random.share())),
+            FaultKind::HeldUp => Some(150.0),
+            FaultKind::Crowd => Some(CROWD_PER_SECOND * (0.5 + random.share())),
             _ => None,
         };
         let first = random.below(self.fronts);
-        let process = |m: &Mishap| m.targets_process();
-        let mine = |m: &&Mishap| m.what == what || process(m) && is_of_process(what);
+        let process = |m: &InjectedFault| m.targets_process();
+        let mine = |m: &&InjectedFault| m.what == what || process(m) && is_of_process(what);
         let busy = |front: usize| {
             let its = self.mishaps.iter().filter(mine);
             its.into_iter().any(|m| m.front == Some(front) && m.at_s + m.lasts_s + 1.0 > at_s)
         };
         let mut fronts = (0..self.fronts).map(|i| (first + i) % self.fronts);
         let front = fronts.find(|&front| !busy(front))?;
-        let front = Some(front).filter(|_| !Harm::PRIMARY.contains(&what) && what != Harm::MemberDrained);
+        let front =
+            Some(front).filter(|_| !FaultKind::PRIMARY.contains(&what) && what != FaultKind::MemberDrained);
         let (other, side) = (None, Vec::new());
-        Some(Mishap { at_s, lasts_s, what, front, other, side, number, share, by })
+        Some(InjectedFault { at_s, lasts_s, what, front, other, side, number, share, by })
     }
 }
 
 /// A second fault at the same front: idle clients at a slow process, where received data waits for a while, or at a
 /// terminating one; a wrong wall clock while a process starts.
-fn accompanying_fault(fault: &Mishap, random: &mut Stream) -> Option<Mishap> {
+fn accompanying_fault(fault: &InjectedFault, random: &mut Stream) -> Option<InjectedFault> {
     match fault.what {
-        Harm::FrontSlow => Some(Mishap { what: Harm::Crowd, by: Some(CROWD_PER_SECOND), ..fault.clone() }),
-        Harm::FrontEnded if random.below(2) == 0 => {
-            Some(Mishap { what: Harm::Crowd, by: Some(CROWD_PER_SECOND), ..fault.clone() })
+        FaultKind::FrontSlow => {
+            Some(InjectedFault { what: FaultKind::Crowd, by: Some(CROWD_PER_SECOND), ..fault.clone() })
+        }
+        FaultKind::FrontEnded if random.below(2) == 0 => {
+            Some(InjectedFault { what: FaultKind::Crowd, by: Some(CROWD_PER_SECOND), ..fault.clone() })
         }
-        Harm::FrontKilled | Harm::FrontEnded | Harm::Upgraded => Some(Mishap {
-            what: Harm::ClockStepped,
+        FaultKind::FrontKilled | FaultKind::FrontEnded | FaultKind::Upgraded => Some(InjectedFault {
+            what: FaultKind::ClockStepped,
             share: Some(1.0),
             by: Some([20.0, 1000.0, 10_000.0, 3_600_000.0][random.below(4)]),
             number: random.below(2),
@@ -141,10 +146,14 @@
     }
 }
 
-fn is_of_process(what: Harm) -> bool {
+fn is_of_process(what: FaultKind) -> bool {
     matches!(
         what,
-        Harm::FrontKilled | Harm::FrontEnded | Harm::FrontStopped | Harm::FrontSlow | Harm::Upgraded
+        FaultKind::FrontKilled
+            | FaultKind::FrontEnded
+            | FaultKind::FrontStopped
+            | FaultKind::FrontSlow
+            | FaultKind::Upgraded
     )
 }
 
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -129,7 +129,7 @@
         #[arg(long, value_delimiter = ',', default_value = "100,1000,5000,20000", value_parser = clap::value_parser!(u64).range(3..=50_000))]
         servers: Vec<u64>,
         #[arg(long, value_enum, default_value = "refuse")]
-        behaviour: scale::hollow::Behaviour,
+        behaviour: scale::simulated::Behaviour,
         #[arg(long, default_value_t = 50, value_parser = clap::value_parser!(u64).range(1..=500))]
         changes_per_second: u64,
         #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(u64).range(1..=20))]
@@ -426,7 +426,7 @@
                 return Ok(true);
             }
             let schedule = match schedule {
-                None => fleet::Schedule::drawn(seed, fronts as usize, mishaps, 6.0),
+                None => fleet::Schedule::random(seed, fronts as usize, mishaps, 6.0),
                 Some(path) => {
                     let text =
                         std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
@@ -447,13 +447,13 @@
             let lines = fleet::history::read(&history)?;
             let seen = fleet::figures(&lines);
             if let Some(page) = report {
-                write(&page, &fleet::page::of(&lines, &seen)?)?;
+                write(&page, &fleet::page::render(&lines, &seen)?)?;
             }
             if let Some(plays) = shrink.filter(|_| !seen.holds()) {
                 let mut fails = |less: &fleet::Schedule| {
-                    Ok(!fleet::judged(less, seed, &front, &history)?.found.is_empty())
+                    Ok(!fleet::play_and_evaluate(less, seed, &front, &history)?.found.is_empty())
                 };
-                let least = fleet::shrunk(&schedule, plays, &mut fails)?;
+                let least = fleet::shrink(&schedule, plays, &mut fails)?;
                 println!("{}", serde_json::to_string_pretty(&least).map_err(|e| e.to_string())?);
             }
             if json {
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -3,13 +3,13 @@
 //!
 //! Bounded: one front at a time, a few threads, a fixed time for each size.
 
-pub mod hollow;
 pub mod process;
+pub mod simulated;
 
-use hollow::{Agent, Behaviour, GROUP, Servers};
 use juniperdock_test_support::{Client, Front, address};
 use oorandom::Rand64;
 use serde::Serialize;
+use simulated::{Agent, Behaviour, GROUP, Servers};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -125,7 +125,7 @@
     let io_error = |e: std::io::Error| e.to_string();
     let servers = Servers::start(plan.behaviour).map_err(io_error)?;
     let agent = Agent::start().map_err(io_error)?;
-    let known = hollow::list(1, true, (0..count).map(|i| hollow::entry(i, servers.at(i), "up")));
+    let known = simulated::list(1, true, (0..count).map(|i| simulated::entry(i, servers.at(i), "up")));
     let list_kib = known.len() as f64 / 1024.0;
     let front = start(plan, agent.at, &known);
     let (id, monitor) = (front.id(), ResourceMonitor::start(front.id()));
@@ -138,8 +138,8 @@
     let mut random = Rand64::new(u128::from(plan.seed));
     let drained = GROUP * (random.rand_range(0..(count / GROUP) as u64) as usize) + 1;
     let before = process::processor_time(id);
-    let change = hollow::entry(drained, servers.at(drained), "draining");
-    agent.change(2, hollow::list(2, false, std::iter::once(change)));
+    let change = simulated::entry(drained, servers.at(drained), "draining");
+    agent.change(2, simulated::list(2, false, std::iter::once(change)));
     std::thread::sleep(CHANGE_WINDOW);
     let cpu = (process::processor_time(id) - before).as_secs_f64() - idle * CHANGE_WINDOW.as_secs_f64();
     let (one_change_mib, _) = monitor.take();
@@ -203,16 +203,16 @@
     while next < all {
         std::thread::sleep((every * next as u32).saturating_sub(begun.elapsed()));
         let (version, number) = (next + 3, count + GROUP * (next as usize + 1));
-        let entry = hollow::entry(number, servers.at(number), "up");
-        agent.change(version, hollow::list(version, false, std::iter::once(entry)));
+        let entry = simulated::entry(number, servers.at(number), "up");
+        agent.change(version, simulated::list(version, false, std::iter::once(entry)));
         let announced = Instant::now();
         next += 1;
         // While one group is queried, the following changes are announced on time.
         while !accepts_group(&mut client, number / GROUP) && announced.elapsed() < MAX_IN_FORCE {
             while next < all && begun.elapsed() >= every * next as u32 {
                 let (version, number) = (next + 3, count + GROUP * (next as usize + 1));
-                let entry = hollow::entry(number, servers.at(number), "up");
-                agent.change(version, hollow::list(version, false, std::iter::once(entry)));
+                let entry = simulated::entry(number, servers.at(number), "up");
+                agent.change(version, simulated::list(version, false, std::iter::once(entry)));
                 next += 1;
             }
         }
