--- a/crates/emulator/src/audit.rs
+++ b/crates/emulator/src/audit.rs
@@ -18,7 +18,7 @@
 
 /// One violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Broken {
+pub struct Violation {
     /// Number of the rule, 1 to 5.
     pub rule: usize,
     pub at: Duration,
@@ -37,7 +37,7 @@
 #[derive(Debug, Default)]
 pub struct Audit {
     pub counts: [usize; 5],
-    pub broken: Vec<Broken>,
+    pub broken: Vec<Violation>,
     /// By front and member: since when the front knows that it may send nothing new to the member.
     excluded_since: HashMap<(usize, usize), Duration>,
     /// By front and member: the epoch in which the member last reported to the front that it is a replica.
@@ -67,7 +67,7 @@
     pub(crate) fn record_violation(&mut self, rule: usize, at: Duration, what: impl FnOnce() -> String) {
         self.counts[rule - 1] += 1;
         if self.broken.len() < MAX_STORED {
-            self.broken.push(Broken { rule, at, what: what() });
+            self.broken.push(Violation { rule, at, what: what() });
         }
     }
 
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -16,8 +16,8 @@
 mod shape;
 mod world;
 
-pub use audit::{Audit, Broken, RULES};
+pub use audit::{Audit, RULES, Violation};
 pub use calendar::Calendar;
 pub use random::{Stream, Zipf};
-pub use shape::{Crowd, Election, Ill, Kind, Log, Node, Shape, Trouble, What, Whom};
-pub use world::{Entry, How, Note, Out, Told, World};
+pub use shape::{ClientLoad, Election, Kind, Log, MemberFault, Node, ScheduledFault, Shape, Targets, What};
+pub use world::{CallOutcome, Entry, FinalAnswer, Note, Out, World};
--- a/crates/emulator/src/shape.rs
+++ b/crates/emulator/src/shape.rs
@@ -60,7 +60,7 @@
 
 /// The clients of all fronts.
 #[derive(Clone, Debug)]
-pub struct Crowd {
+pub struct ClientLoad {
     pub per_second: f64,
     /// Factors on `per_second`, one for each second; the last one stays in force.
     pub series: Vec<f64>,
@@ -114,13 +114,13 @@
     pub drain_grace: Duration,
     /// How long after the expiry an answer is allowed.
     pub answer_grace: Duration,
-    pub crowd: Crowd,
-    pub troubles: Vec<Trouble>,
+    pub crowd: ClientLoad,
+    pub troubles: Vec<ScheduledFault>,
 }
 
 /// The members that a trouble affects, resolved when it begins.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Whom {
+pub enum Targets {
     Member(usize),
     Primary(usize),
     Replicas(usize),
@@ -134,7 +134,7 @@
 
 /// A fault of a member.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ill {
+pub enum MemberFault {
     /// It stops at once, and restarts cold when the trouble ends.
     Killed,
     /// It stops responding, and continues where it was when the trouble ends.
@@ -164,7 +164,7 @@
 /// The kinds of troubles.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum What {
-    Member(Whom, Ill),
+    Member(Targets, MemberFault),
     /// A zone is cut off from the others, including log shipping.
     ZoneCut(usize),
     /// The list sends no changes; they follow when the trouble ends.
@@ -172,7 +172,7 @@
     /// Changes of the list are delayed by this much.
     ListLate(Duration),
     /// The list shows running members as removed.
-    ListWrong(Whom),
+    ListWrong(Targets),
     /// A front is paused, and continues where it was when the trouble ends.
     FrontStands(usize),
     /// A front stops at once, and restarts without its state when the trouble ends.
@@ -183,7 +183,7 @@
 
 /// One fault in the script, with its start and duration.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Trouble {
+pub struct ScheduledFault {
     pub from: Duration,
     pub lasts: Duration,
     pub what: What,
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -8,7 +8,7 @@
 use crate::group::Group;
 use crate::member::{Load, LoadReport, Member, Pending};
 use crate::random::{Stream, Zipf};
-use crate::shape::{Ill, Shape, Trouble, What, Whom};
+use crate::shape::{MemberFault, ScheduledFault, Shape, Targets, What};
 use juniperdock_router::host::{AttemptOutcome, Consistency, Effect, ListedState, Report, Role};
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
@@ -24,7 +24,7 @@
 
 /// The final answer to a txn, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum FinalAnswer {
     Committed,
     Declined,
     Unknown,
@@ -34,7 +34,7 @@
 
 /// The outcome of a call, over all its txns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
+pub enum CallOutcome {
     InTime,
     Late,
     Declined,
@@ -113,19 +113,19 @@
         group: usize,
         begun: Duration,
         took: Duration,
-        how: How,
+        how: CallOutcome,
         tries: u32,
     },
     /// A front has answered a txn.
     Answered {
         front: usize,
         kind: usize,
-        told: Told,
+        told: FinalAnswer,
         took: Duration,
     },
 }
 
-/// Facts for checkers outside this crate, recorded as they happen if [`World::noting`] was called.
+/// Facts for checkers outside this crate, recorded as they happen if [`World::record_notes`] was called.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Note {
     /// A front has sent a submission to a member. Gives the age of the member's data, whether it claims to be primary
@@ -230,7 +230,7 @@
     submissions: Vec<u32>,
     /// How many times its write took effect in the log that the group kept.
     effects: u32,
-    told: Option<Told>,
+    told: Option<FinalAnswer>,
 }
 
 /// One submission of a txn to a member.
@@ -417,7 +417,7 @@
     }
 
     /// Starts to record notes.
-    pub fn noting(&mut self) {
+    pub fn record_notes(&mut self) {
         self.notes = Some(Vec::new());
     }
 
@@ -434,12 +434,12 @@
     /// Makes a group's primary hand over without any announcement.
     pub fn hand_over(&mut self, group: usize) {
         if let Some(primary) = self.groups[group].primary {
-            self.inject_fault(primary, Ill::Moved);
+            self.inject_fault(primary, MemberFault::Moved);
         }
     }
 
     /// Cuts or restores the network between a front and a member.
-    pub fn part(&mut self, front: usize, member: usize, parted: bool) {
+    pub fn set_cut(&mut self, front: usize, member: usize, parted: bool) {
         if parted {
             self.unreached.insert((front, member));
         } else {
@@ -673,12 +673,12 @@
     }
 
     /// Records a front's final answer to a txn that is not a member's row.
-    pub fn answer(&mut self, front: usize, txn: u32, told: Told, retry_after: Option<Duration>) {
+    pub fn answer(&mut self, front: usize, txn: u32, told: FinalAnswer, retry_after: Option<Duration>) {
         let Txn { call, told: before, front: its, .. } = self.txns[txn as usize];
         if before.is_some() || its != front {
             return;
         }
-        if told == Told::Declined {
+        if told == FinalAnswer::Declined {
             let effect = self.shape.kinds[self.calls[call as usize].kind].terms.effect;
             let (earlier, now) = (self.earlier(txn), self.now);
             self.audit.check_decline(now, front, txn, effect, &earlier);
@@ -704,7 +704,7 @@
     }
 
     /// Sets a timer for a front.
-    pub fn remind(&mut self, front: usize, at: Duration, handle: u64) {
+    pub fn set_timer(&mut self, front: usize, at: Duration, handle: u64) {
         let incarnation = self.fronts[front].incarnation;
         self.calendar.set(at.max(self.now), Event::TimerDue(front, incarnation, handle));
     }
@@ -742,7 +742,7 @@
     }
 
     /// Advances the time to that of an external clock. All events before it must have been handled.
-    pub fn pass(&mut self, now: Duration) {
+    pub fn advance_to(&mut self, now: Duration) {
         self.now = self.now.max(now);
     }
 
@@ -996,7 +996,7 @@
         let among = if same.is_empty() { all } else { same };
         self.calls[call as usize].tries += 1;
         if among.is_empty() {
-            self.finish_call(call, How::Unanswered);
+            self.finish_call(call, CallOutcome::Unanswered);
             return;
         }
         let front = among[self.clients.below(among.len())];
@@ -1025,11 +1025,11 @@
     fn client_times_out(&mut self, txn: u32) {
         let Txn { call, .. } = self.txns[txn as usize];
         let effect = self.shape.kinds[self.calls[call as usize].kind].terms.effect;
-        self.retry_or_finish(call, effect == Effect::Repeatable, None, How::Unanswered);
+        self.retry_or_finish(call, effect == Effect::Repeatable, None, CallOutcome::Unanswered);
     }
 
     /// Records the final answer of a txn and lets its client retry or finish.
-    fn record_answer(&mut self, txn: u32, told: Told, retry_after: Option<Duration>) {
+    fn record_answer(&mut self, txn: u32, told: FinalAnswer, retry_after: Option<Duration>) {
         let now = self.now;
         let Txn { call, front, begun, expiry, .. } = self.txns[txn as usize];
         self.txns[txn as usize].told = Some(told);
@@ -1043,20 +1043,31 @@
         }
         let effect = self.shape.kinds[kind].terms.effect;
         match told {
-            Told::Committed => {
+            FinalAnswer::Committed => {
                 self.calls[call as usize].done = true;
-                let how =
-                    if now - first <= self.shape.kinds[kind].terms.sla { How::InTime } else { How::Late };
+                let how = if now - first <= self.shape.kinds[kind].terms.sla {
+                    CallOutcome::InTime
+                } else {
+                    CallOutcome::Late
+                };
                 self.ready.push_back(Out::Done { kind, group, begun: first, took: now - first, how, tries });
             }
-            Told::Declined => self.retry_or_finish(call, true, retry_after, How::Declined),
-            Told::Unknown => self.retry_or_finish(call, effect == Effect::Repeatable, None, How::Unknown),
-            Told::Nothing => self.retry_or_finish(call, true, None, How::Unanswered),
+            FinalAnswer::Declined => self.retry_or_finish(call, true, retry_after, CallOutcome::Declined),
+            FinalAnswer::Unknown => {
+                self.retry_or_finish(call, effect == Effect::Repeatable, None, CallOutcome::Unknown)
+            }
+            FinalAnswer::Nothing => self.retry_or_finish(call, true, None, CallOutcome::Unanswered),
         }
     }
 
     /// Retries the call if that is harmless and retries are left; otherwise finishes it with this outcome.
-    fn retry_or_finish(&mut self, call: u32, harmless: bool, retry_after: Option<Duration>, how: How) {
+    fn retry_or_finish(
+        &mut self,
+        call: u32,
+        harmless: bool,
+        retry_after: Option<Duration>,
+        how: CallOutcome,
+    ) {
         if harmless && self.calls[call as usize].tries <= self.shape.crowd.retries {
             let wait = self.clients.span(self.shape.crowd.back_off).max(retry_after.unwrap_or_default());
             self.calendar.set(self.now + wait, Event::Retry(call));
@@ -1065,7 +1076,7 @@
         }
     }
 
-    fn finish_call(&mut self, call: u32, how: How) {
+    fn finish_call(&mut self, call: u32, how: CallOutcome) {
         let Call { kind, group, begun, tries, done, .. } = self.calls[call as usize];
         if !std::mem::replace(&mut self.calls[call as usize].done, true) && !done {
             self.ready.push_back(Out::Done { kind, group, begun, took: self.now - begun, how, tries });
@@ -1129,7 +1140,7 @@
         }
         let answers_client = !self.remote && self.fronts[front].pauses == 0;
         if ending == AttemptOutcome::Committed && told.is_none() && answers_client && self.now <= expiry {
-            self.record_answer(txn, Told::Committed, None);
+            self.record_answer(txn, FinalAnswer::Committed, None);
         }
         let over = self.txns[txn as usize].told.is_some();
         let took = self.now - sent;
@@ -1282,7 +1293,7 @@
         if self.txns[txn as usize].effects > 1 && effect != Effect::Repeatable {
             self.audit.record_violation(2, now, || format!("txn {txn} took effect twice"));
         }
-        if told == Some(Told::Declined) && effect != Effect::Repeatable {
+        if told == Some(FinalAnswer::Declined) && effect != Effect::Repeatable {
             self.audit.record_violation(2, now, || format!("txn {txn} ran after it was declined"));
         }
         for at in 0..self.groups[group].members.len() {
@@ -1604,20 +1615,20 @@
     // Troubles.
 
     /// The members that a trouble affects, among those that still exist.
-    fn resolve_targets(&mut self, whom: Whom) -> Vec<usize> {
+    fn resolve_targets(&mut self, whom: Targets) -> Vec<usize> {
         let is_there = |&m: &usize| !self.members[m].gone;
         match whom {
-            Whom::Member(member) => vec![member].into_iter().filter(is_there).collect(),
-            Whom::Primary(group) => self.groups[group].primary.into_iter().filter(is_there).collect(),
-            Whom::Replicas(group) => {
+            Targets::Member(member) => vec![member].into_iter().filter(is_there).collect(),
+            Targets::Primary(group) => self.groups[group].primary.into_iter().filter(is_there).collect(),
+            Targets::Replicas(group) => {
                 let g = &self.groups[group];
                 g.members.iter().copied().filter(|&m| Some(m) != g.primary && is_there(&m)).collect()
             }
-            Whom::Zone(zone) => {
+            Targets::Zone(zone) => {
                 (0..self.members.len()).filter(|m| self.members[*m].zone == zone && is_there(m)).collect()
             }
-            Whom::All => (0..self.members.len()).filter(is_there).collect(),
-            Whom::Some(share) => {
+            Targets::All => (0..self.members.len()).filter(is_there).collect(),
+            Targets::Some(share) => {
                 let mut all: Vec<usize> = (0..self.members.len()).filter(is_there).collect();
                 let n = ((all.len() as f64 * share).round() as usize).clamp(1, all.len());
                 for i in 0..n {
@@ -1632,7 +1643,7 @@
 
     /// Starts a trouble of the script.
     fn begin_fault(&mut self, trouble: usize) {
-        let Trouble { what, .. } = self.shape.troubles[trouble];
+        let ScheduledFault { what, .. } = self.shape.troubles[trouble];
         match what {
             What::Member(whom, ill) => {
                 let affected = self.resolve_targets(whom);
@@ -1663,7 +1674,7 @@
                 self.audit.forget_front(front);
                 for txn in open {
                     if self.txns[txn as usize].told.is_none() {
-                        self.record_answer(txn, Told::Nothing, None);
+                        self.record_answer(txn, FinalAnswer::Nothing, None);
                     }
                 }
                 for member in &mut self.members {
@@ -1676,28 +1687,28 @@
     }
 
     /// Applies a fault to a member.
-    fn inject_fault(&mut self, member: usize, ill: Ill) {
+    fn inject_fault(&mut self, member: usize, ill: MemberFault) {
         let group = self.members[member].group;
         self.fix_positions(group);
         self.members[member].advance(self.now, &self.shape);
         match ill {
-            Ill::Killed => self.kill(member),
-            Ill::Replaced => {
+            MemberFault::Killed => self.kill(member),
+            MemberFault::Replaced => {
                 self.kill(member);
                 self.members[member].gone = true;
                 self.entries[member].state = ListedState::Removed;
                 self.announce(member);
             }
-            Ill::Hung => self.members[member].hung += 1,
-            Ill::CutFromFronts => self.members[member].cut_from_fronts += 1,
-            Ill::CutFromPeers => self.members[member].cut_from_peers += 1,
-            Ill::Slow(times) => self.members[member].speed /= times,
-            Ill::Errors(share) => self.members[member].error_rate += share,
-            Ill::Loses(share) => self.members[member].answer_loss += share,
-            Ill::Lags(times) => self.members[member].lag_factor *= times,
-            Ill::LiesIdle => self.members[member].hides_load = true,
-            Ill::Drained | Ill::Moved => {
-                if ill == Ill::Drained {
+            MemberFault::Hung => self.members[member].hung += 1,
+            MemberFault::CutFromFronts => self.members[member].cut_from_fronts += 1,
+            MemberFault::CutFromPeers => self.members[member].cut_from_peers += 1,
+            MemberFault::Slow(times) => self.members[member].speed /= times,
+            MemberFault::Errors(share) => self.members[member].error_rate += share,
+            MemberFault::Loses(share) => self.members[member].answer_loss += share,
+            MemberFault::Lags(times) => self.members[member].lag_factor *= times,
+            MemberFault::LiesIdle => self.members[member].hides_load = true,
+            MemberFault::Drained | MemberFault::Moved => {
+                if ill == MemberFault::Drained {
                     self.members[member].drains = true;
                     self.entries[member].state = ListedState::Draining;
                     self.announce(member);
@@ -1717,7 +1728,7 @@
 
     /// Ends a trouble of the script.
     fn end_fault(&mut self, trouble: usize) {
-        let Trouble { what, .. } = self.shape.troubles[trouble];
+        let ScheduledFault { what, .. } = self.shape.troubles[trouble];
         let affected = std::mem::take(&mut self.affected[trouble]);
         match what {
             What::Member(_, ill) => affected.into_iter().for_each(|member| self.clear_fault(member, ill)),
@@ -1790,7 +1801,7 @@
                 let Txn { told, expiry, .. } = self.txns[txn as usize];
                 if ending == AttemptOutcome::Committed && told.is_none() && self.now <= expiry && !self.remote
                 {
-                    self.record_answer(txn, Told::Committed, None);
+                    self.record_answer(txn, FinalAnswer::Committed, None);
                 }
                 let over = self.txns[txn as usize].told.is_some();
                 Out::Ended { front, txn, member, ending, role, position, took, over }
@@ -1801,19 +1812,19 @@
     }
 
     /// Ends a fault of a member.
-    fn clear_fault(&mut self, member: usize, ill: Ill) {
+    fn clear_fault(&mut self, member: usize, ill: MemberFault) {
         let group = self.members[member].group;
         self.fix_positions(group);
         self.members[member].advance(self.now, &self.shape);
         match ill {
-            Ill::Killed | Ill::Drained => {
-                if ill == Ill::Drained && self.members[member].up {
+            MemberFault::Killed | MemberFault::Drained => {
+                if ill == MemberFault::Drained && self.members[member].up {
                     self.kill(member);
                 }
                 self.start(member);
             }
-            Ill::Replaced => self.replace(member),
-            Ill::Hung => {
+            MemberFault::Replaced => self.replace(member),
+            MemberFault::Hung => {
                 self.members[member].hung -= 1;
                 if self.members[member].hung == 0 {
                     let unread = std::mem::take(&mut self.members[member].unread);
@@ -1828,14 +1839,14 @@
                     }
                 }
             }
-            Ill::CutFromFronts => self.members[member].cut_from_fronts -= 1,
-            Ill::CutFromPeers => self.members[member].cut_from_peers -= 1,
-            Ill::Slow(times) => self.members[member].speed *= times,
-            Ill::Errors(share) => self.members[member].error_rate -= share,
-            Ill::Loses(share) => self.members[member].answer_loss -= share,
-            Ill::Lags(times) => self.members[member].lag_factor /= times,
-            Ill::LiesIdle => self.members[member].hides_load = false,
-            Ill::Moved => {}
+            MemberFault::CutFromFronts => self.members[member].cut_from_fronts -= 1,
+            MemberFault::CutFromPeers => self.members[member].cut_from_peers -= 1,
+            MemberFault::Slow(times) => self.members[member].speed *= times,
+            MemberFault::Errors(share) => self.members[member].error_rate -= share,
+            MemberFault::Loses(share) => self.members[member].answer_loss -= share,
+            MemberFault::Lags(times) => self.members[member].lag_factor /= times,
+            MemberFault::LiesIdle => self.members[member].hides_load = false,
+            MemberFault::Moved => {}
         }
         self.reconnect_group(group);
         self.schedule_step(member);
--- a/crates/emulator/tests/scenarios.rs
+++ b/crates/emulator/tests/scenarios.rs
@@ -15,7 +15,7 @@
 const WRITE: usize = 1;
 
 /// One group of three members and one front, with clients at the given rate.
-fn shape(per_second: f64, troubles: Vec<Trouble>) -> Shape {
+fn shape(per_second: f64, troubles: Vec<ScheduledFault>) -> Shape {
     let kind = |name: &str, effect, consistency| Kind {
         name: name.to_owned(),
         part: 1.0,
@@ -63,7 +63,7 @@
         cold: ColdStart { share: 0.5, warm_up: ms(4000), multiple: 2.0, window: ms(1000) },
         drain_grace: ms(1000),
         answer_grace: ms(50),
-        crowd: Crowd {
+        crowd: ClientLoad {
             per_second,
             series: Vec::new(),
             skew: 0.0,
@@ -75,8 +75,8 @@
     }
 }
 
-fn trouble(from: u64, lasts: u64, what: What) -> Trouble {
-    Trouble { from: ms(from), lasts: ms(lasts), what }
+fn trouble(from: u64, lasts: u64, what: What) -> ScheduledFault {
+    ScheduledFault { from: ms(from), lasts: ms(lasts), what }
 }
 
 /// Runs the world until a time. Submits each txn to the member that `to` returns, or declines it. Returns the txn, the
@@ -91,12 +91,12 @@
         match out {
             Out::Arrived { txn, kind, .. } => match to(kind) {
                 Some(member) => world.submit(0, txn, member),
-                None => world.answer(0, txn, Told::Declined, None),
+                None => world.answer(0, txn, FinalAnswer::Declined, None),
             },
             Out::Ended { txn, member, ending, took, over, .. } => {
                 ended.push((txn as usize, member, ending, took));
                 if !over {
-                    world.answer(0, txn, Told::Unknown, None);
+                    world.answer(0, txn, FinalAnswer::Unknown, None);
                 }
             }
             _ => {}
@@ -125,7 +125,7 @@
 
 #[test]
 fn a_killed_primary_is_replaced_by_an_up_to_date_replica_and_returns_as_a_replica() {
-    let killed = trouble(1000, 3000, What::Member(Whom::Primary(0), Ill::Killed));
+    let killed = trouble(1000, 3000, What::Member(Targets::Primary(0), MemberFault::Killed));
     let mut world = World::new(shape(50.0, vec![killed]));
     run(&mut world, 990, |kind| (kind == WRITE).then_some(0));
     assert_eq!(world.primary(0), Some(0));
@@ -148,7 +148,7 @@
 /// its primary.
 #[test]
 fn a_repeated_write_is_not_answered_before_a_replica_has_the_first() {
-    let apart = trouble(100, 3000, What::Member(Whom::Primary(0), Ill::CutFromPeers));
+    let apart = trouble(100, 3000, What::Member(Targets::Primary(0), MemberFault::CutFromPeers));
     let mut world = World::new(shape(200.0, vec![apart]));
     run(&mut world, 120, |_| None);
     let (mut sent, mut committed) = (0, 0);
@@ -159,7 +159,7 @@
                 world.submit(0, txn, 0);
                 sent += 1;
             }
-            Out::Arrived { txn, .. } => world.answer(0, txn, Told::Declined, None),
+            Out::Arrived { txn, .. } => world.answer(0, txn, FinalAnswer::Declined, None),
             Out::Ended { ending: AttemptOutcome::Committed, .. } => committed += 1,
             _ => {}
         }
@@ -169,7 +169,7 @@
 
 #[test]
 fn writes_at_a_hung_primary_end_in_errors_and_take_no_effect() {
-    let hung = trouble(1000, 2500, What::Member(Whom::Primary(0), Ill::Hung));
+    let hung = trouble(1000, 2500, What::Member(Targets::Primary(0), MemberFault::Hung));
     let mut world = World::new(shape(100.0, vec![hung]));
     let ended = run(&mut world, 6000, |kind| (kind == WRITE).then_some(0));
     // New connections are never established. Writes that the member had read, or reads later, cannot be committed.
@@ -186,7 +186,7 @@
 
 #[test]
 fn a_read_of_old_data_on_a_lagging_replica_breaks_rule_5() {
-    let lags = trouble(500, 9000, What::Member(Whom::Replicas(0), Ill::Lags(60.0)));
+    let lags = trouble(500, 9000, What::Member(Targets::Replicas(0), MemberFault::Lags(60.0)));
     let mut world = World::new(shape(100.0, vec![lags]));
     run(&mut world, 4000, |kind| Some(0).filter(|_| kind < 2));
     assert!(world.age(1).expect("it runs") > ms(1000), "{:?}", world.age(1));
@@ -197,7 +197,7 @@
 
 #[test]
 fn an_overloaded_cold_member_fails_for_good() {
-    let killed = trouble(500, 500, What::Member(Whom::Member(1), Ill::Killed));
+    let killed = trouble(500, 500, What::Member(Targets::Member(1), MemberFault::Killed));
     let mut world = World::new(shape(600.0, vec![killed]));
     run(&mut world, 990, |kind| (kind == READ).then_some(2));
     run(&mut world, 3000, |kind| (kind == READ).then_some(1));
@@ -207,7 +207,7 @@
 
 #[test]
 fn sends_to_a_draining_member_after_the_grace_break_rule_3() {
-    let drained = trouble(1000, 5000, What::Member(Whom::Member(2), Ill::Drained));
+    let drained = trouble(1000, 5000, What::Member(Targets::Member(2), MemberFault::Drained));
     let mut world = World::new(shape(50.0, vec![drained]));
     run(&mut world, 2000, |kind| (kind == READ).then_some(2));
     assert!(world.audit.kept(), "inside the grace: {:?}", world.audit.broken);
@@ -217,14 +217,14 @@
 
 #[test]
 fn a_replaced_member_returns_under_a_new_number_with_an_old_copy() {
-    let replaced = trouble(4000, 500, What::Member(Whom::Member(1), Ill::Replaced));
+    let replaced = trouble(4000, 500, What::Member(Targets::Member(1), MemberFault::Replaced));
     let mut world = World::new(shape(50.0, vec![replaced]));
     let mut listed = Vec::new();
     while let Some(out) = world.next(ms(4600)) {
         match out {
             Out::Listed { entry, .. } => listed.push((entry.member, entry.state)),
             Out::Arrived { txn, kind: WRITE, .. } => world.submit(0, txn, 0),
-            Out::Arrived { txn, .. } => world.answer(0, txn, Told::Declined, None),
+            Out::Arrived { txn, .. } => world.answer(0, txn, FinalAnswer::Declined, None),
             _ => {}
         }
     }
@@ -237,11 +237,11 @@
 
 #[test]
 fn a_probe_reports_role_and_position_and_none_from_a_member_cut_off() {
-    let cut = trouble(1000, 1000, What::Member(Whom::Member(1), Ill::CutFromFronts));
+    let cut = trouble(1000, 1000, What::Member(Targets::Member(1), MemberFault::CutFromFronts));
     let mut world = World::new(shape(0.0, vec![cut]));
     let mut probe = |at: u64, member| {
         world.next(ms(at));
-        world.pass(ms(at));
+        world.advance_to(ms(at));
         world.probe(0, member);
         loop {
             if let Out::Probed { ending, report, .. } = world.next(ms(at + 500)).expect("an answer") {
--- a/crates/front/tests/clock_skew.rs
+++ b/crates/front/tests/clock_skew.rs
@@ -22,7 +22,8 @@
     Controls { wall_clock_ms: off_ms, ..Controls::default() }.write(&file).expect("a file");
     let environment = preload(&file).expect("the library");
     let config = Front::config(&cluster.server_list, 1024);
-    let front = Front::with_environment(PROGRAM, address(), cluster.agent.at, &config, charter, &environment);
+    let front =
+        Front::start_with_environment(PROGRAM, address(), cluster.agent.at, &config, charter, &environment);
     drop(front.client());
     let _ = std::fs::remove_file(file);
     front
@@ -31,7 +32,7 @@
 /// How many of this many reads in a row are served.
 fn reads_served(front: &Front, times: usize) -> usize {
     let mut client = front.client();
-    (0..times).filter(|i| client.ask(&txn("lookup", 3000, &format!("r{i}"))).value.is_some()).count()
+    (0..times).filter(|i| client.query(&txn("lookup", 3000, &format!("r{i}"))).value.is_some()).count()
 }
 
 #[test]
@@ -39,8 +40,8 @@
     for (name, off_ms) in [("a", -3_600_000), ("b", -10_000), ("c", -1000), ("d", 1000), ("e", 3_600_000)] {
         let cluster = TestCluster::new();
         let front = front_with_clock_off(&cluster, name, off_ms);
-        wait_until(|| front.client().ask(&txn("order", 3000, "w")).value.is_some());
-        wait_until(|| front.client().ask(&txn("lookup", 3000, "r")).value.is_some());
+        wait_until(|| front.client().query(&txn("order", 3000, "w")).value.is_some());
+        wait_until(|| front.client().query(&txn("lookup", 3000, "r")).value.is_some());
         let served = reads_served(&front, 20);
         assert!(served >= 18, "{served} of 20 with a clock that is off by {off_ms} ms");
     }
@@ -56,7 +57,7 @@
             let asked: Vec<_> = (0..24)
                 .map(|i| {
                     let (mut client, kind) = (front.client(), if i % 2 == 0 { "order" } else { "lookup" });
-                    scope.spawn(move || client.ask(&txn(kind, 3000, &format!("t{i}"))))
+                    scope.spawn(move || client.query(&txn(kind, 3000, &format!("t{i}"))))
                 })
                 .collect();
             asked.into_iter().map(|asked| asked.join().expect("an answer")).collect::<Vec<_>>()
@@ -77,7 +78,7 @@
         front.end().1
     };
     let first = front_with_clock_off_and(&cluster, "k", 0, Some(&charter));
-    assert!(first.client().ask(&txn("order", 3000, "w")).value.is_some());
+    assert!(first.client().query(&txn("order", 3000, "w")).value.is_some());
     wait_until(|| file.exists());
     ended(first);
     for (name, off_ms) in [("l", -3_600_000), ("m", 3_600_000)] {
@@ -94,9 +95,9 @@
     for (name, off_ms) in [("f", -1000), ("g", -10_000)] {
         let cluster = TestCluster::new();
         let front = front_with_clock_off(&cluster, name, off_ms);
-        wait_until(|| front.client().ask(&txn("order", 3000, "w")).value.is_some());
-        cluster.members[1].stand_still();
-        cluster.members[2].stand_still();
+        wait_until(|| front.client().query(&txn("order", 3000, "w")).value.is_some());
+        cluster.members[1].freeze_position();
+        cluster.members[2].freeze_position();
         // The bound is 300 ms; the replicas' data is older by then.
         let stood = Instant::now();
         wait_until(|| stood.elapsed() > Duration::from_millis(700));
@@ -112,11 +113,11 @@
 fn one_server_whose_clock_is_ahead_changes_nothing_for_the_others() {
     let cluster = TestCluster::new();
     let front = cluster.start_front();
-    wait_until(|| front.client().ask(&txn("order", 3000, "w")).value.is_some());
-    cluster.members[2].stand_at(Duration::from_secs(3600));
+    wait_until(|| front.client().query(&txn("order", 3000, "w")).value.is_some());
+    cluster.members[2].freeze_position_ahead(Duration::from_secs(3600));
     let served = reads_served(&front, 40);
     assert!(served >= 36, "{served} of 40");
-    assert!(front.client().ask(&txn("order", 3000, "w2")).value.is_some());
+    assert!(front.client().query(&txn("order", 3000, "w2")).value.is_some());
 }
 
 /// The verdict on the positions of two primaries that are ahead of this process by this much.
--- a/crates/front/tests/cluster/mod.rs
+++ b/crates/front/tests/cluster/mod.rs
@@ -1,7 +1,7 @@
 //! A test cluster for the built program: one group of simulated members, discovery, and helpers that wait for a state.
 #![allow(dead_code)] // Not every test file uses all of it.
 
-use juniperdock_test_support::{Agent, Front, Member, PATIENCE, WATCH, list};
+use juniperdock_test_support::{Agent, Front, Member, TEST_TIMEOUT, WATCH, list};
 use std::time::Instant;
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_juniperdock");
@@ -35,12 +35,12 @@
     }
 
     pub fn publish_list(&self, version: u64, states: [&str; 3]) {
-        self.agent.tell(TestCluster::list(&self.members, version, states));
+        self.agent.publish(TestCluster::list(&self.members, version, states));
     }
 
     /// Waits for the next txn that a member receives.
     pub fn next_txn(&self, member: usize) -> String {
-        self.members[member].seen.recv_timeout(PATIENCE).expect("the member receives a txn")
+        self.members[member].seen.recv_timeout(TEST_TIMEOUT).expect("the member receives a txn")
     }
 
     pub fn received_nothing(&self, member: usize) -> bool {
@@ -52,7 +52,7 @@
 pub fn wait_until(mut condition: impl FnMut() -> bool) {
     let started_at = Instant::now();
     while !condition() {
-        assert!(started_at.elapsed() < PATIENCE, "the condition did not become true in time");
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "the condition did not become true in time");
         std::thread::sleep(std::time::Duration::from_millis(1));
     }
 }
--- a/crates/front/tests/connect_timeouts.rs
+++ b/crates/front/tests/connect_timeouts.rs
@@ -59,10 +59,10 @@
     // Connects to discovery time out, too, with another limit than those to servers.
     let discovery = SilentServer::start();
     let config = Front::config(&list(1, true, &entries), 1024);
-    let front = Front::with(PROGRAM, address(), discovery.at, &config, None);
+    let front = Front::start_with_config(PROGRAM, address(), discovery.at, &config, None);
     // While a write waits for its primary, members are probed.
     let mut client = front.client();
-    client.say(&txn("order", 30_000, "waits"));
+    client.send(&txn("order", 30_000, "waits"));
     let begun = Instant::now();
     wait_until(|| begun.elapsed() > Duration::from_secs(8));
     drop(client);
--- a/crates/front/tests/discovery.rs
+++ b/crates/front/tests/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery fails in several ways and comes back, while descriptors are short and while fronts start.
 
 use cluster::{PROGRAM, TestCluster, wait_until};
-use juniperdock_test_support::{Client, Front, PATIENCE, address, txn};
+use juniperdock_test_support::{Client, Front, TEST_TIMEOUT, address, txn};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
@@ -32,12 +32,12 @@
     let mut client = front.client();
     wait_until(|| {
         cluster.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
-        let _ = client.ask(&txn("lookup", 20_000, "r"));
+        let _ = client.query(&txn("lookup", 20_000, "r"));
         cluster.members[0].seen.try_iter().count() > 0
     });
     assert!(since.elapsed() < UPDATE_LIMIT, "{:?}", since.elapsed());
     for _ in 0..20 {
-        assert!(client.ask(&txn("lookup", 20_000, "r")).value.is_some());
+        assert!(client.query(&txn("lookup", 20_000, "r")).value.is_some());
     }
     assert!(cluster.received_nothing(1) && cluster.received_nothing(2));
 }
@@ -48,7 +48,7 @@
     let begun = Instant::now();
     loop {
         match TcpListener::bind(at) {
-            Err(e) if e.kind() == ErrorKind::AddrInUse && begun.elapsed() < PATIENCE => {
+            Err(e) if e.kind() == ErrorKind::AddrInUse && begun.elapsed() < TEST_TIMEOUT => {
                 std::thread::sleep(Duration::from_millis(1));
             }
             bound => return bound.expect("its address"),
@@ -105,7 +105,7 @@
         let listener = TcpListener::bind(at).expect("a free address");
         let front = Front::start(PROGRAM, at, &cluster.server_list, 1024);
         let watch = answer_watch(&listener, &list(&cluster, 1, ["up"; 3]));
-        wait_until(|| front.client().ask(&txn("order", 20_000, "first")).value.is_some());
+        wait_until(|| front.client().query(&txn("order", 20_000, "first")).value.is_some());
         drop((watch, listener));
         fail_calls(at, how);
         let listener = bind_again(at);
@@ -129,10 +129,10 @@
     let listener = TcpListener::bind(at).expect("a free address");
     let front = Front::start(PROGRAM, at, &cluster.server_list, SOCKETS as u32);
     let watch = answer_watch(&listener, &list(&cluster, 1, ["up"; 3]));
-    wait_until(|| front.client().ask(&txn("order", 20_000, "first")).value.is_some());
+    wait_until(|| front.client().query(&txn("order", 20_000, "first")).value.is_some());
     drop((watch, listener));
     // All of the front's connections to its servers end, too.
-    cluster.members.iter().for_each(juniperdock_test_support::Member::cut);
+    cluster.members.iter().for_each(juniperdock_test_support::Member::close_connections);
     let mut idle = fill_descriptors(&front, SOCKETS);
     let listener = bind_again(at);
     let back = Instant::now();
@@ -148,7 +148,7 @@
     let max_wait = Duration::from_millis(500);
     wait_until(|| {
         Client::open_within(front.at, max_wait)
-            .is_some_and(|mut c| c.ask(&txn("order", 2_000, "now")).value.is_some())
+            .is_some_and(|mut c| c.query(&txn("order", 2_000, "now")).value.is_some())
     });
     assert!(front.descriptors() <= SOCKETS);
 }
@@ -160,9 +160,9 @@
     let silent = TcpListener::bind(address()).expect("a free address");
     let agent = silent.local_addr().expect("an address");
     // Most of the servers are down, too.
-    cluster.members[1].welcome(false);
-    cluster.members[2].welcome(false);
-    let start = |at| Front::again(PROGRAM, at, agent, &cluster.server_list, 1024, None);
+    cluster.members[1].set_answers_new(false);
+    cluster.members[2].set_answers_new(false);
+    let start = |at| Front::start_at(PROGRAM, at, agent, &cluster.server_list, 1024, None);
     let fronts: Vec<Front> = (0..10).map(|_| start(address())).collect();
     fronts.iter().for_each(|front| drop(front.client()));
     let places: Vec<SocketAddr> = fronts.iter().map(|front| front.at).collect();
@@ -172,12 +172,12 @@
     let fronts: Vec<Front> = places.into_iter().map(start).collect();
     let mut in_time = 0;
     for front in &fronts {
-        wait_until(|| Client::open_within(front.at, PATIENCE).is_some());
+        wait_until(|| Client::open_within(front.at, TEST_TIMEOUT).is_some());
         in_time += usize::from(begun.elapsed() < Duration::from_secs(10));
     }
     assert!(in_time >= 9, "{in_time} of 10");
     // Ready means more than accepting: writes are served.
-    assert!(fronts.iter().all(|front| front.client().ask(&txn("order", 20_000, "w")).value.is_some()));
+    assert!(fronts.iter().all(|front| front.client().query(&txn("order", 20_000, "w")).value.is_some()));
 }
 
 #[test]
--- a/crates/front/tests/draining.rs
+++ b/crates/front/tests/draining.rs
@@ -2,7 +2,7 @@
 //! that is half read, statements behind one that is refused. Every request that was read gets its final answer first.
 
 use cluster::{PROGRAM, TestCluster, wait_until};
-use juniperdock_test_support::{Client, Does, Front, PATIENCE, address, message, row, txn};
+use juniperdock_test_support::{Behaviour, Client, Front, TEST_TIMEOUT, address, message, row, txn};
 use socket2::{Domain, Socket, Type};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
@@ -37,8 +37,8 @@
 
 /// Waits until the front knows its primary and its replicas.
 fn warm_up(cluster: &TestCluster, front: &Front) {
-    wait_until(|| front.client().ask(&of_session("0", "order", 20_000, "first")).value.is_some());
-    wait_until(|| front.client().ask(&of_session("0", "lookup", 20_000, "first")).value.is_some());
+    wait_until(|| front.client().query(&of_session("0", "order", 20_000, "first")).value.is_some());
+    wait_until(|| front.client().query(&of_session("0", "lookup", 20_000, "first")).value.is_some());
     cluster.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
 }
 
@@ -50,9 +50,9 @@
 
 /// A client whose order hangs at the primary.
 fn client_with_a_hanging_order(cluster: &TestCluster, front: &Front, ms: u32) -> Client {
-    cluster.members[0].set(Does::Hangs);
+    cluster.members[0].set_behaviour(Behaviour::Hang);
     let mut client = front.client();
-    client.say(&of_session("a", "order", ms, "hangs"));
+    client.send(&of_session("a", "order", ms, "hangs"));
     assert!(cluster.next_txn(0).contains("id=hangs,"));
     client
 }
@@ -102,19 +102,19 @@
     let cluster = TestCluster::new();
     let config = Front::config(&cluster.server_list, FEW_DESCRIPTORS)
         .replace("\"memory_mb\":192", "\"memory_mb\":4096");
-    let front = Front::with(PROGRAM, address(), cluster.agent.at, &config, None);
+    let front = Front::start_with_config(PROGRAM, address(), cluster.agent.at, &config, None);
     warm_up(&cluster, &front);
     let long = [row(&vec![b'x'; LENGTH]), juniperdock_test_support::wire::ready()].concat();
-    cluster.members.iter().for_each(|member| member.once(Does::Says(long.clone())));
+    cluster.members.iter().for_each(|member| member.behave_once(Behaviour::Send(long.clone())));
     // Its receive buffer takes next to nothing that it does not read.
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.set_recv_buffer_size(4096).expect("a size");
     socket.connect(&front.at.into()).expect("the front is there");
     let mut client = Client { stream: socket.into() };
-    client.stream.set_read_timeout(Some(PATIENCE)).expect("a time");
+    client.stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time");
     client.stream.write_all(&[0, 0, 0, 9, 0, 3, 0, 0, 0]).expect("an opening");
     assert_eq!(client.reply().last, b'Z');
-    client.say(&txn("order", 20_000, "long"));
+    client.send(&txn("order", 20_000, "long"));
     assert!(cluster.next_txn(0).contains("id=long,"));
     // The first byte has arrived, so the front has written as much as it can.
     assert_eq!(client.stream.peek(&mut [0]).expect("an answer"), 1);
@@ -132,16 +132,16 @@
     let cluster = TestCluster::new();
     let front = front_with_few_descriptors(&cluster);
     warm_up(&cluster, &front);
-    cluster.members[0].set(Does::Hangs);
+    cluster.members[0].set_behaviour(Behaviour::Hang);
     let _busy: Vec<Client> = (0..CLIENTS)
         .map(|i| {
             let mut client = front.client();
-            client.say(&of_session(&i.to_string(), "order", 60_000, "busy"));
+            client.send(&of_session(&i.to_string(), "order", 60_000, "busy"));
             client
         })
         .collect();
     let mut extra = TcpStream::connect(front.at).expect("the machine takes it in");
-    extra.set_read_timeout(Some(PATIENCE)).expect("a time");
+    extra.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time");
     let statement = query(&txn("order", 20_000, "extra"));
     let all = [&[0, 0, 0, 9, 0, 3, 0, 0, 0][..], &statement.repeat(3)].concat();
     extra.write_all(&all).expect("the machine takes it");
@@ -162,7 +162,7 @@
     wait_until(|| ended.elapsed() > Duration::from_millis(1500));
     // Its deadline is later than the time by which the process must have ended.
     let sent_at = ended.elapsed();
-    client.say(&of_session("b", "order", 4900, "behind"));
+    client.send(&of_session("b", "order", 4900, "behind"));
     assert_eq!(client.reply().last, b'Z', "the one in hand");
     let (behind, answered_at) = (client.reply(), ended.elapsed());
     let (well, text) = front.end();
@@ -199,7 +199,7 @@
         // that need its slot.
         front.signal("-STOP");
         wait_until(|| front.stopped());
-        clients[0].say(&txn("order", 20_000, "crosses"));
+        clients[0].send(&txn("order", 20_000, "crosses"));
         let _others: Vec<TcpStream> =
             (0..CLIENTS).map(|_| TcpStream::connect(front.at).expect("the machine takes it in")).collect();
         front.signal("-CONT");
--- a/crates/front/tests/end_to_end.rs
+++ b/crates/front/tests/end_to_end.rs
@@ -2,7 +2,9 @@
 //! for a fixed time.
 
 use cluster::{PROGRAM, TestCluster, wait_until};
-use juniperdock_test_support::{Agent, Does, Front, PATIENCE, WATCH, error, list, message, row, txn};
+use juniperdock_test_support::{
+    Agent, Behaviour, Front, TEST_TIMEOUT, WATCH, error, list, message, row, txn,
+};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
 use std::process::Command;
@@ -15,12 +17,12 @@
     let cluster = TestCluster::new();
     let front = cluster.start_front();
     let mut client = front.client();
-    assert_eq!(client.ask("SET a = 1").last, b'Z');
+    assert_eq!(client.query("SET a = 1").last, b'Z');
     for i in 0..20 {
         let (read, write) = (txn("lookup", 2000, &format!("r{i}")), txn("mark", 2000, &format!("w{i}")));
         // Two at once on one connection are answered in order.
-        client.say(&read);
-        client.say(&write);
+        client.send(&read);
+        client.send(&write);
         let (first, second) = (client.reply(), client.reply());
         let (first, second) = (first.value.expect("a value"), second.value.expect("a value"));
         assert!(first.windows(4).any(|w| w == b"id=r") && second.windows(4).any(|w| w == b"id=w"));
@@ -37,22 +39,22 @@
     let more = bytes.repeat(10);
     for bytes in [bytes, more] {
         for i in [1, 2] {
-            cluster.members[i].set(Does::Says(row(&bytes)));
+            cluster.members[i].set_behaviour(Behaviour::Send(row(&bytes)));
         }
-        assert!(client.ask(&txn("lookup", 2000, "big")).value == Some(bytes));
+        assert!(client.query(&txn("lookup", 2000, "big")).value == Some(bytes));
     }
 }
 
 #[test]
 fn a_write_waits_for_a_primary_and_then_goes_there() {
     let cluster = TestCluster::new();
-    cluster.members[0].be_primary(false);
+    cluster.members[0].set_primary(false);
     let front = cluster.start_front();
     let mut client = front.client();
-    client.say(&txn("order", 2000, "w"));
+    client.send(&txn("order", 2000, "w"));
     // Reads are served meanwhile, by members that have reported that they are replicas.
-    assert!(front.client().ask(&txn("lookup", 2000, "r")).value.is_some());
-    cluster.members[2].be_primary(true);
+    assert!(front.client().query(&txn("lookup", 2000, "r")).value.is_some());
+    cluster.members[2].set_primary(true);
     assert!(client.reply().value.is_some());
     wait_until(|| cluster.next_txn(2).contains("id=w"));
 }
@@ -62,10 +64,10 @@
     let cluster = TestCluster::new();
     let front = cluster.start_front();
     let mut client = front.client();
-    assert!(client.ask(&txn("order", 2000, "w1")).value.is_some());
-    cluster.members[0].be_primary(false);
-    cluster.members[1].be_primary(true);
-    assert!(client.ask(&txn("order", 2000, "w2")).value.is_some(), "it never ran at member 0");
+    assert!(client.query(&txn("order", 2000, "w1")).value.is_some());
+    cluster.members[0].set_primary(false);
+    cluster.members[1].set_primary(true);
+    assert!(client.query(&txn("order", 2000, "w2")).value.is_some(), "it never ran at member 0");
     wait_until(|| cluster.next_txn(1).contains("id=w2"));
 }
 
@@ -74,18 +76,18 @@
     let cluster = TestCluster::new();
     let front = cluster.start_front();
     let mut client = front.client();
-    assert!(client.ask(&txn("order", 2000, "first")).value.is_some());
+    assert!(client.query(&txn("order", 2000, "first")).value.is_some());
     cluster.next_txn(0);
     // The connection ends after the last byte of the request: the order may have run.
-    cluster.members[0].once(Does::Breaks(Vec::new()));
-    let reply = client.ask(&txn("order", 2000, "once"));
+    cluster.members[0].behave_once(Behaviour::Close(Vec::new()));
+    let reply = client.query(&txn("order", 2000, "once"));
     assert!(reply.value.is_none() && reply.code.is_some());
     assert!(!["53300", "57P03"].contains(&reply.code.as_deref().unwrap()), "no decline: it may have run");
     assert!(cluster.next_txn(0).contains("id=once"));
     // A referenced one is retried within its group and window; half a row is no answer.
     let half = row(b"half a value")[..50].to_vec();
-    cluster.members[0].once(Does::Breaks(half));
-    let reply = client.ask(&txn("mark", 2000, "again"));
+    cluster.members[0].behave_once(Behaviour::Close(half));
+    let reply = client.query(&txn("mark", 2000, "again"));
     assert!(reply.value.is_some_and(|value| value.windows(8).any(|w| w == b"id=again")));
     assert!(cluster.next_txn(0).contains("id=again") && cluster.next_txn(0).contains("id=again"));
     assert!(cluster.received_nothing(0), "the order went once");
@@ -96,7 +98,7 @@
     let cluster = TestCluster::new();
     let front = cluster.start_front();
     let mut client = front.client();
-    assert!(client.ask(&txn("order", 2000, "first")).value.is_some());
+    assert!(client.query(&txn("order", 2000, "first")).value.is_some());
     let two = [row(b"one"), row(b"two")].concat();
     let none = error("53300");
     let (wide, swapped) = (row(b"a")[1..].to_vec(), [&row(b"a")[27..], &row(b"a")].concat());
@@ -115,22 +117,22 @@
         [message(b'S', b"replay_position\08e12\0"), row(b"a")].concat(),
     ] {
         // The member stays up and keeps its slot.
-        assert!(client.ask(&txn("order", 2000, "good")).value.is_some());
-        cluster.members[0].once(Does::Says(answer.clone()));
-        let reply = client.ask(&txn("order", 2000, "bad"));
+        assert!(client.query(&txn("order", 2000, "good")).value.is_some());
+        cluster.members[0].behave_once(Behaviour::Send(answer.clone()));
+        let reply = client.query(&txn("order", 2000, "bad"));
         assert_eq!((reply.value, reply.last), (None, b'Z'), "{answer:?}");
         assert!(reply.code.is_some_and(|code| code != "53300"), "no decline, it may have run: {answer:?}");
     }
     // An error about the statement goes to the client unchanged; no other member is tried.
-    cluster.members[0].once(Does::Fails("42601"));
-    assert_eq!(client.ask(&txn("mark", 2000, "syntax")).code.as_deref(), Some("42601"));
+    cluster.members[0].behave_once(Behaviour::Fail("42601"));
+    assert_eq!(client.query(&txn("mark", 2000, "syntax")).code.as_deref(), Some("42601"));
     wait_until(|| cluster.next_txn(0).contains("id=syntax"));
     assert!(cluster.received_nothing(0));
     // A refusal before execution is retried; an error is not.
-    cluster.members[0].once(Does::Fails("53300"));
-    assert!(client.ask(&txn("order", 2000, "full")).value.is_some());
-    cluster.members[0].once(Does::Fails("XX000"));
-    assert!(client.ask(&txn("order", 2000, "error")).value.is_none());
+    cluster.members[0].behave_once(Behaviour::Fail("53300"));
+    assert!(client.query(&txn("order", 2000, "full")).value.is_some());
+    cluster.members[0].behave_once(Behaviour::Fail("XX000"));
+    assert!(client.query(&txn("order", 2000, "error")).value.is_none());
 }
 
 #[test]
@@ -142,7 +144,7 @@
     // Once the list is in force, no request goes there any more.
     let mut since = 0;
     wait_until(|| {
-        assert!(client.ask(&txn("lookup", 2000, "r")).value.is_some());
+        assert!(client.query(&txn("lookup", 2000, "r")).value.is_some());
         since = if cluster.received_nothing(1) { since + 1 } else { 0 };
         since == 50
     });
@@ -151,18 +153,18 @@
 #[test]
 fn drain_stops_a_request_that_waits_for_a_connection() {
     let cluster = TestCluster::new();
-    cluster.members.iter().for_each(|m| m.welcome(false));
+    cluster.members.iter().for_each(|m| m.set_answers_new(false));
     // The primary is needed by a probe and then by the write; neither gets its connection yet.
     let front = cluster.start_front();
     let mut client = front.client();
-    cluster.members[0].welcome(true);
-    assert!(client.ask(&txn("order", 2000, "w1")).value.is_some());
+    cluster.members[0].set_answers_new(true);
+    assert!(client.query(&txn("order", 2000, "w1")).value.is_some());
     cluster.next_txn(0);
-    cluster.members[0].welcome(false);
-    cluster.members[0].cut();
-    client.say(&txn("order", 2000, "w2"));
+    cluster.members[0].set_answers_new(false);
+    cluster.members[0].close_connections();
+    client.send(&txn("order", 2000, "w2"));
     cluster.publish_list(2, ["draining", "up", "up"]);
-    wait_until(|| cluster.agent.asked.try_recv().is_ok());
+    wait_until(|| cluster.agent.requests.try_recv().is_ok());
     let reply = client.reply();
     assert!(reply.value.is_none());
     assert!(cluster.received_nothing(0), "nothing was written after the drain");
@@ -173,11 +175,11 @@
     let cluster = TestCluster::new();
     let front = cluster.start_front();
     let mut client = front.client();
-    assert!(client.ask(&txn("lookup", 2000, "r")).value.is_some());
-    cluster.members[1].welcome(false);
-    cluster.members[1].cut();
+    assert!(client.query(&txn("lookup", 2000, "r")).value.is_some());
+    cluster.members[1].set_answers_new(false);
+    cluster.members[1].close_connections();
     for i in 0..20 {
-        assert!(client.ask(&txn("lookup", 2000, &format!("r{i}"))).value.is_some());
+        assert!(client.query(&txn("lookup", 2000, &format!("r{i}"))).value.is_some());
     }
 }
 
@@ -186,28 +188,28 @@
     let cluster = TestCluster::new();
     let front = cluster.start_front();
     let mut client = front.client();
-    assert!(client.ask(&txn("order", 2000, "first")).value.is_some());
-    cluster.members[0].set(Does::Hangs);
+    assert!(client.query(&txn("order", 2000, "first")).value.is_some());
+    cluster.members[0].set_behaviour(Behaviour::Hang);
     let begun = Instant::now();
-    let reply = client.ask(&txn("order", 300, "w"));
+    let reply = client.query(&txn("order", 300, "w"));
     assert!(reply.code.is_some_and(|code| code != "53300" && code != "57P03"));
     assert!(begun.elapsed() >= Duration::from_millis(290), "it waits for its answer");
     // Out of time on arrival: it is answered, and nothing is sent.
-    assert!(client.ask(&txn("lookup", 0, "late")).code.is_some());
-    assert!(client.ask(&txn("lookup", u32::MAX, "long")).value.is_some());
+    assert!(client.query(&txn("lookup", 0, "late")).code.is_some());
+    assert!(client.query(&txn("lookup", u32::MAX, "long")).value.is_some());
 }
 
 #[test]
 fn a_client_that_leaves_is_noticed() {
     let cluster = TestCluster::new();
     let front = cluster.start_front();
-    assert!(front.client().ask(&txn("lookup", 2000, "r")).value.is_some());
-    cluster.members[0].set(Does::Hangs);
+    assert!(front.client().query(&txn("lookup", 2000, "r")).value.is_some());
+    cluster.members[0].set_behaviour(Behaviour::Hang);
     let mut leaver = front.client();
-    leaver.say(&txn("order", 2000, "w"));
+    leaver.send(&txn("order", 2000, "w"));
     wait_until(|| cluster.next_txn(0).contains("id=w"));
     drop(leaver);
-    assert!(front.client().ask(&txn("lookup", 2000, "r")).value.is_some());
+    assert!(front.client().query(&txn("lookup", 2000, "r")).value.is_some());
     front.signal("-TERM");
     let (well, text) = front.end();
     assert!(well && text.contains(" left=1 "), "{text}");
@@ -218,7 +220,7 @@
     let cluster = TestCluster::new();
     let front = cluster.start_front();
     let mut good = front.client();
-    assert!(good.ask(&txn("lookup", 2000, "r")).value.is_some());
+    assert!(good.query(&txn("lookup", 2000, "r")).value.is_some());
     for (text, names) in [
         ("SELECT 1", "comment"),
         ("/* id=1", "comment"),
@@ -228,10 +230,10 @@
         ("/* id=1,c=lookup,cluster=2 */ SELECT 1", "d"),
         ("/* id=1,c=lookup,d=9,cluster=2,after=now */ SELECT 1", "now"),
     ] {
-        let reply = good.ask(text);
+        let reply = good.query(text);
         assert_eq!((reply.code.as_deref(), reply.last), (Some("08P01"), b'Z'), "{text}: {names}");
     }
-    let reply = good.ask("/* id=1,c=lookup,d=900,cluster=7 */ SELECT 1");
+    let reply = good.query("/* id=1,c=lookup,d=900,cluster=7 */ SELECT 1");
     assert!(reply.value.is_none() && reply.code.is_some(), "no such group");
     // Extended queries are skipped up to Sync.
     let parse = [message(b'P', b"\0\0\0\0"), message(b'B', b"\0\0\0\0\0\0\0\0"), message(b'S', b"")].concat();
@@ -247,7 +249,7 @@
     }
     let open = |bytes: &[u8]| {
         let mut stream = TcpStream::connect(front.at).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         stream.write_all(bytes).unwrap();
         stream
     };
@@ -271,14 +273,14 @@
         assert!(String::from_utf8_lossy(&text).contains("08P01"));
     }
     assert!(begun.elapsed() >= Duration::from_secs(2), "each has its time");
-    assert!(idle.ask(&txn("lookup", 2000, "r")).value.is_some(), "one between txns may stay");
+    assert!(idle.query(&txn("lookup", 2000, "r")).value.is_some(), "one between txns may stay");
     // One byte at a time, without delaying others.
     let whole = txn("lookup", 2000, "slow");
     let mut slow = front.client();
     for byte in message(b'Q', format!("{whole}\0").as_bytes()) {
         slow.stream.write_all(&[byte]).unwrap();
     }
-    assert!(good.ask(&txn("lookup", 2000, "r")).value.is_some());
+    assert!(good.query(&txn("lookup", 2000, "r")).value.is_some());
     assert!(slow.reply().value.is_some());
 }
 
@@ -288,14 +290,14 @@
         ["HTTP/1.1 500 no\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", WATCH]
     {
         let cluster = TestCluster::with_response_head(head);
-        cluster.agent.tell("{\"version\":9".to_owned());
+        cluster.agent.publish("{\"version\":9".to_owned());
         let front = cluster.start_front();
         let mut client = front.client();
         // The front asks for it again and again.
         for _ in 0..3 {
-            cluster.agent.asked.recv_timeout(PATIENCE).expect("another watch");
+            cluster.agent.requests.recv_timeout(TEST_TIMEOUT).expect("another watch");
         }
-        assert!(client.ask(&txn("lookup", 2000, "r")).value.is_some());
+        assert!(client.query(&txn("lookup", 2000, "r")).value.is_some());
     }
 }
 
@@ -304,31 +306,31 @@
     let cluster = TestCluster::new();
     let front = cluster.start_front();
     let mut client = front.client();
-    assert!(client.ask(&txn("order", 2000, "first")).value.is_some());
-    cluster.agent.asked.recv_timeout(PATIENCE).expect("a watch");
+    assert!(client.query(&txn("order", 2000, "first")).value.is_some());
+    cluster.agent.requests.recv_timeout(TEST_TIMEOUT).expect("a watch");
     for bad in ["", "{\"discovery\":", "{}", "{\"discovery\":\"there\"}"] {
         front.reconfigure(bad);
-        assert!(client.ask(&txn("lookup", 2000, "r")).value.is_some(), "{bad}");
+        assert!(client.query(&txn("lookup", 2000, "r")).value.is_some(), "{bad}");
     }
     // A request in hand is not affected.
-    cluster.members[0].set(Does::Hangs);
-    client.say(&txn("order", 500, "w"));
+    cluster.members[0].set_behaviour(Behaviour::Hang);
+    client.send(&txn("order", 500, "w"));
     wait_until(|| cluster.next_txn(0).contains("id=w"));
     let moved = Agent::start(WATCH);
     front.reconfigure(&format!("{{\"discovery\":\"{}\"}}", moved.at));
-    moved.asked.recv_timeout(PATIENCE).expect("a watch at the new address");
+    moved.requests.recv_timeout(TEST_TIMEOUT).expect("a watch at the new address");
     assert!(client.reply().code.is_some());
     // From its first list on, only the new address counts.
-    moved.tell(TestCluster::list(&cluster.members, 2, ["up", "draining", "up"]));
+    moved.publish(TestCluster::list(&cluster.members, 2, ["up", "draining", "up"]));
     let mut since = 0;
     wait_until(|| {
-        assert!(client.ask(&txn("lookup", 2000, "r")).value.is_some());
+        assert!(client.query(&txn("lookup", 2000, "r")).value.is_some());
         since = if cluster.received_nothing(1) { since + 1 } else { 0 };
         since == 50
     });
     cluster.publish_list(3, ["up", "up", "draining"]);
     for _ in 0..50 {
-        assert!(client.ask(&txn("lookup", 2000, "r")).value.is_some());
+        assert!(client.query(&txn("lookup", 2000, "r")).value.is_some());
     }
     assert!(cluster.received_nothing(1));
     front.signal("-TERM");
@@ -347,9 +349,9 @@
         // Another primary at the same address each time, after the previous one is removed.
         let names = [version - 1, version].map(|v| if v == 1 { "m-0".to_owned() } else { format!("p-{v}") });
         let before = cluster.members[0].connections();
-        cluster.agent.tell(list(version, false, &[(&names[0], at, "removed"), (&names[1], at, "up")]));
+        cluster.agent.publish(list(version, false, &[(&names[0], at, "removed"), (&names[1], at, "up")]));
         wait_until(|| {
-            let answered = client.ask(&txn("order", 2000, "w")).value.is_some();
+            let answered = client.query(&txn("order", 2000, "w")).value.is_some();
             answered && cluster.members[0].connections() > before
         });
     }
@@ -366,12 +368,12 @@
     let front = cluster.start_front();
     let mut idle = front.client();
     let mut busy = front.client();
-    assert!(idle.ask(&txn("order", 2000, "first")).value.is_some());
-    cluster.members[0].set(Does::Hangs);
-    busy.say(&txn("order", 900, "w"));
+    assert!(idle.query(&txn("order", 2000, "first")).value.is_some());
+    cluster.members[0].set_behaviour(Behaviour::Hang);
+    busy.send(&txn("order", 900, "w"));
     wait_until(|| cluster.next_txn(0).contains("id=w"));
     front.signal("-TERM");
-    assert!(front.client().ask(&txn("lookup", 2000, "new")).value.is_some(), "clients still come");
+    assert!(front.client().query(&txn("lookup", 2000, "new")).value.is_some(), "clients still come");
     assert!(busy.reply().code.is_some());
     assert_eq!(idle.reply().last, 0);
     let (well, text) = front.end();
@@ -383,18 +385,18 @@
     let cluster = TestCluster::new();
     let front = cluster.start_front();
     let mut client = front.client();
-    assert!(client.ask(&txn("order", 2000, "first")).value.is_some());
+    assert!(client.query(&txn("order", 2000, "first")).value.is_some());
     cluster.next_txn(0);
     front.signal("-STOP");
     wait_until(|| front.stopped());
     let begun = Instant::now();
-    client.say(&txn("order", 500, "late"));
+    client.send(&txn("order", 500, "late"));
     wait_until(|| begun.elapsed() > Duration::from_millis(700));
     front.signal("-CONT");
     let reply = client.reply();
     assert!(reply.value.is_none(), "its client has given up by now: {reply:?}");
     assert!(cluster.received_nothing(0), "nothing is sent for it");
-    assert!(client.ask(&txn("order", 2000, "next")).value.is_some());
+    assert!(client.query(&txn("order", 2000, "next")).value.is_some());
 }
 
 #[test]
@@ -402,13 +404,13 @@
     let cluster = TestCluster::new();
     let front = cluster.start_front();
     let mut client = front.client();
-    assert!(client.ask(&txn("lookup", 2000, "r")).value.is_some());
+    assert!(client.query(&txn("lookup", 2000, "r")).value.is_some());
     let at = front.at;
     front.signal("-KILL");
     assert_eq!(client.reply().last, 0);
     drop(front);
-    let front = Front::again(PROGRAM, at, cluster.agent.at, &cluster.server_list, 1024, None);
-    assert!(front.client().ask(&txn("order", 2000, "w")).value.is_some());
+    let front = Front::start_at(PROGRAM, at, cluster.agent.at, &cluster.server_list, 1024, None);
+    assert!(front.client().query(&txn("order", 2000, "w")).value.is_some());
     front.signal("-USR1");
     front.signal("-TERM");
     assert!(front.end().0);
@@ -420,7 +422,7 @@
     let front = Front::start(PROGRAM, cluster.agent.at, &cluster.server_list, 52);
     let mut clients: Vec<_> = (0..60).map(|_| front.client()).collect();
     // The last clients are still connected; those idle longest were asked to leave.
-    wait_until(|| front.client().ask(&txn("lookup", 2000, "r")).value.is_some());
+    wait_until(|| front.client().query(&txn("lookup", 2000, "r")).value.is_some());
     assert_eq!(clients[0].reply().last, 0);
     drop(clients);
     wait_until(|| front.descriptors() < 25);
@@ -432,18 +434,18 @@
     wait_until(|| front.descriptors() < 25);
     // Busy clients stay; a client that finds no slot gets an error.
     for member in &cluster.members {
-        member.set(Does::Hangs);
+        member.set_behaviour(Behaviour::Hang);
     }
     let mut busy: Vec<_> = (0..18)
         .map(|i| {
             let mut client = front.client();
-            client.say(&txn("order", 2000, &format!("w{i}")));
+            client.send(&txn("order", 2000, &format!("w{i}")));
             client
         })
         .collect();
     // This holds as well if more than the startup is sent at once, and more keeps coming.
     let mut extra = TcpStream::connect(front.at).unwrap();
-    extra.set_read_timeout(Some(PATIENCE)).unwrap();
+    extra.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let query = message(b'Q', format!("{}\0", txn("order", 2000, "extra")).as_bytes());
     extra.write_all(&[&[0, 0, 0, 9, 0, 3, 0, 0, 0][..], &query].concat()).unwrap();
     extra.write_all(&query.repeat(99)).unwrap();
--- a/crates/front/tests/migrate.rs
+++ b/crates/front/tests/migrate.rs
@@ -92,11 +92,11 @@
         .output()
         .expect("the program runs");
     assert!(check.status.success(), "{}", stderr(&check));
-    let front = Front::with(PROGRAM, at, agent.at, &workspace.text("new.json"), None);
-    assert!(front.client().ask(&txn("lookup", 2000, "r")).value.is_some());
+    let front = Front::start_with_config(PROGRAM, at, agent.at, &workspace.text("new.json"), None);
+    assert!(front.client().query(&txn("lookup", 2000, "r")).value.is_some());
     // The old file still works as well.
-    let before = Front::with(PROGRAM, address(), agent.at, &workspace.text("old.json"), None);
-    assert!(before.client().ask(&txn("lookup", 2000, "r")).value.is_some());
+    let before = Front::start_with_config(PROGRAM, address(), agent.at, &workspace.text("old.json"), None);
+    assert!(before.client().query(&txn("lookup", 2000, "r")).value.is_some());
 }
 
 #[test]
--- a/crates/front/tests/pipeline.rs
+++ b/crates/front/tests/pipeline.rs
@@ -2,7 +2,9 @@
 //! order, each with its own deadline.
 
 use cluster::{PROGRAM, TestCluster, wait_until};
-use juniperdock_test_support::{Client, Does, Front, Member, PATIENCE, Reply, address, message, txn};
+use juniperdock_test_support::{
+    Behaviour, Client, Front, Member, Reply, TEST_TIMEOUT, address, message, txn,
+};
 use std::net::Shutdown;
 use std::time::Duration;
 
@@ -20,12 +22,12 @@
 
 /// Waits until the front knows its primary and its replicas; returns a client whose first order hangs at the primary.
 fn client_with_a_hanging_order(cluster: &TestCluster, front: &Front) -> Client {
-    wait_until(|| front.client().ask(&of_session("0", "order", 20_000, "first")).value.is_some());
-    wait_until(|| front.client().ask(&of_session("0", "lookup", 20_000, "first")).value.is_some());
+    wait_until(|| front.client().query(&of_session("0", "order", 20_000, "first")).value.is_some());
+    wait_until(|| front.client().query(&of_session("0", "lookup", 20_000, "first")).value.is_some());
     cluster.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
-    cluster.members[0].once(Does::Hangs);
+    cluster.members[0].behave_once(Behaviour::Hang);
     let mut client = front.client();
-    client.say(&of_session("a", "order", 60_000, "ahead"));
+    client.send(&of_session("a", "order", 60_000, "ahead"));
     assert!(cluster.next_txn(0).contains("id=ahead,"));
     client
 }
@@ -50,15 +52,15 @@
     let front = cluster.start_front();
     let mut client = client_with_a_hanging_order(&cluster, &front);
     for id in ["b", "c", "d"] {
-        client.say(&of_session(id, "order", 60_000, id));
+        client.send(&of_session(id, "order", 60_000, id));
     }
-    client.say("SET a = 1");
+    client.send("SET a = 1");
     let mut sent: Vec<String> = (0..3).map(|_| cluster.next_txn(0)).collect();
     sent.sort();
     for (text, id) in sent.iter().zip(["b", "c", "d"]) {
         assert!(text.contains(&format!("id={id},")), "while the first is out: {text}");
     }
-    cluster.members[0].end_hanging();
+    cluster.members[0].close_hanging();
     assert!(is_unknown(&client.reply()));
     for id in ["b", "c", "d"] {
         let reply = client.reply();
@@ -74,15 +76,15 @@
     let front = cluster.start_front();
     let mut client = client_with_a_hanging_order(&cluster, &front);
     // One waits for the write before it in its session, the other is sent.
-    cluster.members[0].once(Does::Hangs);
-    client.say(&of_session("a", "order", 300, "waits"));
-    client.say(&of_session("b", "order", 300, "out"));
+    cluster.members[0].behave_once(Behaviour::Hang);
+    client.send(&of_session("a", "order", 300, "waits"));
+    client.send(&of_session("b", "order", 300, "out"));
     assert!(cluster.next_txn(0).contains("id=out,"));
     // Their deadlines have passed once a statement that came later, with as much time, has been answered.
     let mut other = front.client();
-    cluster.members[0].once(Does::Hangs);
-    assert!(is_unknown(&other.ask(&of_session("c", "order", 320, "later"))));
-    cluster.members[0].cut();
+    cluster.members[0].behave_once(Behaviour::Hang);
+    assert!(is_unknown(&other.query(&of_session("c", "order", 320, "later"))));
+    cluster.members[0].close_connections();
     assert!(is_unknown(&client.reply()), "the first may have run");
     assert!(is_declined(&client.reply()), "its time was over before it could begin");
     assert!(is_unknown(&client.reply()), "its time was over while it was out");
@@ -93,11 +95,11 @@
 fn a_sessions_read_behind_its_write_sees_it() {
     let cluster = TestCluster::new();
     let config = Front::config(&cluster.server_list, 1024).replace("[\"recent\",", "[\"own_writes\",");
-    let front = Front::with(PROGRAM, address(), cluster.agent.at, &config, None);
+    let front = Front::start_with_config(PROGRAM, address(), cluster.agent.at, &config, None);
     let mut client = client_with_a_hanging_order(&cluster, &front);
     // Replicas that have not proven the write must not serve this one; they may serve another session's.
-    client.say(&of_session("a", "lookup", 60_000, "own"));
-    client.say(&of_session("b", "lookup", 60_000, "other"));
+    client.send(&of_session("a", "lookup", 60_000, "own"));
+    client.send(&of_session("b", "lookup", 60_000, "other"));
     wait_until(|| {
         cluster.members[1..]
             .iter()
@@ -105,8 +107,8 @@
     });
     assert!(!sent_anywhere(&cluster, "own"), "its write is still out");
     // The replicas' positions stay where they are from now on.
-    cluster.members[1..].iter().for_each(Member::stand_still);
-    cluster.members[0].cut();
+    cluster.members[1..].iter().for_each(Member::freeze_position);
+    cluster.members[0].close_connections();
     assert!(is_unknown(&client.reply()));
     assert!(client.reply().value.is_some() && client.reply().value.is_some());
     let at_replicas = |member: &Member| member.seen.try_iter().any(|text| text.contains("id=own,"));
@@ -126,18 +128,18 @@
     let ahead = of_session("a", "order", 60_000, "ahead").len() + OVERHEAD_OF_EACH;
     let fit = (MAX_IN_HAND - ahead) / (statement(0).len() + OVERHEAD_OF_EACH);
     for i in 0..100 {
-        client.say(&statement(i));
+        client.send(&statement(i));
     }
     assert!((20..80).contains(&fit), "{fit}");
     // Everything has been read: other clients are served only afterwards.
-    (0..3).for_each(|_| assert_eq!(front.client().ask("SET a = 1").last, b'Z'));
-    cluster.members[0].end_hanging();
+    (0..3).for_each(|_| assert_eq!(front.client().query("SET a = 1").last, b'Z'));
+    cluster.members[0].close_hanging();
     assert!(is_unknown(&client.reply()));
     for i in 0..100 {
         let reply = client.reply();
         assert_eq!((reply.value.is_some(), is_declined(&reply)), (i < fit, i >= fit), "{i}: {reply:?}");
     }
-    assert!(client.ask(&of_session("a", "order", 20_000, "after")).value.is_some());
+    assert!(client.query(&of_session("a", "order", 20_000, "after")).value.is_some());
     let seen: Vec<String> = cluster.members.iter().flat_map(|member| member.seen.try_iter()).collect();
     assert_eq!(seen.iter().filter(|text| text.contains("id=n")).count(), fit, "none of the refused was sent");
 }
@@ -147,23 +149,23 @@
     let cluster = TestCluster::new();
     let front = cluster.start_front();
     let mut client = client_with_a_hanging_order(&cluster, &front);
-    cluster.members.iter().for_each(|member| member.set(Does::Hangs));
+    cluster.members.iter().for_each(|member| member.set_behaviour(Behaviour::Hang));
     for id in ["b", "c", "d"] {
-        client.say(&of_session(id, "lookup", 60_000, id));
+        client.send(&of_session(id, "lookup", 60_000, id));
     }
-    client.say(&of_session("a", "order", 60_000, "waits"));
+    client.send(&of_session("a", "order", 60_000, "waits"));
     let mut out = 0;
     wait_until(|| {
         out += cluster.members.iter().map(|member| member.seen.try_iter().count()).sum::<usize>();
         out == 3
     });
     client.stream.shutdown(Shutdown::Both).expect("it leaves");
-    (0..3).for_each(|_| assert_eq!(front.client().ask("SET a = 1").last, b'Z'));
+    (0..3).for_each(|_| assert_eq!(front.client().query("SET a = 1").last, b'Z'));
     // Reads whose connection ends would be sent again if the client were still there.
-    cluster.members.iter().for_each(|member| member.set(Does::Serves));
-    cluster.members.iter().for_each(Member::cut);
-    wait_until(|| front.client().ask(&of_session("e", "order", 20_000, "next")).value.is_some());
-    wait_until(|| front.client().ask(&of_session("e", "lookup", 20_000, "next")).value.is_some());
+    cluster.members.iter().for_each(|member| member.set_behaviour(Behaviour::Serve));
+    cluster.members.iter().for_each(Member::close_connections);
+    wait_until(|| front.client().query(&of_session("e", "order", 20_000, "next")).value.is_some());
+    wait_until(|| front.client().query(&of_session("e", "lookup", 20_000, "next")).value.is_some());
     let seen: Vec<String> = cluster.members.iter().flat_map(|member| member.seen.try_iter()).collect();
     assert!(seen.iter().all(|text| text.contains("id=next,")), "{seen:?}");
     front.signal("-TERM");
@@ -179,12 +181,12 @@
     // Far more than the front and the operating system buffer: it is read all the same.
     let long = of_session("a", "order", 60_000, "behind")
         .replace("\\x9f03", &format!("\\x{}", "9f".repeat(60 << 10)));
-    client.stream.set_write_timeout(Some(PATIENCE)).expect("a limit");
+    client.stream.set_write_timeout(Some(TEST_TIMEOUT)).expect("a limit");
     for _ in 0..200 {
-        assert!(client.tell(&long), "all is read");
+        assert!(client.try_send(&long), "all is read");
     }
     drop(client);
-    wait_until(|| front.client().ask(&of_session("e", "order", 20_000, "next")).value.is_some());
+    wait_until(|| front.client().query(&of_session("e", "order", 20_000, "next")).value.is_some());
     assert!(!sent_anywhere(&cluster, "behind"));
     front.signal("-TERM");
     let (well, text) = front.end();
@@ -203,6 +205,6 @@
     std::thread::sleep(Duration::from_millis(1100));
     client.stream.write_all(tail).expect("the rest");
     assert!(cluster.next_txn(0).contains("id=slow,"), "its time has just begun");
-    cluster.members[0].end_hanging();
+    cluster.members[0].close_hanging();
     assert!(is_unknown(&client.reply()) && client.reply().value.is_some());
 }
--- a/crates/front/tests/races.rs
+++ b/crates/front/tests/races.rs
@@ -3,8 +3,8 @@
 //! sockets where nothing else shows it.
 
 use cluster::{PROGRAM, TestCluster, wait_until};
-use juniperdock_test_support::wire::{Said, Store, parameter, ready, serve};
-use juniperdock_test_support::{Client, Does, Front, PATIENCE, address, message, row, txn, unix_ms};
+use juniperdock_test_support::wire::{StatementHandler, StatementReply, parameter, ready, serve};
+use juniperdock_test_support::{Behaviour, Client, Front, TEST_TIMEOUT, address, message, row, txn, unix_ms};
 use socket2::{Domain, SockRef, Socket, Type};
 use std::collections::BTreeSet;
 use std::io::{Read, Write};
@@ -64,7 +64,7 @@
 fn start_patient_front(cluster: &TestCluster) -> Front {
     let config = Front::config(&cluster.server_list, 1024)
         .replace("\"ConnectTimeout\":250.0", "\"ConnectTimeout\":20000.0");
-    Front::with(PROGRAM, address(), cluster.agent.at, &config, None)
+    Front::start_with_config(PROGRAM, address(), cluster.agent.at, &config, None)
 }
 
 /// The client leaves; the returned stream is still open if only the sending side was shut down.
@@ -90,7 +90,7 @@
         front_socket_of(front, at).is_none_or(|row| !matches!(row.state, ESTABLISHED | CLOSE_WAIT))
     });
     for _ in 0..3 {
-        assert_eq!(front.client().ask("SET a = 1").last, b'Z');
+        assert_eq!(front.client().query("SET a = 1").last, b'Z');
     }
     kept
 }
@@ -98,14 +98,14 @@
 /// Waits until an order is served: the front knows its members then, and no statement is left in their logs. On a
 /// busy machine, connections may come up too late for the first one.
 fn warm_up(cluster: &TestCluster, front: &Front) {
-    wait_until(|| front.client().ask(&txn("order", 20_000, "first")).value.is_some());
+    wait_until(|| front.client().query(&txn("order", 20_000, "first")).value.is_some());
     cluster.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
 }
 
 /// Asserts that an order of another client is served.
 fn assert_next_order_is_served(front: &Front) {
     let mut other = front.client();
-    wait_until(|| other.ask(&txn("order", 20_000, "next")).value.is_some());
+    wait_until(|| other.query(&txn("order", 20_000, "next")).value.is_some());
 }
 
 /// Whether any member has received this statement by now.
@@ -120,27 +120,27 @@
 
 fn order(front: &Front, id: &str) -> Client {
     let mut client = front.client();
-    client.say(&txn("order", 60_000, id));
+    client.send(&txn("order", 60_000, id));
     client
 }
 
 /// Returns once the front has handled everything that was sent before.
 fn sync_with_front(front: &Front) {
-    assert_eq!(front.client().ask("SET a = 1").last, b'Z');
+    assert_eq!(front.client().query("SET a = 1").last, b'Z');
 }
 
 #[test]
 fn request_of_a_client_that_leaves_while_there_is_no_primary_is_not_sent() {
     for departure in DEPARTURES {
         let cluster = TestCluster::new();
-        cluster.members[0].be_primary(false);
+        cluster.members[0].set_primary(false);
         let front = start_patient_front(&cluster);
         // On a busy machine a report may be too old when it is read, and is asked for again.
-        wait_until(|| front.client().ask(&txn("lookup", 20_000, "r")).value.is_some());
+        wait_until(|| front.client().query(&txn("lookup", 20_000, "r")).value.is_some());
         let client = order(&front, "gone");
         sync_with_front(&front);
         let _kept = leave_noticed(&front, client, departure);
-        cluster.members[2].be_primary(true);
+        cluster.members[2].set_primary(true);
         assert_next_order_is_served(&front);
         assert!(!was_sent(&cluster, "gone"), "{departure:?}");
     }
@@ -152,15 +152,15 @@
         let cluster = TestCluster::new();
         let front = start_patient_front(&cluster);
         warm_up(&cluster, &front);
-        cluster.members[0].set(Does::Hangs);
+        cluster.members[0].set_behaviour(Behaviour::Hang);
         let hang: Vec<Client> = (0..4).map(|i| order(&front, &format!("hangs{i}"))).collect();
         (0..4).for_each(|_| drop(cluster.next_txn(0)));
         let client = order(&front, "gone");
         sync_with_front(&front);
         assert!(cluster.received_nothing(0), "it waits for room");
         let _kept = leave_noticed(&front, client, departure);
-        cluster.members[0].set(Does::Serves);
-        cluster.members[0].cut();
+        cluster.members[0].set_behaviour(Behaviour::Serve);
+        cluster.members[0].close_connections();
         assert_next_order_is_served(&front);
         assert!(!was_sent(&cluster, "gone"), "{departure:?}");
         drop(hang);
@@ -171,8 +171,8 @@
 /// nothing.
 fn order_during_handshake(cluster: &TestCluster, front: &Front, id: &str) -> Client {
     warm_up(cluster, front);
-    cluster.members[0].welcome(false);
-    cluster.members[0].cut();
+    cluster.members[0].set_answers_new(false);
+    cluster.members[0].close_connections();
     // No idle connection is left.
     wait_until(|| {
         !socket_table().iter().any(|row| row.remote == cluster.members[0].at && row.state == ESTABLISHED)
@@ -189,7 +189,7 @@
         let front = start_patient_front(&cluster);
         let client = order_during_handshake(&cluster, &front, "gone");
         let _kept = leave_noticed(&front, client, departure);
-        cluster.members[0].welcome(true);
+        cluster.members[0].set_answers_new(true);
         assert_next_order_is_served(&front);
         assert!(!was_sent(&cluster, "gone"), "{departure:?}");
     }
@@ -202,11 +202,11 @@
         let front = start_patient_front(&cluster);
         let client = order_during_handshake(&cluster, &front, "gone");
         // The connection ends before the member is ready: the txn is queued again, and no primary is known.
-        cluster.members.iter().for_each(|member| member.welcome(false));
-        cluster.members[0].cut();
+        cluster.members.iter().for_each(|member| member.set_answers_new(false));
+        cluster.members[0].close_connections();
         wait_until(|| cluster.members[0].connections() > 0);
         let _kept = leave_noticed(&front, client, departure);
-        cluster.members.iter().for_each(|member| member.welcome(true));
+        cluster.members.iter().for_each(|member| member.set_answers_new(true));
         assert_next_order_is_served(&front);
         assert!(!was_sent(&cluster, "gone"), "{departure:?}");
     }
@@ -218,21 +218,21 @@
         let cluster = TestCluster::new();
         let front = start_patient_front(&cluster);
         let mut client = front.client();
-        assert!(client.ask(&txn("order", 20_000, "first")).value.is_some());
+        assert!(client.query(&txn("order", 20_000, "first")).value.is_some());
         cluster.next_txn(0);
         // The front finds the end of the idle connection and the next txn at the same time.
         front.signal("-STOP");
         wait_until(|| front.stopped());
-        cluster.members[0].welcome(false);
-        cluster.members[0].cut();
-        client.say(&txn("order", 60_000, "gone"));
+        cluster.members[0].set_answers_new(false);
+        cluster.members[0].close_connections();
+        client.send(&txn("order", 60_000, "gone"));
         wait_until(|| {
             front_socket_of(&front, client.stream.local_addr().unwrap()).is_some_and(|row| row.unread > 0)
         });
         front.signal("-CONT");
         wait_until(|| cluster.members[0].connections() > 0);
         let _kept = leave_noticed(&front, client, departure);
-        cluster.members[0].welcome(true);
+        cluster.members[0].set_answers_new(true);
         assert_next_order_is_served(&front);
         assert!(!was_sent(&cluster, "gone"), "{departure:?}");
     }
@@ -276,18 +276,18 @@
 
 struct Primary(Mutex<Sender<String>>);
 
-impl Store for Primary {
+impl StatementHandler for Primary {
     fn welcome(&self, _: &TcpStream) -> bool {
         true
     }
 
-    fn statement(&self, text: &str) -> Said {
+    fn statement(&self, text: &str) -> StatementReply {
         if text == "SHOW server_load" {
             let report = format!("x0={:.3},x1=1,q=0,busy=0.1", unix_ms() as f64 / 1000.0);
-            return Said::Answer([row(report.as_bytes()), ready()].concat());
+            return StatementReply::Answer([row(report.as_bytes()), ready()].concat());
         }
         let _ = self.0.lock().expect("no panic there").send(text.to_owned());
-        Said::Answer([row(text.as_bytes()), parameter("node_role", "leader"), ready()].concat())
+        StatementReply::Answer([row(text.as_bytes()), parameter("node_role", "leader"), ready()].concat())
     }
 }
 
@@ -300,7 +300,7 @@
         // The primary is at another address from now on.
         let slow = SlowAcceptor::new();
         let moved = cluster.server_list.replace(&cluster.members[0].at.to_string(), &slow.at.to_string());
-        cluster.agent.tell(moved.replace("\"version\":1", "\"version\":2"));
+        cluster.agent.publish(moved.replace("\"version\":1", "\"version\":2"));
         let at = slow.at;
         let coming = || socket_table().into_iter().any(|row| row.remote == at && row.state == SYN_SENT);
         let mut client = front.client();
@@ -316,7 +316,7 @@
         let _kept = leave_noticed(&front, client, departure);
         let seen = slow.opens();
         assert_next_order_is_served(&front);
-        let next = seen.recv_timeout(PATIENCE).expect("an order");
+        let next = seen.recv_timeout(TEST_TIMEOUT).expect("an order");
         assert!(next.contains("id=next,"), "{departure:?}: {next}");
     }
 }
@@ -327,12 +327,12 @@
         let cluster = TestCluster::new();
         let front = start_patient_front(&cluster);
         warm_up(&cluster, &front);
-        cluster.members[0].once(Does::Hangs);
+        cluster.members[0].behave_once(Behaviour::Hang);
         let mut client = order(&front, "ahead");
-        client.say(&txn("order", 60_000, "gone"));
+        client.send(&txn("order", 60_000, "gone"));
         assert!(cluster.next_txn(0).contains("id=ahead,"));
         let _kept = leave_noticed(&front, client, departure);
-        cluster.members[0].cut();
+        cluster.members[0].close_connections();
         assert_next_order_is_served(&front);
         assert!(!was_sent(&cluster, "gone"), "{departure:?}");
     }
@@ -344,14 +344,14 @@
         let cluster = TestCluster::new();
         let front = start_patient_front(&cluster);
         warm_up(&cluster, &front);
-        cluster.members[0].once(Does::Hangs);
+        cluster.members[0].behave_once(Behaviour::Hang);
         let mut client = order(&front, "ahead");
         assert!(cluster.next_txn(0).contains("id=ahead,"));
         // Far more than the front and the operating system buffer.
         let long = txn("order", 60_000, "gone").replace("\\x9f03", &format!("\\x{}", "9f".repeat(32 << 10)));
-        client.stream.set_write_timeout(Some(PATIENCE)).expect("a limit");
+        client.stream.set_write_timeout(Some(TEST_TIMEOUT)).expect("a limit");
         for _ in 0..300 {
-            client.say(&long);
+            client.send(&long);
         }
         let _kept = leave_noticed(&front, client, departure);
         front.signal("-TERM");
@@ -360,7 +360,7 @@
             well && !text.contains(" left=0 ") && text.contains(" guard_acts=0 "),
             "{departure:?}: {text}"
         );
-        cluster.members[0].cut();
+        cluster.members[0].close_connections();
         assert!(!was_sent(&cluster, "gone"), "{departure:?}");
     }
 }
@@ -371,11 +371,11 @@
         let cluster = TestCluster::new();
         let front = start_patient_front(&cluster);
         let mut client = front.client();
-        assert!(client.ask(&txn("order", 20_000, "first")).value.is_some());
+        assert!(client.query(&txn("order", 20_000, "first")).value.is_some());
         let at = client.stream.local_addr().expect("an address");
         front.signal("-STOP");
         wait_until(|| front.stopped());
-        client.say(&txn("order", 60_000, "gone"));
+        client.send(&txn("order", 60_000, "gone"));
         wait_until(|| front_socket_of(&front, at).is_some_and(|row| row.unread > 0));
         let _kept = leave(client, departure);
         wait_until(|| front_socket_of(&front, at).is_none_or(|row| row.state != ESTABLISHED));
@@ -400,7 +400,7 @@
         let stopped = std::time::Instant::now();
         let lies = || socket_table().iter().any(|row| row.remote == cluster.members[0].at && row.unread > 0);
         let welcome = || {
-            cluster.members[0].welcome(true);
+            cluster.members[0].set_answers_new(true);
             wait_until(lies);
         };
         let mut kept = None;
@@ -424,26 +424,26 @@
 #[test]
 fn removed_member_is_still_probed_where_removal_is_advice() {
     let cluster = TestCluster::new();
-    cluster.members[0].be_primary(false);
+    cluster.members[0].set_primary(false);
     let config =
         Front::config(&cluster.server_list, 1024).replace("\"WarmUp\"", "\"GoneIsAdvice\":true,\"WarmUp\"");
-    let front = Front::with(PROGRAM, address(), cluster.agent.at, &config, None);
+    let front = Front::start_with_config(PROGRAM, address(), cluster.agent.at, &config, None);
     let mut client = front.client();
-    assert!(client.ask(&txn("lookup", 20_000, "r")).value.is_some());
+    assert!(client.query(&txn("lookup", 20_000, "r")).value.is_some());
     // Its actor is told to end and, right after that, to probe: its idle connection is closed by then.
     wait_until(|| cluster.members[0].connections() > 0);
     for version in 2..12 {
         let gone = cluster.server_list.replace("\"version\":1", &format!("\"version\":{version}"));
         let at = format!("\"addr\":\"{}\",", cluster.members[0].at);
         let gone = gone.replace(&at, &format!("{at}\"role\":\"leader\","));
-        cluster.agent.tell(gone.replacen(
+        cluster.agent.publish(gone.replacen(
             "\"up\"",
             if version % 2 == 0 { "\"removed\"" } else { "\"up\"" },
             1,
         ));
-        assert!(client.ask(&txn("lookup", 20_000, "r")).value.is_some());
+        assert!(client.query(&txn("lookup", 20_000, "r")).value.is_some());
     }
-    cluster.members[0].be_primary(true);
+    cluster.members[0].set_primary(true);
     assert_next_order_is_served(&front);
 }
 
@@ -462,7 +462,7 @@
         let at = front.at;
         let request = std::thread::spawn(move || {
             let mut stream = TcpStream::connect(at).expect("the machine takes it in");
-            stream.set_read_timeout(Some(PATIENCE)).expect("a time");
+            stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time");
             let query = message(b'Q', format!("{}\0", txn("order", 20_000, "last")).as_bytes());
             stream.write_all(&[&[0, 0, 0, 9, 0, 3, 0, 0, 0][..], &query].concat()).expect("a query");
             let mut text = Vec::new();
@@ -496,7 +496,7 @@
         let request = std::thread::spawn(move || {
             // Its startup is answered by a front that already closes its connections.
             let mut client = Client::open(at)?;
-            client.tell(&txn("order", 20_000, "last")).then(|| client.reply().value.is_some())
+            client.try_send(&txn("order", 20_000, "last")).then(|| client.reply().value.is_some())
         });
         wait_until(|| stopped.elapsed() > Duration::from_millis(700));
         front.signal("-CONT");
@@ -512,7 +512,7 @@
     let front = start_patient_front(&cluster);
     warm_up(&cluster, &front);
     let mut client = front.client();
-    client.say(&txn("order", 20_000, "last"));
+    client.send(&txn("order", 20_000, "last"));
     let at = client.stream.local_addr().expect("an address");
     let end = || socket_table().into_iter().find(|row| row.local == at && row.remote == front.at);
     wait_until(|| end().is_some_and(|row| row.unread > 0));
@@ -520,8 +520,8 @@
     front.signal("-TERM");
     wait_until(|| end().is_some_and(idle));
     // The client has read neither its answer nor the end behind it, and sends the next statement.
-    client.say(&txn("order", 20_000, "crosses"));
-    client.say(&txn("order", 20_000, "crosses"));
+    client.send(&txn("order", 20_000, "crosses"));
+    client.send(&txn("order", 20_000, "crosses"));
     assert!(client.reply().value.is_some());
     assert_eq!(client.stream.read(&mut [0]).map_err(|e| e.kind()), Ok(0), "an end, no reset");
     drop(client);
@@ -533,7 +533,7 @@
 fn unresponsive_discovery_address_is_retried_within_the_update_limit() {
     let cluster = TestCluster::new();
     let front = cluster.start_front();
-    cluster.agent.asked.recv_timeout(PATIENCE).expect("a watch");
+    cluster.agent.requests.recv_timeout(TEST_TIMEOUT).expect("a watch");
     let watched =
         || socket_table().iter().any(|row| row.remote == cluster.agent.at && row.state == ESTABLISHED);
     wait_until(watched);
@@ -559,9 +559,9 @@
     let front = cluster.start_front();
     for i in 0..300 {
         let mut client = front.client();
-        assert!(client.ask(&txn("lookup", 20_000, "r")).value.is_some());
+        assert!(client.query(&txn("lookup", 20_000, "r")).value.is_some());
         if i % 3 == 0 {
-            cluster.members.iter().for_each(|member| member.cut());
+            cluster.members.iter().for_each(|member| member.close_connections());
         }
     }
     // Those of its own actors, and a few that are free.
@@ -572,7 +572,7 @@
 fn client_that_sends_without_pause_does_not_starve_others() {
     let cluster = TestCluster::new();
     let front = cluster.start_front();
-    assert!(front.client().ask(&txn("lookup", 20_000, "r")).value.is_some());
+    assert!(front.client().query(&txn("lookup", 20_000, "r")).value.is_some());
     let flood = front.client();
     let (mut writer, mut reader) = (flood.stream.try_clone().expect("a copy"), flood.stream);
     let said = message(b'Q', b"SET a = 1\0").repeat(4096);
@@ -584,7 +584,7 @@
     });
     let mut other = front.client();
     for i in 0..20 {
-        assert!(other.ask(&txn("order", 20_000, &format!("w{i}"))).value.is_some());
+        assert!(other.query(&txn("order", 20_000, &format!("w{i}"))).value.is_some());
     }
     stream.shutdown(Shutdown::Both).expect("an end");
     writer.join().and(reader.join()).expect("no panic");
@@ -616,14 +616,14 @@
             });
         }
     });
-    cluster.agent.tell(talks.replace("\"version\":1", "\"version\":2"));
+    cluster.agent.publish(talks.replace("\"version\":1", "\"version\":2"));
     let mut other = front.client();
     wait_until(|| {
-        assert!(other.ask(&txn("order", 20_000, "meanwhile")).value.is_some());
+        assert!(other.query(&txn("order", 20_000, "meanwhile")).value.is_some());
         said.try_recv().is_ok()
     });
     for i in 0..20 {
-        assert!(other.ask(&txn("order", 20_000, &format!("w{i}"))).value.is_some());
+        assert!(other.query(&txn("order", 20_000, &format!("w{i}"))).value.is_some());
     }
 }
 
@@ -634,21 +634,21 @@
         .replace("\"MayProbe\":true", "\"MayProbe\":false")
         .replace("[300.0,", "[60000.0,")
         .replace("[\"recent\",\"update\",", "[\"recent\",\"loose\",");
-    let front = Front::with(PROGRAM, address(), cluster.agent.at, &config, None);
+    let front = Front::start_with_config(PROGRAM, address(), cluster.agent.at, &config, None);
     let mut client = front.client();
     // Loose reads go to replicas, whose answers report their positions.
     wait_until(|| {
         let report = format!("busy=0.1,x1=0,x0={:.3}", unix_ms() as f64 / 1000.0);
         for member in &cluster.members[1..] {
-            member.set(Does::Says([row(b"a"), parameter("server_load", &report)].concat()));
+            member.set_behaviour(Behaviour::Send([row(b"a"), parameter("server_load", &report)].concat()));
         }
         let loose = txn("lookup", 20_000, "loose").replace("c=lookup", "c=mark");
-        assert!(client.ask(&loose).value.is_some());
+        assert!(client.query(&loose).value.is_some());
         cluster.members[1].seen.try_iter().count() > 0
     });
     // A read with a bound on its age goes there too, because of that proof.
     wait_until(|| {
-        let _ = client.ask(&txn("lookup", 200, "proven"));
+        let _ = client.query(&txn("lookup", 200, "proven"));
         was_sent_to(&cluster, 1, "proven")
     });
 }
@@ -656,7 +656,7 @@
 /// Like `TestCluster::start_front`, without permission to probe members.
 fn start_front_without_probes(cluster: &TestCluster, more: impl Fn(String) -> String) -> Front {
     let config = Front::config(&cluster.server_list, 1024).replace("\"MayProbe\":true", "\"MayProbe\":false");
-    Front::with(PROGRAM, address(), cluster.agent.at, &more(config), None)
+    Front::start_with_config(PROGRAM, address(), cluster.agent.at, &more(config), None)
 }
 
 /// The number of orders that a member has received by now.
@@ -667,15 +667,15 @@
 #[test]
 fn without_probes_a_write_finds_the_primary_and_a_new_one() {
     let cluster = TestCluster::new();
-    cluster.members[0].be_primary(false);
-    cluster.members[2].be_primary(true);
+    cluster.members[0].set_primary(false);
+    cluster.members[2].set_primary(true);
     let front = start_front_without_probes(&cluster, |config| config);
     let mut client = front.client();
-    assert!(client.ask(&txn("order", 20_000, "first")).value.is_some());
+    assert!(client.query(&txn("order", 20_000, "first")).value.is_some());
     let sent: Vec<usize> = (0..3).map(|member| orders(&cluster, member)).collect();
     assert!(sent[0] <= 1 && sent[1] <= 1 && sent[2] == 1, "each was asked once at most: {sent:?}");
     for _ in 0..5 {
-        assert!(client.ask(&txn("order", 20_000, "known")).value.is_some());
+        assert!(client.query(&txn("order", 20_000, "known")).value.is_some());
     }
     assert_eq!(
         (orders(&cluster, 0), orders(&cluster, 1), orders(&cluster, 2)),
@@ -683,24 +683,24 @@
         "it is known by now"
     );
     // Another member takes over: the old primary refuses the next order untouched.
-    cluster.members[2].be_primary(false);
-    cluster.members[1].be_primary(true);
-    assert!(client.ask(&txn("order", 20_000, "after")).value.is_some());
+    cluster.members[2].set_primary(false);
+    cluster.members[1].set_primary(true);
+    assert!(client.query(&txn("order", 20_000, "after")).value.is_some());
     assert_eq!(orders(&cluster, 1), 1);
 }
 
 #[test]
 fn without_probes_and_primary_a_write_is_declined_after_few_tries() {
     let cluster = TestCluster::new();
-    cluster.members[0].be_primary(false);
+    cluster.members[0].set_primary(false);
     let front = start_front_without_probes(&cluster, |config| config);
     let mut client = front.client();
-    let reply = client.ask(&txn("order", 2_000, "none"));
+    let reply = client.query(&txn("order", 2_000, "none"));
     assert_eq!(reply.code.as_deref(), Some("53300"), "it never ran: {reply:?}");
     // Each member was asked at most every 250 ms, for the part of the request's time for which it may wait.
     let sent: usize = (0..3).map(|member| orders(&cluster, member)).sum();
     assert!((3..=12).contains(&sent), "{sent}");
-    cluster.members[1].be_primary(true);
+    cluster.members[1].set_primary(true);
     assert_next_order_is_served(&front);
 }
 
@@ -708,7 +708,7 @@
 fn write_of_a_client_that_leaves_while_it_searches_the_primary_is_not_sent() {
     for departure in DEPARTURES {
         let cluster = TestCluster::new();
-        cluster.members[0].be_primary(false);
+        cluster.members[0].set_primary(false);
         let front = start_front_without_probes(&cluster, |config| config);
         let client = order(&front, "gone");
         // All members have refused it.
@@ -716,7 +716,7 @@
         sync_with_front(&front);
         let _kept = leave_noticed(&front, client, departure);
         cluster.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
-        cluster.members[2].be_primary(true);
+        cluster.members[2].set_primary(true);
         assert_next_order_is_served(&front);
         assert!(!was_sent(&cluster, "gone"), "{departure:?}");
     }
@@ -733,12 +733,12 @@
     // The session's mark comes from a write through a front that has died since: the answer contains when that was
     // committed.
     let old = format!("{}", unix_ms() - 60_000);
-    cluster.members[0].once(Does::Says([row(b"a"), parameter("replay_position", &old)].concat()));
+    cluster.members[0].behave_once(Behaviour::Send([row(b"a"), parameter("replay_position", &old)].concat()));
     let mut client = front.client();
-    assert!(client.ask(&txn("mark", 20_000, "again")).value.is_some());
+    assert!(client.query(&txn("mark", 20_000, "again")).value.is_some());
     // Nothing proves that the replicas have it.
     for i in 0..20 {
-        assert!(client.ask(&txn("lookup", 20_000, &format!("own{i}"))).value.is_some());
+        assert!(client.query(&txn("lookup", 20_000, &format!("own{i}"))).value.is_some());
     }
     let read = |member: usize| cluster.members[member].seen.try_iter().any(|text| text.contains("c=lookup,"));
     assert!(read(0) && !read(1) && !read(2));
@@ -752,10 +752,11 @@
         let cluster = TestCluster::new();
         let front = start_front_without_probes(&cluster, |config| config);
         let parameter_body = [&b"server_load\0"[..], load, &[0]].concat();
-        cluster.members[0].set(Does::Says([row(b"whole"), message(b'S', &parameter_body)].concat()));
+        cluster.members[0]
+            .set_behaviour(Behaviour::Send([row(b"whole"), message(b'S', &parameter_body)].concat()));
         let mut client = front.client();
         for i in 0..3 {
-            let reply = client.ask(&txn("order", 20_000, &format!("o{i}")));
+            let reply = client.query(&txn("order", 20_000, &format!("o{i}")));
             assert_eq!(reply.value.as_deref(), Some(&b"whole"[..]), "{load:?}: {reply:?}");
         }
         front.signal("-TERM");
@@ -806,19 +807,19 @@
         let front = Front::start(PROGRAM, agent.at, &cluster.server_list, 1024);
         warm_up(&cluster, &front);
         let mut client = front.client();
-        agent.asked.recv_timeout(PATIENCE).expect("a watch");
+        agent.asked.recv_timeout(TEST_TIMEOUT).expect("a watch");
         let silent = std::time::Instant::now();
-        (0..2).for_each(|_| drop(agent.asked.recv_timeout(PATIENCE).expect("a watch")));
+        (0..2).for_each(|_| drop(agent.asked.recv_timeout(TEST_TIMEOUT).expect("a watch")));
         // Takes 5.5 s (10.5 s with one time-out for all watches); a change has to be in force after 6 s.
         assert!(silent.elapsed() < Duration::from_secs(9), "{:?}", silent.elapsed());
         // The replicas drain: all requests go to the primary from now on.
         wait_until(|| {
             cluster.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
-            let _ = client.ask(&txn("lookup", 20_000, "r"));
+            let _ = client.query(&txn("lookup", 20_000, "r"));
             cluster.members[0].seen.try_iter().count() > 0
         });
         for _ in 0..20 {
-            wait_until(|| client.ask(&txn("lookup", 20_000, "r")).value.is_some());
+            wait_until(|| client.query(&txn("lookup", 20_000, "r")).value.is_some());
         }
         assert!(cluster.received_nothing(1) && cluster.received_nothing(2));
     }
@@ -829,23 +830,23 @@
     let cluster = TestCluster::new();
     let front = cluster.start_front();
     let mut client = front.client();
-    assert!(client.ask(&txn("lookup", 20_000, "r")).value.is_some());
-    cluster.agent.asked.recv_timeout(PATIENCE).expect("a watch");
+    assert!(client.query(&txn("lookup", 20_000, "r")).value.is_some());
+    cluster.agent.requests.recv_timeout(TEST_TIMEOUT).expect("a watch");
     // The first new address accepts the watch and sends nothing; the second one is set while the front waits for it.
     let (mute, last) = (ScriptedAgent::start(vec![String::new()]), ScriptedAgent::start(vec![String::new()]));
     front.reconfigure(&format!("{{\"discovery\":\"{}\"}}", mute.at));
-    mute.asked.recv_timeout(PATIENCE).expect("a watch");
+    mute.asked.recv_timeout(TEST_TIMEOUT).expect("a watch");
     front.reconfigure(&format!("{{\"discovery\":\"{}\"}}", last.at));
-    last.asked.recv_timeout(PATIENCE).expect("a watch");
+    last.asked.recv_timeout(TEST_TIMEOUT).expect("a watch");
     // No new watch has sent a list: the old one still counts.
     cluster.publish_list(2, ["draining", "up", "up"]);
-    cluster.members[1].be_primary(true);
+    cluster.members[1].set_primary(true);
     let mut other = front.client();
     wait_until(|| {
-        other.ask(&txn("order", 2_000, "moved")).value.is_some() && was_sent_to(&cluster, 1, "moved")
+        other.query(&txn("order", 2_000, "moved")).value.is_some() && was_sent_to(&cluster, 1, "moved")
     });
     // The next watch goes to the last address.
-    last.asked.recv_timeout(PATIENCE).expect("another watch");
+    last.asked.recv_timeout(TEST_TIMEOUT).expect("another watch");
     assert!(mute.asked.try_iter().count() <= 1, "at most one was on its way");
 }
 
@@ -860,7 +861,7 @@
 fn run_misbehaving_clients(front: &Front, round: usize) {
     let raw = |bytes: &[u8]| {
         let mut stream = TcpStream::connect(front.at).expect("a connection");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time");
         let _ = stream.write_all(bytes);
         stream
     };
@@ -884,10 +885,10 @@
         half.shutdown(Shutdown::Write).expect("an end");
         kept.push(half);
         // An unknown txn type is an error; the session goes on.
-        let unknown = good.ask(&txn("order", 20_000, "x").replace("c=order", "c=none"));
+        let unknown = good.query(&txn("order", 20_000, "x").replace("c=order", "c=none"));
         assert_eq!(unknown.code.as_deref(), Some("08P01"));
         let id = format!("good{round}x{i}");
-        let reply = good.ask(&txn("lookup", 20_000, &id));
+        let reply = good.query(&txn("lookup", 20_000, &id));
         let value = String::from_utf8_lossy(&reply.value.clone().unwrap_or_default()).into_owned();
         assert!(value.contains(&format!("id={id},")), "its own answer: {reply:?}");
     }
@@ -911,7 +912,7 @@
     wait_until(|| front.descriptors() <= descriptors_before + 3);
     let grown = resident_kb(&front).saturating_sub(memory);
     assert!(grown < 4 << 10, "{grown} KB more than {memory}");
-    assert!(front.client().ask(&txn("order", 20_000, "after")).value.is_some());
+    assert!(front.client().query(&txn("order", 20_000, "after")).value.is_some());
     front.signal("-TERM");
     let (well, text) = front.end();
     assert!(well && text.contains(" panics=0 "), "{text}");
@@ -927,24 +928,24 @@
     };
     let front = start_front_without_probes(&cluster, marks);
     let other = |id: &str| txn("order", 2_000, id).replace("'7f3a'", "'8a41'");
-    wait_until(|| front.client().ask(&other("first")).value.is_some() && was_sent_to(&cluster, 0, "first"));
+    wait_until(|| front.client().query(&other("first")).value.is_some() && was_sent_to(&cluster, 0, "first"));
     // The primary has the write, may have committed it, and does not answer.
-    cluster.members[0].once(Does::Hangs);
+    cluster.members[0].behave_once(Behaviour::Hang);
     let write = order(&front, "out");
     assert!(cluster.next_txn(0).contains("id=out,"));
     cluster.members[1..].iter().for_each(|member| member.seen.try_iter().for_each(drop));
     // While the primary does not answer, the session's reads are declined; none is answered from older data.
     let at_replicas = |id: &str| {
-        let served =
-            (0..20).filter(|i| front.client().ask(&txn("lookup", 500, &format!("{id}{i}"))).value.is_some());
+        let served = (0..20)
+            .filter(|i| front.client().query(&txn("lookup", 500, &format!("{id}{i}"))).value.is_some());
         (served.count(), cluster.received_nothing(1) && cluster.received_nothing(2))
     };
     assert!(at_replicas("beside").1);
     // The answer never comes: the connection is reset. Another session's order finds the primary again.
-    cluster.members[0].cut();
+    cluster.members[0].close_connections();
     let reply = Client { stream: write.stream }.reply();
     assert!(reply.value.is_none() && reply.code.as_deref() != Some("53300"), "it may have run: {reply:?}");
-    wait_until(|| front.client().ask(&other("next")).value.is_some());
+    wait_until(|| front.client().query(&other("next")).value.is_some());
     cluster.members[1..].iter().for_each(|member| member.seen.try_iter().for_each(drop));
     assert_eq!(at_replicas("after"), (20, true));
 }
--- a/crates/front/tests/syscall_faults.rs
+++ b/crates/front/tests/syscall_faults.rs
@@ -2,7 +2,7 @@
 
 use cluster::{PROGRAM, TestCluster, wait_until};
 use juniperdock_fault_controls::{Controls, preload};
-use juniperdock_test_support::{Client, Front, PATIENCE, address, message, txn};
+use juniperdock_test_support::{Client, Front, TEST_TIMEOUT, address, message, txn};
 use std::io::Write;
 use std::net::TcpStream;
 use std::path::PathBuf;
@@ -37,7 +37,7 @@
     fn front_with(&self, cluster: &TestCluster, charter: Option<&str>) -> Front {
         let environment = preload(&self.0).expect("the library");
         let config = Front::config(&cluster.server_list, 1024);
-        Front::with_environment(PROGRAM, address(), cluster.agent.at, &config, charter, &environment)
+        Front::start_with_environment(PROGRAM, address(), cluster.agent.at, &config, charter, &environment)
     }
 }
 
@@ -55,7 +55,7 @@
     let started = Instant::now();
     wait_until(|| started.elapsed() > Duration::from_millis(600));
     faults.set(Controls::default());
-    wait_until(|| front.client().ask(&txn("order", 3000, "w")).value.is_some());
+    wait_until(|| front.client().query(&txn("order", 3000, "w")).value.is_some());
 }
 
 #[test]
@@ -69,7 +69,7 @@
         let serves = Instant::now();
         wait_until(|| serves.elapsed() > Duration::from_millis(100));
         faults.set(Controls::default());
-        wait_until(|| front.client().ask(&txn("order", 3000, "w")).value.is_some());
+        wait_until(|| front.client().query(&txn("order", 3000, "w")).value.is_some());
         front.signal("-TERM");
         assert!(front.end().0);
     }
@@ -103,7 +103,7 @@
     let cluster = TestCluster::new();
     let faults = Faults::new("short", Controls::default());
     let front = faults.front(&cluster);
-    wait_until(|| front.client().ask(&txn("order", 3000, "w")).value.is_some());
+    wait_until(|| front.client().query(&txn("order", 3000, "w")).value.is_some());
     let mut client = front.client();
     faults.set(Controls {
         fails: ONE_IN_EIGHT,
@@ -112,7 +112,7 @@
         ..Controls::default()
     });
     for i in 0..60 {
-        let reply = client.ask(&txn("lookup", 4000, &format!("r{i}")));
+        let reply = client.query(&txn("lookup", 4000, &format!("r{i}")));
         assert_eq!(reply.last, b'Z', "a whole answer on the same connection: {reply:?}");
     }
     faults.set(Controls::default());
@@ -128,14 +128,14 @@
     let cluster = TestCluster::new();
     let faults = Faults::new("parts", Controls::default());
     let front = faults.front(&cluster);
-    wait_until(|| front.client().ask(&txn("order", 3000, "w")).value.is_some());
+    wait_until(|| front.client().query(&txn("order", 3000, "w")).value.is_some());
     cluster.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
     faults.set(Controls { short: EVERY_CALL, interrupted: ONE_IN_EIGHT, ..Controls::default() });
     let mut client = front.client();
     let long = format!("\\x{}", "9f03".repeat(16 << 10));
     for i in 0..6 {
         let statement = txn("order", 10_000, &format!("part{i}")).replace("\\x9f03", &long);
-        let reply = client.ask(&statement);
+        let reply = client.query(&statement);
         assert!(reply.value.is_some() && reply.last == b'Z', "{:?} {:?}", reply.code, reply.detail);
     }
     faults.set(Controls::default());
@@ -159,14 +159,14 @@
     let cluster = TestCluster::new();
     let faults = Faults::new("ends", Controls::default());
     let front = faults.front(&cluster);
-    wait_until(|| front.client().ask(&txn("lookup", 3000, "r")).value.is_some());
+    wait_until(|| front.client().query(&txn("lookup", 3000, "r")).value.is_some());
     faults.set(Controls { interrupted: EVERY_CALL / 2, ..Controls::default() });
     front.signal("-TERM");
     let sigterm_sent = Instant::now();
     let mut clients = Vec::new();
     while sigterm_sent.elapsed() < ACCEPT_TIME && clients.len() < 12 {
         let mut stream = TcpStream::connect(front.at).expect("it still takes clients in");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time");
         let statement = format!("{}\0", txn("lookup", 3000, &format!("c{}", clients.len())));
         let opening = [0, 0, 0, 9, 0, 3, 0, 0, 0];
         let sent = [&opening[..], &message(b'Q', statement.as_bytes())].concat();
--- a/crates/front/tests/upgrade.rs
+++ b/crates/front/tests/upgrade.rs
@@ -2,7 +2,9 @@
 //! program as a new process that fails.
 
 use juniperdock_lab::upgrade;
-use juniperdock_test_support::{Agent, Client, Does, Front, Member, PATIENCE, WATCH, address, list, txn};
+use juniperdock_test_support::{
+    Agent, Behaviour, Client, Front, Member, TEST_TIMEOUT, WATCH, address, list, txn,
+};
 use std::os::unix::fs::PermissionsExt;
 use std::os::unix::net::UnixStream;
 use std::process::Command;
@@ -54,7 +56,7 @@
         let path = Front::folder(at).join("control");
         let charter =
             format!("{{ control: {{ path: {:?} }}, log: {{ form: 'json' }} }}", path.display().to_string());
-        let front = Front::again(PROGRAM, at, agent.at, &server_list, 1024, Some(&charter));
+        let front = Front::start_at(PROGRAM, at, agent.at, &server_list, 1024, Some(&charter));
         drop(front.client());
         TestCluster { members, _agent: agent, front }
     }
@@ -91,7 +93,7 @@
 fn wait_until(mut condition: impl FnMut() -> bool) {
     let started_at = Instant::now();
     while !condition() {
-        assert!(started_at.elapsed() < PATIENCE, "the condition did not become true in time");
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "the condition did not become true in time");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
@@ -121,7 +123,7 @@
     assert_eq!(run_without_config(&["--charter", &name, "check"]), (Some(0), "no fault found\n".to_owned()));
     let _ = std::fs::remove_file(&file);
     let cluster = TestCluster::new();
-    assert!(cluster.front.client().ask(&txn("order", 2000, "first")).value.is_some());
+    assert!(cluster.front.client().query(&txn("order", 2000, "first")).value.is_some());
     let (succeeded, output) = cluster.command(&["status", "2"]);
     assert!(succeeded && output.contains("m-0") && output.contains("1 groups"), "{output}");
     assert!(cluster.command(&["--json", "status"]).1.contains("\"counters\":{"));
@@ -144,7 +146,7 @@
         let _ = stream.read_to_string(&mut output);
         assert!(output.contains("expected"), "{bytes:?}: {output:?}");
     }
-    assert!(client.ask(&txn("order", 2000, "w")).value.is_some());
+    assert!(client.query(&txn("order", 2000, "w")).value.is_some());
     assert!(cluster.command(&["status"]).0);
 }
 
@@ -155,13 +157,13 @@
     let (server_list, agent, at) = (list(1, true, &entries), Agent::start(WATCH), address());
     let file = std::env::temp_dir().join(format!("juniperdock-snapshot-{}", std::process::id()));
     let charter = format!("{{ snapshot: {{ path: {:?}, every_s: 1 }} }}", file.display().to_string());
-    let start = || Front::again(PROGRAM, at, agent.at, &server_list, 1024, Some(&charter));
+    let start = || Front::start_at(PROGRAM, at, agent.at, &server_list, 1024, Some(&charter));
     let show = || {
         let out = Command::new(PROGRAM).args(["snapshot", "show"]).arg(&file).output().expect("it runs");
         (out.status.success(), String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned())
     };
     let front = start();
-    assert!(front.client().ask(&txn("order", 2000, "first")).value.is_some());
+    assert!(front.client().query(&txn("order", 2000, "first")).value.is_some());
     wait_until(|| file.exists() && show().1.contains("\"term\": 1"));
     front.signal("-TERM");
     assert!(front.end().0);
@@ -174,7 +176,7 @@
     ] {
         std::fs::write(&file, &bytes).expect("a file");
         let front = start();
-        let reply = front.client().ask(&txn("order", 2000, "next"));
+        let reply = front.client().query(&txn("order", 2000, "next"));
         assert!(reply.value.is_some(), "{expected_log}: the front serves with any snapshot: {reply:?}");
         front.signal("-TERM");
         let (clean_exit, text) = front.end();
@@ -188,11 +190,11 @@
     let old = cluster.serving_pid();
     let (mut busy, mut idle, mut half) =
         (cluster.front.client(), cluster.front.client(), cluster.front.client());
-    assert!(busy.ask(&txn("order", 2000, "first")).value.is_some());
-    cluster.members[0].set(Does::Hangs);
-    busy.say(&txn("order", 1500, "long"));
+    assert!(busy.query(&txn("order", 2000, "first")).value.is_some());
+    cluster.members[0].set_behaviour(Behaviour::Hang);
+    busy.send(&txn("order", 1500, "long"));
     wait_until(|| cluster.members[0].seen.try_iter().any(|seen| seen.contains("id=long")));
-    cluster.members[0].set(Does::Serves);
+    cluster.members[0].set_behaviour(Behaviour::Serve);
     // One half of a statement is sent before the upgrade, the other half after it.
     let statement =
         juniperdock_test_support::message(b'Q', format!("{}\0", txn("lookup", 2000, "half")).as_bytes());
@@ -203,10 +205,10 @@
     wait_until(|| cluster.serving_pid() != old);
     std::io::Write::write_all(&mut half.stream, &statement[20..]).expect("sent");
     assert!(half.reply().value.is_some(), "the received half of the statement was transferred");
-    assert!(idle.ask(&txn("order", 2000, "idle")).value.is_some());
+    assert!(idle.query(&txn("order", 2000, "idle")).value.is_some());
     // The busy client gets its one answer from the old process, and continues with the new one.
     assert_eq!(busy.reply().code.as_deref(), Some("40003"));
-    assert!(busy.ask(&txn("order", 2000, "next")).value.is_some());
+    assert!(busy.query(&txn("order", 2000, "next")).value.is_some());
     wait_until(|| !std::path::Path::new(&format!("/proc/{old}")).exists() || zombie(&old));
 }
 
@@ -229,15 +231,15 @@
     let cluster = TestCluster::new();
     let old = cluster.serving_pid();
     let mut client = cluster.front.client();
-    assert!(client.ask(&txn("order", 2000, "first")).value.is_some());
+    assert!(client.query(&txn("order", 2000, "first")).value.is_some());
     let program = failing_successor(&cluster, "commit");
     assert!(cluster.command(&["upgrade", "--program", &program]).0, "the upgrade was committed");
     assert_eq!(client.reply().last, 0, "a transferred client is disconnected and has to reconnect");
-    assert!(cluster.front.client().ask(&txn("order", 2000, "again")).value.is_some());
+    assert!(cluster.front.client().query(&txn("order", 2000, "again")).value.is_some());
     assert_eq!(cluster.serving_pid(), old);
     // The next upgrade succeeds, and hundreds of pipelined statements are transferred with their client.
     let mut ahead = cluster.front.client();
-    (0..200).for_each(|i| ahead.say(&txn("lookup", 5000, &format!("a{i}"))));
+    (0..200).for_each(|i| ahead.send(&txn("lookup", 5000, &format!("a{i}"))));
     wait_until(|| cluster.command(&["upgrade"]).0);
     let seen = |reply: juniperdock_test_support::Reply, id: String| {
         reply.value.is_some_and(|value| String::from_utf8_lossy(&value).contains(&format!("id={id},")))
@@ -249,7 +251,7 @@
 fn in_the_middle() {
     let cluster = TestCluster::new();
     let mut client = cluster.front.client();
-    assert!(client.ask(&txn("order", 2000, "first")).value.is_some());
+    assert!(client.query(&txn("order", 2000, "first")).value.is_some());
     let program = failing_successor(&cluster, "waits");
     let charter = cluster.front.path("charter.json5");
     let mut first = Command::new(PROGRAM)
@@ -268,7 +270,7 @@
     std::fs::write(&charter, text).expect("a file");
     cluster.front.signal("-HUP");
     wait_until(|| cluster.command(&["--json", "status"]).1.contains("\"reloads\":1"));
-    assert!(client.ask(&txn("order", 2000, "next")).value.is_some(), "served throughout the upgrade");
+    assert!(client.query(&txn("order", 2000, "next")).value.is_some(), "served throughout the upgrade");
     cluster.front.signal("-TERM");
     assert_eq!(client.reply().last, 0, "clients are disconnected as in any shutdown");
     let _ = first.wait();
@@ -298,20 +300,20 @@
     assert_eq!(cluster.serving_pid(), old);
     for (i, client) in clients.iter_mut().enumerate() {
         assert!(
-            client.ask(&txn("lookup", 5000, &format!("c{i}"))).value.is_some(),
+            client.query(&txn("lookup", 5000, &format!("c{i}"))).value.is_some(),
             "client {i} is still served"
         );
     }
     assert!(cluster.command(&["upgrade"]).0, "the next one succeeds");
     wait_until(|| cluster.serving_pid() != old);
-    assert!(clients[59].ask(&txn("lookup", 5000, "after")).value.is_some());
+    assert!(clients[59].query(&txn("lookup", 5000, "after")).value.is_some());
 }
 
 fn old_killed() {
     for wait in [0, 2, 6, 15, 40] {
         let cluster = TestCluster::new();
         let mut idle: Vec<Client> = (0..20).map(|_| cluster.front.client()).collect();
-        assert!(idle[0].ask(&txn("order", 2000, "first")).value.is_some());
+        assert!(idle[0].query(&txn("order", 2000, "first")).value.is_some());
         let program = wrapped_successor(&cluster, "next", "");
         let mut command = Command::new(PROGRAM)
             .arg("--charter")
@@ -330,7 +332,7 @@
         let exited = || !std::path::Path::new(&format!("/proc/{next}")).exists() || zombie(&next);
         wait_until(|| exited() || Client::open(cluster.front.at).is_some());
         if !exited() {
-            let reply = cluster.front.client().ask(&txn("order", 5000, "after"));
+            let reply = cluster.front.client().query(&txn("order", 5000, "after"));
             assert!(
                 reply.value.is_some(),
                 "old process killed after {wait} ms: the remaining one serves: {reply:?}"
@@ -348,20 +350,20 @@
 fn change() {
     let cluster = TestCluster::new();
     let mut client = cluster.front.client();
-    assert!(client.ask(&txn("order", 2000, "first")).value.is_some());
+    assert!(client.query(&txn("order", 2000, "first")).value.is_some());
     assert!(
         !cluster.command(&["primary", "move", "9"]).0
             && !cluster.command(&["primary", "move", "2", "--to", "x"]).0
     );
     let (succeeded, output) = cluster.command(&["primary", "move", "2", "--to", "m-1"]);
     assert!(succeeded && output.contains("Order"), "{output}");
-    let send_order = |client: &mut Client, id: &str| client.say(&txn("order", 4000, id));
+    let send_order = |client: &mut Client, id: &str| client.send(&txn("order", 4000, id));
     send_order(&mut client, "held");
     assert!(cluster.command(&["status"]).1.contains("handing over"));
     let seen: Vec<String> = cluster.members[0].seen.try_iter().collect();
     assert!(!seen.iter().any(|seen| seen.contains("id=held")));
-    cluster.members[0].be_primary(false);
-    cluster.members[1].be_primary(true);
+    cluster.members[0].set_primary(false);
+    cluster.members[1].set_primary(true);
     assert!(client.reply().value.is_some());
     assert!(cluster.command(&["primary", "move", "2"]).0);
     send_order(&mut client, "called");
--- a/crates/lab/src/fleet/ledger.rs
+++ b/crates/lab/src/fleet/ledger.rs
@@ -2,7 +2,7 @@
 
 use super::history::History;
 use crate::sockets::{Ask, Ledger};
-use juniperdock_emulator::Told;
+use juniperdock_emulator::FinalAnswer;
 use serde_json::json;
 use std::time::Duration;
 
@@ -28,15 +28,15 @@
         at: Duration,
         front: usize,
         txn: u32,
-        outcome: Told,
+        outcome: FinalAnswer,
         code: Option<&str>,
         ended: bool,
     ) {
         let outcome = match outcome {
-            Told::Committed => "committed",
-            Told::Declined => "declined",
-            Told::Unknown => "unknown",
-            Told::Nothing => "nothing",
+            FinalAnswer::Committed => "committed",
+            FinalAnswer::Declined => "declined",
+            FinalAnswer::Unknown => "unknown",
+            FinalAnswer::Nothing => "nothing",
         };
         self.0.note(
             at,
--- a/crates/lab/src/fleet/play.rs
+++ b/crates/lab/src/fleet/play.rs
@@ -131,7 +131,7 @@
     let (n, members) = (schedule.fronts, shape.members.len());
     let history = History::create(into)?;
     let mut world = World::new(shape);
-    world.noting();
+    world.record_notes();
     let mut initial_lists: Vec<Vec<Entry>> = Vec::new();
     while let Some(Out::Born { known, .. }) =
         (initial_lists.len() < n).then(|| world.next(Duration::ZERO)).flatten()
@@ -396,7 +396,7 @@
 
     fn send_entry(&self, at: Duration, front: usize, member: usize, state: &str, text: String) {
         self.history.note(at, "listed", json!({ "front": front, "member": member, "state": state }));
-        self.agents[front].tell(text);
+        self.agents[front].publish(text);
     }
 
     fn record_note(&self, at: Duration, note: Note) {
@@ -569,7 +569,7 @@
 
     fn set_partitioned(&self, front: usize, partitioned: bool) {
         let mut state = self.cluster.present();
-        (0..self.members).for_each(|member| state.world.part(front, member, partitioned));
+        (0..self.members).for_each(|member| state.world.set_cut(front, member, partitioned));
     }
 
     /// Applies a fault to the links between fronts, or removes it.
--- a/crates/lab/src/fronts.rs
+++ b/crates/lab/src/fronts.rs
@@ -3,7 +3,7 @@
 //! only in how they choose a member.
 
 use crate::scenario::Scenario;
-use juniperdock_emulator::{Entry, Out, Stream, Told, World};
+use juniperdock_emulator::{Entry, FinalAnswer, Out, Stream, World};
 use juniperdock_membership::{Keys, Membership, NEWEST_VERSION, Timing, incarnation_at};
 use juniperdock_router::host::{Consistency, Effect, FrontInfo, Host, ListedState, TxnType};
 use juniperdock_router::routing::Router;
@@ -267,14 +267,14 @@
     fn decline(&mut self, txn: usize, come_back: Option<Duration>) {
         *self.counter += 1;
         if self.defect != Some(Defect::Answers) || !self.counter.is_multiple_of(3) {
-            self.world.answer(self.ids.front, self.ids.txns[txn], Told::Declined, come_back);
+            self.world.answer(self.ids.front, self.ids.txns[txn], FinalAnswer::Declined, come_back);
         }
     }
 
     fn answer_unknown(&mut self, txn: usize) {
         *self.counter += 1;
         if self.defect != Some(Defect::Answers) || !self.counter.is_multiple_of(3) {
-            self.world.answer(self.ids.front, self.ids.txns[txn], Told::Unknown, None);
+            self.world.answer(self.ids.front, self.ids.txns[txn], FinalAnswer::Unknown, None);
         }
     }
 
@@ -290,7 +290,7 @@
     }
 
     fn set_timer(&mut self, at: Duration, handle: u64) {
-        self.world.remind(self.ids.front, self.ids.started_at + at, handle);
+        self.world.set_timer(self.ids.front, self.ids.started_at + at, handle);
     }
 
     fn subscribe_to_member_list(&mut self) {}
@@ -313,7 +313,7 @@
         let next = core.next_timeout();
         if next != self.ids.next_membership_timeout || now >= self.ids.next_membership_timeout {
             self.ids.next_membership_timeout = next;
-            world.remind(front, started_at.saturating_add(next), MEMBERSHIP_TIMER);
+            world.set_timer(front, started_at.saturating_add(next), MEMBERSHIP_TIMER);
         }
         !matches!(out, Out::Born { .. })
     }
@@ -474,7 +474,7 @@
             world.submit(self.front, txn, to);
         } else {
             self.pending.remove(&txn);
-            let answer = if safe_to_resubmit { Told::Declined } else { Told::Unknown };
+            let answer = if safe_to_resubmit { FinalAnswer::Declined } else { FinalAnswer::Unknown };
             world.answer(self.front, txn, answer, Some(Duration::from_millis(100)));
         }
     }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -200,7 +200,7 @@
             let write = kind.reads == Reads::Write;
             let text =
                 statement(&kind.name, write, &id, expiry.as_millis(), txn.mark, txn.group, attempt > 0);
-            let reply = if open.tell(&text) { open.reply() } else { Default::default() };
+            let reply = if open.try_send(&text) { open.reply() } else { Default::default() };
             let (code, value) = (reply.code.as_deref(), reply.value.is_some());
             let disconnected = reply.last != b'Z';
             if disconnected {
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -2,7 +2,7 @@
 
 use crate::scenario::Scenario;
 use hdrhistogram::Histogram;
-use juniperdock_emulator::{Broken, How, Kind, Out, Told};
+use juniperdock_emulator::{CallOutcome, FinalAnswer, Kind, Out, Violation};
 use juniperdock_membership::{Connectivity, Membership};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -154,19 +154,19 @@
                 second.wishes += 1;
                 second.value += terms.value;
                 match how {
-                    How::InTime => {
+                    CallOutcome::InTime => {
                         second.in_time += 1;
                         second.got += terms.value;
                     }
-                    How::Late => {
+                    CallOutcome::Late => {
                         second.late += 1;
                         second.got += terms.value * terms.late_value;
                     }
-                    How::Declined => second.declined += 1,
-                    How::Unknown => second.unknown += 1,
-                    How::Unanswered => second.unanswered += 1,
+                    CallOutcome::Declined => second.declined += 1,
+                    CallOutcome::Unknown => second.unknown += 1,
+                    CallOutcome::Unanswered => second.unanswered += 1,
                 }
-                if matches!(how, How::InTime | How::Late) {
+                if matches!(how, CallOutcome::InTime | CallOutcome::Late) {
                     let micros = (took.as_micros() as u64).clamp(1, 120_000_000);
                     self.by_second[at].saturating_record(micros);
                     self.all.saturating_record(micros);
@@ -175,7 +175,7 @@
             Out::Answered { told, .. } => {
                 self.tries += 1;
                 let at = (now.as_secs() as usize).min(last);
-                self.seconds[at].declines += u32::from(told == Told::Declined);
+                self.seconds[at].declines += u32::from(told == FinalAnswer::Declined);
             }
             _ => {}
         }
@@ -189,7 +189,7 @@
         by: &str,
         simulated: bool,
         rules: [usize; 5],
-        broken: &[Broken],
+        broken: &[Violation],
     ) -> Outcome {
         for (second, of) in self.seconds.iter_mut().zip(&self.by_second) {
             (second.p50_ms, second.p99_ms) = (percentile(of, 50.0), percentile(of, 99.0));
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -182,7 +182,7 @@
     let config = Front::config(known, SOCKETS)
         .replace("\"memory_mb\":192", &format!("\"memory_mb\":{MEMORY_MB}"))
         .replace("8c1f30d27a5be964", &format!("{:016x}", plan.seed));
-    Front::with(&plan.program, address(), agent, &config, None)
+    Front::start_with_config(&plan.program, address(), agent, &config, None)
 }
 
 /// The share of a core that a front uses, averaged over a time span.
@@ -226,7 +226,7 @@
 fn accepts_group(client: &mut Client, group: usize) -> bool {
     let statement =
         format!("/* id=scale,c=lookup,d=1,cluster={group} */ SELECT blob FROM rows WHERE handle = '7f3a'");
-    client.ask(&statement).code.as_deref() != Some("40000")
+    client.query(&statement).code.as_deref() != Some("40000")
 }
 
 /// Ends a front; returns the time that took and its output.
--- a/crates/lab/src/scale/simulated.rs
+++ b/crates/lab/src/scale/simulated.rs
@@ -1,7 +1,7 @@
 //! The environment of a front under test: a discovery agent, and servers that share a few listeners. They use the
 //! real wire formats and store no data.
 
-use juniperdock_test_support::wire::{Said, Store, parameter, ready, row, serve};
+use juniperdock_test_support::wire::{StatementHandler, StatementReply, parameter, ready, row, serve};
 use juniperdock_test_support::{address, unix_ms};
 use serde::{Deserialize, Serialize};
 use std::fmt::Write as _;
@@ -34,19 +34,19 @@
     primary: bool,
 }
 
-impl Store for AnsweringServer {
+impl StatementHandler for AnsweringServer {
     fn welcome(&self, _: &TcpStream) -> bool {
         true
     }
 
-    fn statement(&self, text: &str) -> Said {
+    fn statement(&self, text: &str) -> StatementReply {
         let (position, role) = (unix_ms() as f64 / 1000.0, u8::from(self.primary));
         if text == "SHOW server_load" {
             let report = format!("x0={position:.3},x1={role},q=0,busy=0.1");
-            return Said::Answer([row(report.as_bytes()), ready()].concat());
+            return StatementReply::Answer([row(report.as_bytes()), ready()].concat());
         }
         let role = parameter("node_role", if self.primary { "leader" } else { "follower" });
-        Said::Answer([row(b"hollow"), role, ready()].concat())
+        StatementReply::Answer([row(b"hollow"), role, ready()].concat())
     }
 }
 
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -2,7 +2,9 @@
 //! Scenario files are JSON5; errors are reported with line and field.
 
 use garde::Validate;
-use juniperdock_emulator::{Crowd, Election, Ill, Kind, Log, Node, Shape, Trouble, What, Whom};
+use juniperdock_emulator::{
+    ClientLoad, Election, Kind, Log, MemberFault, Node, ScheduledFault, Shape, Targets, What,
+};
 use juniperdock_operator_config::{Fault, fault};
 use juniperdock_router::host::{ColdStart, Consistency, Effect, Scope, TxnType};
 use schemars::JsonSchema;
@@ -517,7 +519,7 @@
             cold: self.cold(),
             drain_grace: Duration::from_secs(1),
             answer_grace: Duration::from_millis(50),
-            crowd: Crowd {
+            crowd: ClientLoad {
                 per_second: self.load.per_second,
                 series: self.load.series.clone(),
                 skew: self.load.skew,
@@ -565,30 +567,30 @@
 }
 
 impl Befallen {
-    fn trouble(&self) -> Trouble {
+    fn trouble(&self) -> ScheduledFault {
         let whom = match self.of.unwrap_or(Of::All) {
-            Of::Member => Whom::Member(self.number),
-            Of::Primary => Whom::Primary(self.number),
-            Of::Replicas => Whom::Replicas(self.number),
-            Of::Zone => Whom::Zone(self.number),
-            Of::All => Whom::All,
-            Of::Some => Whom::Some(self.share.unwrap_or(1.0)),
+            Of::Member => Targets::Member(self.number),
+            Of::Primary => Targets::Primary(self.number),
+            Of::Replicas => Targets::Replicas(self.number),
+            Of::Zone => Targets::Zone(self.number),
+            Of::All => Targets::All,
+            Of::Some => Targets::Some(self.share.unwrap_or(1.0)),
         };
         let by = self.by.unwrap_or(1.0);
         let member = |ill| What::Member(whom, ill);
         let what = match self.what {
-            Befalls::Killed => member(Ill::Killed),
-            Befalls::Hung => member(Ill::Hung),
-            Befalls::Slow => member(Ill::Slow(by)),
-            Befalls::Errors => member(Ill::Errors(by)),
-            Befalls::Drained => member(Ill::Drained),
-            Befalls::Replaced => member(Ill::Replaced),
-            Befalls::CutFromFronts => member(Ill::CutFromFronts),
-            Befalls::CutFromPeers => member(Ill::CutFromPeers),
-            Befalls::Lags => member(Ill::Lags(by)),
-            Befalls::LosesAnswers => member(Ill::Loses(by)),
-            Befalls::LiesIdle => member(Ill::LiesIdle),
-            Befalls::Moved => member(Ill::Moved),
+            Befalls::Killed => member(MemberFault::Killed),
+            Befalls::Hung => member(MemberFault::Hung),
+            Befalls::Slow => member(MemberFault::Slow(by)),
+            Befalls::Errors => member(MemberFault::Errors(by)),
+            Befalls::Drained => member(MemberFault::Drained),
+            Befalls::Replaced => member(MemberFault::Replaced),
+            Befalls::CutFromFronts => member(MemberFault::CutFromFronts),
+            Befalls::CutFromPeers => member(MemberFault::CutFromPeers),
+            Befalls::Lags => member(MemberFault::Lags(by)),
+            Befalls::LosesAnswers => member(MemberFault::Loses(by)),
+            Befalls::LiesIdle => member(MemberFault::LiesIdle),
+            Befalls::Moved => member(MemberFault::Moved),
             Befalls::ZoneCut => What::ZoneCut(self.number),
             Befalls::ListSilent => What::ListSilent,
             Befalls::ListLate => What::ListLate(Duration::from_secs_f64(by)),
@@ -598,7 +600,7 @@
             Befalls::Surge => What::Surge(by),
         };
         let (from, lasts) = (Duration::from_secs_f64(self.at_s), Duration::from_secs_f64(self.lasts_s));
-        Trouble { from, lasts, what }
+        ScheduledFault { from, lasts, what }
     }
 }
 
--- a/crates/lab/src/simulate.rs
+++ b/crates/lab/src/simulate.rs
@@ -32,7 +32,7 @@
                 break;
             }
             if next <= lasts {
-                world.pass(next);
+                world.advance_to(next);
                 measure.moments.push(sample_state(&world, &fronts));
             }
             next += SAMPLE_INTERVAL;
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -6,7 +6,7 @@
 use crate::measure::{Measure, Outcome, StateSample};
 use crate::scenario::{OfKind, Reads, Runs, Scenario};
 use juniperdock_connection::monotonic;
-use juniperdock_emulator::{Entry, Out, Stream, Told, World};
+use juniperdock_emulator::{Entry, FinalAnswer, Out, Stream, World};
 use juniperdock_router::host::{AttemptOutcome, ListedState, Report, Role};
 use juniperdock_test_support::wire::{error, field, message, parameter, read_message, ready, row};
 use juniperdock_test_support::{Agent, Client, Front, Reply, WATCH, address, unix_ms};
@@ -57,7 +57,7 @@
         at: Duration,
         front: usize,
         txn: u32,
-        outcome: Told,
+        outcome: FinalAnswer,
         code: Option<&str>,
         ended: bool,
     );
@@ -208,7 +208,7 @@
     /// Locks the state and advances the emulator to the current time.
     pub fn present(&self) -> MutexGuard<'_, State> {
         let mut state = self.lock();
-        state.world.pass(self.now());
+        state.world.advance_to(self.now());
         state
     }
 }
@@ -387,7 +387,7 @@
             };
             let begun = Instant::now();
             let _ = open.stream.set_read_timeout(Some(ask.left + self.slack));
-            reply = if open.tell(&ask.text) {
+            reply = if open.try_send(&ask.text) {
                 reached = true;
                 let mut state = self.lock();
                 let now = self.now();
@@ -419,10 +419,10 @@
         }
         let code = reply.code.as_deref();
         let outcome = match code {
-            _ if reply.value.is_some() => Told::Committed,
-            Some("53300" | "57P03") => Told::Declined,
-            Some(_) => Told::Unknown,
-            None => Told::Nothing,
+            _ if reply.value.is_some() => FinalAnswer::Committed,
+            Some("53300" | "57P03") => FinalAnswer::Declined,
+            Some(_) => FinalAnswer::Unknown,
+            None => FinalAnswer::Nothing,
         };
         if reply.last != b'Z' {
             *client = None;
@@ -437,7 +437,7 @@
         }
         let come_back = reply.detail.and_then(|ms| ms.parse().ok()).map(Duration::from_millis);
         // A statement that did not reach any front leaves nothing open: the client retries elsewhere.
-        if outcome != Told::Nothing || !reached {
+        if outcome != FinalAnswer::Nothing || !reached {
             self.present().world.answer(front, ask.txn, outcome, come_back);
         }
     }
@@ -484,7 +484,7 @@
         let agent = Agent::start(WATCH);
         let known = list(&cluster, 1, true, known, &at[front]);
         let config = settings(scenario, seed, front, &known).to_string();
-        let program = Front::with(program, address(), agent.at, &config, charter);
+        let program = Front::start_with_config(program, address(), agent.at, &config, charter);
         drop(program.client());
         running.push((program, agent));
     }
@@ -508,7 +508,7 @@
                 Out::Listed { front, entry } => {
                     version += 1;
                     if entry.member < most {
-                        running[front].1.tell(list(&cluster, version, false, &[entry], &at[front]));
+                        running[front].1.publish(list(&cluster, version, false, &[entry], &at[front]));
                     }
                 }
                 out => drop(state.pass_on(out, scenario)),
--- a/crates/lab/src/upgrade.rs
+++ b/crates/lab/src/upgrade.rs
@@ -5,7 +5,7 @@
 use crate::fleet::schedule::Schedule;
 use crate::scenario::Scenario;
 use crate::sockets::{Ask, Ledger, State, Town, client, list, settings};
-use juniperdock_emulator::{Entry, Note, Out, Told, World};
+use juniperdock_emulator::{Entry, FinalAnswer, Note, Out, World};
 use juniperdock_fd_passing::{PacketSocket, Received};
 use juniperdock_hot_restart::message::{self, MAX_MESSAGE_LEN, MessageHandler};
 use juniperdock_test_support::{Agent, Front, WATCH, address};
@@ -82,7 +82,7 @@
 }
 
 /// When a txn was first sent, how often it was written to the front, and its answer.
-type TxnRecord = (Duration, u32, Option<(Duration, Told)>);
+type TxnRecord = (Duration, u32, Option<(Duration, FinalAnswer)>);
 
 /// What clients observed, by txn.
 #[derive(Default)]
@@ -109,7 +109,7 @@
         at: Duration,
         _front: usize,
         txn: u32,
-        outcome: Told,
+        outcome: FinalAnswer,
         _code: Option<&str>,
         _ended: bool,
     ) {
@@ -171,7 +171,7 @@
     };
     let scenario = scenario(&world);
     let mut world = World::new(scenario.shape(seed));
-    world.noting();
+    world.record_notes();
     let known: Vec<Entry> = match world.next(Duration::ZERO) {
         Some(Out::Born { known, .. }) => known,
         _ => return Err("the emulator has no front".to_owned()),
@@ -181,7 +181,7 @@
         Town::new(State::new(world, fronts, Some(Box::new(ClientLog(observed.clone())))), CLIENT_SLACK);
     let members = cluster.members(0, groups * members)?;
     let (known, agent, at) = (list(&cluster, 1, true, &known, &members), Agent::start(WATCH), address());
-    agent.tell(known.clone());
+    agent.publish(known.clone());
     let mut config = settings(&scenario, seed, 0, &known);
     config["limits"]["sockets"] = (1024 + 8 * idle).into();
     let control = Front::folder(at).join("control");
@@ -189,7 +189,7 @@
         "{{ control: {{ path: {:?} }}, upgrade: {{ ready_ms: 1500, taken_ms: 500 }} }}",
         control.display().to_string()
     );
-    let front = Front::with(program, at, agent.at, &config.to_string(), Some(&charter));
+    let front = Front::start_with_config(program, at, agent.at, &config.to_string(), Some(&charter));
     let mut idle: Vec<_> = (0..idle + 1).map(|_| Some(front.client())).collect();
     let command = |args: &[&str]| {
         let out = Command::new(program)
@@ -279,17 +279,17 @@
     asked.sort_unstable_by_key(|asked| asked.0);
     for (txn, (from, times, answer)) in asked {
         let ran = ran.get(&txn).copied().unwrap_or(0);
-        let outcome = answer.map_or(Told::Nothing, |(_, outcome)| outcome);
-        let lost = outcome == Told::Nothing
+        let outcome = answer.map_or(FinalAnswer::Nothing, |(_, outcome)| outcome);
+        let lost = outcome == FinalAnswer::Nothing
             || times != 1
-            || writes.contains(&txn) && outcome == Told::Committed && ran < 1;
+            || writes.contains(&txn) && outcome == FinalAnswer::Committed && ran < 1;
         if lost {
             figures.lost += 1;
             let from = from.as_millis();
             figures.notes.push(format!("{txn:x} from {from} ms, written {times} times: {outcome:?}"));
         }
         figures.doubled += usize::from(ran > 1);
-        figures.declined += usize::from(outcome == Told::Declined);
+        figures.declined += usize::from(outcome == FinalAnswer::Declined);
         let to = answer.map_or(from, |(to, _)| to);
         let near_upgrade =
             ends.iter().any(|&end| from < end + NEAR_UPGRADE_AFTER && to + NEAR_UPGRADE_BEFORE > end);
--- a/crates/test-support/src/agent.rs
+++ b/crates/test-support/src/agent.rs
@@ -11,7 +11,7 @@
     pub at: SocketAddr,
     lists: Lists,
     /// Request lines received.
-    pub asked: Receiver<String>,
+    pub requests: Receiver<String>,
 }
 
 impl Agent {
@@ -21,7 +21,7 @@
         let listener = TcpListener::bind(address()).expect("a free address");
         let at = listener.local_addr().expect("an address");
         let lists = Lists::default();
-        let (requests, asked) = channel();
+        let (report_sender, requests) = channel();
         let shared = lists.clone();
         std::thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
@@ -30,7 +30,7 @@
                 }
                 let mut line = String::new();
                 let _ = BufReader::new(&stream).read_line(&mut line);
-                let _ = requests.send(line);
+                let _ = report_sender.send(line);
                 let lists = shared.clone();
                 std::thread::spawn(move || {
                     if stream.write_all(head.as_bytes()).is_err() {
@@ -50,12 +50,12 @@
                 });
             }
         });
-        Agent { at, lists, asked }
+        Agent { at, lists, requests }
     }
 
     /// Publishes a list to all watches.
-    pub fn tell(&self, list: String) {
-        self.lists.tell(list);
+    pub fn publish(&self, list: String) {
+        self.lists.publish(list);
     }
 
     /// Returns a handle that can publish lists from another thread.
@@ -88,7 +88,7 @@
     }
 
     /// Publishes a list to all watches.
-    pub fn tell(&self, list: String) {
+    pub fn publish(&self, list: String) {
         self.lock().lines.push(list);
         self.0.1.notify_all();
     }
--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -1,6 +1,6 @@
 //! A blocking client that sends one txn at a time.
 
-use crate::PATIENCE;
+use crate::TEST_TIMEOUT;
 use crate::wire::{message, read_message};
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -27,7 +27,7 @@
 impl Client {
     /// Connects and completes the startup exchange and an empty query; `None` if any step fails.
     pub fn open(at: SocketAddr) -> Option<Client> {
-        Client::open_within(at, PATIENCE)
+        Client::open_within(at, TEST_TIMEOUT)
     }
 
     /// Like [`Client::open`], with `timeout` as the limit for connecting and for each read.
@@ -66,18 +66,18 @@
     }
 
     /// Sends a statement; panics if the connection has ended.
-    pub fn say(&mut self, text: &str) {
-        assert!(self.tell(text), "the front closed the connection before a statement was sent");
+    pub fn send(&mut self, text: &str) {
+        assert!(self.try_send(text), "the front closed the connection before a statement was sent");
     }
 
     /// Sends a statement; returns false if the connection has ended.
-    pub fn tell(&mut self, text: &str) -> bool {
+    pub fn try_send(&mut self, text: &str) -> bool {
         self.stream.write_all(&message(b'Q', format!("{text}\0").as_bytes())).is_ok()
     }
 
     /// Sends a statement and waits for its reply.
-    pub fn ask(&mut self, text: &str) -> Reply {
-        self.say(text);
+    pub fn query(&mut self, text: &str) -> Reply {
+        self.send(text);
         self.reply()
     }
 }
--- a/crates/test-support/src/front.rs
+++ b/crates/test-support/src/front.rs
@@ -1,7 +1,7 @@
 //! Starts and controls the front, the program under test.
 
 use crate::client::Client;
-use crate::{PATIENCE, address};
+use crate::{TEST_TIMEOUT, address};
 use std::io::Read;
 use std::net::SocketAddr;
 use std::process::{Child, Command, Stdio};
@@ -17,11 +17,11 @@
 impl Front {
     /// Starts the program at an unused address.
     pub fn start(program: &str, agent: SocketAddr, known: &str, sockets: u32) -> Front {
-        Front::again(program, address(), agent, known, sockets, None)
+        Front::start_at(program, address(), agent, known, sockets, None)
     }
 
     /// Starts the program at a given address; `charter` is the text of the operator's configuration file.
-    pub fn again(
+    pub fn start_at(
         program: &str,
         at: SocketAddr,
         agent: SocketAddr,
@@ -29,7 +29,7 @@
         sockets: u32,
         charter: Option<&str>,
     ) -> Front {
-        Front::with(program, at, agent, &Front::config(known, sockets), charter)
+        Front::start_with_config(program, at, agent, &Front::config(known, sockets), charter)
     }
 
     /// Returns a small configuration: one zone, three txn types and the limits of a small machine.
@@ -51,18 +51,18 @@
     }
 
     /// Starts the program with a given configuration.
-    pub fn with(
+    pub fn start_with_config(
         program: &str,
         at: SocketAddr,
         agent: SocketAddr,
         config: &str,
         charter: Option<&str>,
     ) -> Front {
-        Front::with_environment(program, at, agent, config, charter, &[])
+        Front::start_with_environment(program, at, agent, config, charter, &[])
     }
 
-    /// Like [`Front::with`], with additional environment variables.
-    pub fn with_environment(
+    /// Like [`Front::start_with_config`], with additional environment variables.
+    pub fn start_with_environment(
         program: &str,
         at: SocketAddr,
         agent: SocketAddr,
@@ -111,7 +111,7 @@
             if let Some(client) = Client::open(self.at) {
                 return client;
             }
-            assert!(begun.elapsed() < PATIENCE, "the front accepted no client within the time limit");
+            assert!(begun.elapsed() < TEST_TIMEOUT, "the front accepted no client within the time limit");
             std::thread::sleep(Duration::from_millis(2));
         }
     }
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -11,7 +11,7 @@
 pub use agent::{Agent, Entry, WATCH, list};
 pub use client::{Client, Reply, txn};
 pub use front::Front;
-pub use member::{Does, Member};
+pub use member::{Behaviour, Member};
 pub use wire::{error, message, row};
 
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 
 /// Time limit for anything that a test waits for. It is long enough for a slow machine, so only a failing test
 /// waits this long.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Milliseconds since 1970.
 pub fn unix_ms() -> u128 {
--- a/crates/test-support/src/member.rs
+++ b/crates/test-support/src/member.rs
@@ -1,6 +1,6 @@
 //! A member whose responses a test sets, down to the bytes on the connection. It models no database.
 
-use crate::wire::{Said, Store, error, parameter, ready, row, serve};
+use crate::wire::{StatementHandler, StatementReply, error, parameter, ready, row, serve};
 use crate::{address, unix_ms};
 use std::collections::VecDeque;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -10,17 +10,17 @@
 
 /// How a member responds to a txn.
 #[derive(Clone, Debug)]
-pub enum Does {
+pub enum Behaviour {
     /// Answers with the statement's text as the row.
-    Serves,
+    Serve,
     /// Answers with an error of this SQLSTATE.
-    Fails(&'static str),
+    Fail(&'static str),
     /// Reads it and never answers.
-    Hangs,
+    Hang,
     /// Reads it, sends these bytes and closes the connection.
-    Breaks(Vec<u8>),
+    Close(Vec<u8>),
     /// Answers with these bytes in place of a row.
-    Says(Vec<u8>),
+    Send(Vec<u8>),
 }
 
 struct Script {
@@ -28,12 +28,12 @@
     /// Position of its log, in seconds since 1970; `None` if it is up to date.
     position: Option<f64>,
     /// Whether it answers new connections. If not, it accepts them and sends nothing.
-    welcomes: bool,
-    does: Does,
-    /// Responses to the next txns, before `does` applies again.
-    next: VecDeque<Does>,
+    answers_new: bool,
+    behaviour: Behaviour,
+    /// Responses to the next txns, before `behaviour` applies again.
+    next: VecDeque<Behaviour>,
     open: Vec<TcpStream>,
-    /// How many times `end_hanging` was called.
+    /// How many times `close_hanging` was called.
     hangs_ended: u32,
 }
 
@@ -45,56 +45,56 @@
     script: Arc<Mutex<Script>>,
 }
 
-struct ScriptedStore {
+struct ScriptedHandler {
     script: Arc<Mutex<Script>>,
     seen: Mutex<Sender<String>>,
 }
 
-impl Store for ScriptedStore {
+impl StatementHandler for ScriptedHandler {
     fn welcome(&self, stream: &TcpStream) -> bool {
         let script = || self.script.lock().expect("no thread panicked with the lock");
         if let Ok(stream) = stream.try_clone() {
             script().open.push(stream);
         }
-        while !script().welcomes {
+        while !script().answers_new {
             std::thread::sleep(Duration::from_millis(5));
         }
         true
     }
 
-    fn statement(&self, text: &str) -> Said {
+    fn statement(&self, text: &str) -> StatementReply {
         let (primary, position) = {
             let script = self.script.lock().expect("no thread panicked with the lock");
             (script.primary, script.position.unwrap_or(now()))
         };
         if text == "SHOW server_load" {
             let report = format!("x0={position:.3},x1={},q=0,busy=0.1", u8::from(primary));
-            return Said::Answer([row(report.as_bytes()), ready()].concat());
+            return StatementReply::Answer([row(report.as_bytes()), ready()].concat());
         }
         let _ = self.seen.lock().expect("no thread panicked with the lock").send(text.to_owned());
-        let does = {
+        let behaviour = {
             let mut script = self.script.lock().expect("no thread panicked with the lock");
             let next = script.next.pop_front();
-            next.unwrap_or_else(|| script.does.clone())
+            next.unwrap_or_else(|| script.behaviour.clone())
         };
         let role = parameter("node_role", if primary { "leader" } else { "follower" });
-        let answer = match does {
+        let answer = match behaviour {
             _ if !primary && text.contains("INSERT") => error("25006"),
-            Does::Serves => row(text.as_bytes()),
-            Does::Fails(code) => error(code),
-            Does::Hangs => {
+            Behaviour::Serve => row(text.as_bytes()),
+            Behaviour::Fail(code) => error(code),
+            Behaviour::Hang => {
                 let hangs_ended =
                     || self.script.lock().expect("no thread panicked with the lock").hangs_ended;
                 let before = hangs_ended();
                 while hangs_ended() == before {
                     std::thread::sleep(Duration::from_millis(5));
                 }
-                return Said::End(Vec::new());
+                return StatementReply::End(Vec::new());
             }
-            Does::Breaks(bytes) => return Said::End(bytes),
-            Does::Says(bytes) => bytes,
+            Behaviour::Close(bytes) => return StatementReply::End(bytes),
+            Behaviour::Send(bytes) => bytes,
         };
-        Said::Answer([answer, role, ready()].concat())
+        StatementReply::Answer([answer, role, ready()].concat())
     }
 }
 
@@ -108,18 +108,18 @@
     pub fn start(primary: bool) -> Member {
         let listener = TcpListener::bind(address()).expect("a free address");
         let at = listener.local_addr().expect("an address");
-        let (does, next, open) = (Does::Serves, VecDeque::new(), Vec::new());
+        let (behaviour, next, open) = (Behaviour::Serve, VecDeque::new(), Vec::new());
         let script = Arc::new(Mutex::new(Script {
             primary,
             position: None,
-            welcomes: true,
-            does,
+            answers_new: true,
+            behaviour,
             next,
             open,
             hangs_ended: 0,
         }));
         let (seen_sender, seen) = channel();
-        let store = Arc::new(ScriptedStore { script: script.clone(), seen: Mutex::new(seen_sender) });
+        let store = Arc::new(ScriptedHandler { script: script.clone(), seen: Mutex::new(seen_sender) });
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let store = store.clone();
@@ -130,48 +130,48 @@
     }
 
     /// Sets the response to all later txns.
-    pub fn set(&self, does: Does) {
-        self.script.lock().expect("no thread panicked with the lock").does = does;
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
+        self.script.lock().expect("no thread panicked with the lock").behaviour = behaviour;
     }
 
     /// Queues a response for one txn.
-    pub fn once(&self, does: Does) {
-        self.script.lock().expect("no thread panicked with the lock").next.push_back(does);
+    pub fn behave_once(&self, behaviour: Behaviour) {
+        self.script.lock().expect("no thread panicked with the lock").next.push_back(behaviour);
     }
 
     /// Sets the role that it reports; a replica refuses inserts with 25006.
-    pub fn be_primary(&self, primary: bool) {
+    pub fn set_primary(&self, primary: bool) {
         self.script.lock().expect("no thread panicked with the lock").primary = primary;
     }
 
     /// Freezes the reported log position at the present.
-    pub fn stand_still(&self) {
+    pub fn freeze_position(&self) {
         self.script.lock().expect("no thread panicked with the lock").position = Some(now());
     }
 
     /// Freezes the reported log position `ahead` of the present, as a member whose clock runs ahead reports it.
-    pub fn stand_at(&self, ahead: Duration) {
+    pub fn freeze_position_ahead(&self, ahead: Duration) {
         self.script.lock().expect("no thread panicked with the lock").position =
             Some(now() + ahead.as_secs_f64());
     }
 
     /// Sets whether new connections are answered; if not, they are accepted and stay silent.
-    pub fn welcome(&self, welcomes: bool) {
-        self.script.lock().expect("no thread panicked with the lock").welcomes = welcomes;
+    pub fn set_answers_new(&self, answers_new: bool) {
+        self.script.lock().expect("no thread panicked with the lock").answers_new = answers_new;
     }
 
-    /// The number of connections accepted since the last [`Member::cut`].
+    /// The number of connections accepted since the last [`Member::close_connections`].
     pub fn connections(&self) -> usize {
         self.script.lock().expect("no thread panicked with the lock").open.len()
     }
 
     /// Closes the connections of all statements that hang, and no others.
-    pub fn end_hanging(&self) {
+    pub fn close_hanging(&self) {
         self.script.lock().expect("no thread panicked with the lock").hangs_ended += 1;
     }
 
     /// Closes all connections.
-    pub fn cut(&self) {
+    pub fn close_connections(&self) {
         for stream in self.script.lock().expect("no thread panicked with the lock").open.drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
--- a/crates/test-support/src/wire.rs
+++ b/crates/test-support/src/wire.rs
@@ -56,7 +56,7 @@
 }
 
 /// A member's response to a statement.
-pub enum Said {
+pub enum StatementReply {
     /// Sends these bytes and keeps the connection.
     Answer(Vec<u8>),
     /// Sends these bytes and closes the connection.
@@ -64,15 +64,15 @@
 }
 
 /// The behaviour of a member on its connections.
-pub trait Store: Send + Sync {
+pub trait StatementHandler: Send + Sync {
     /// Called once for each new connection; false closes it at once. May block.
     fn welcome(&self, stream: &TcpStream) -> bool;
     /// Answers a statement, which may be a probe. May block.
-    fn statement(&self, text: &str) -> Said;
+    fn statement(&self, text: &str) -> StatementReply;
 }
 
 /// Serves one connection until it ends.
-pub fn serve(mut stream: TcpStream, store: &dyn Store) -> Option<()> {
+pub fn serve(mut stream: TcpStream, store: &dyn StatementHandler) -> Option<()> {
     stream.set_nodelay(true).ok()?;
     read_message(&mut stream, false)?;
     if !store.welcome(&stream) {
@@ -81,8 +81,8 @@
     stream.write_all(&[message(b'R', &[0; 4]), ready()].concat()).ok()?;
     while let Some((b'Q', body)) = read_message(&mut stream, true) {
         match store.statement(String::from_utf8_lossy(&body).trim_end_matches('\0')) {
-            Said::Answer(bytes) => stream.write_all(&bytes).ok()?,
-            Said::End(bytes) => {
+            StatementReply::Answer(bytes) => stream.write_all(&bytes).ok()?,
+            StatementReply::End(bytes) => {
                 let _ = stream.write_all(&bytes);
                 let _ = stream.shutdown(std::net::Shutdown::Both);
                 return None;
