--- a/crates/lab/src/fleet/ledger.rs
+++ b/crates/lab/src/fleet/ledger.rs
@@ -1,7 +1,7 @@
 //! Records the clients' observations in the history.
 
 use super::history::History;
-use crate::sockets::{Ask, Ledger};
+use crate::sockets::{ClientObserver, ClientStatement};
 use juniperdock_emulator::FinalAnswer;
 use serde_json::json;
 use std::time::Duration;
@@ -9,8 +9,8 @@
 /// Writes the clients' observations.
 pub(super) struct Clients(pub History);
 
-impl Ledger for Clients {
-    fn asked(&mut self, at: Duration, front: usize, ask: &Ask) {
+impl ClientObserver for Clients {
+    fn asked(&mut self, at: Duration, front: usize, ask: &ClientStatement) {
         let left = ask.left.as_micros() as u64;
         self.0.note(at, "asked", json!({ "front": front, "txn": ask.txn, "left": left }));
     }
--- a/crates/lab/src/fleet/play.rs
+++ b/crates/lab/src/fleet/play.rs
@@ -9,7 +9,7 @@
 use super::relay::Relay;
 use super::schedule::{FaultKind, InjectedFault, Schedule};
 use crate::scenario::{Befallen, Befalls, Fleet, Load, Of, OfKind, Reads, Runs, Scenario};
-use crate::sockets::{State, Town, client, list, settings};
+use crate::sockets::{State, TestCluster, client, list, settings};
 use juniperdock_emulator::{Entry, Note, Out, World};
 use juniperdock_router::host::{AttemptOutcome, ListedState};
 use juniperdock_test_support::{Agent, WATCH, address};
@@ -89,7 +89,7 @@
     schedule: &'a Schedule,
     program: &'a str,
     history: History,
-    cluster: Arc<Town>,
+    cluster: Arc<TestCluster>,
     relay: Relay,
     processes: Vec<Process>,
     environments: Vec<Vec<(&'static str, String)>>,
@@ -138,7 +138,8 @@
     {
         initial_lists.push(known);
     }
-    let cluster = Town::new(State::new(world, n, Some(Box::new(Clients(history.clone())))), ANSWER_SLACK);
+    let cluster =
+        TestCluster::new(State::new(world, n, Some(Box::new(Clients(history.clone())))), ANSWER_SLACK);
     let kind = |kind: &OfKind| {
         json!({ "name": kind.name, "write": kind.reads == Reads::Write, "repeatable": kind.runs == Runs::Repeatable,
             "bound": (kind.reads == Reads::Bounded).then_some(kind.bound_ms * 1000) })
@@ -280,7 +281,7 @@
 }
 
 /// Copies a front's log into the history.
-fn import_log(history: &History, cluster: &Town, front: usize, log: &Path) {
+fn import_log(history: &History, cluster: &TestCluster, front: usize, log: &Path) {
     let text = std::fs::read_to_string(log).unwrap_or_default();
     for line in text.lines() {
         let Ok(log) = serde_json::from_str::<Value>(line) else {
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -41,16 +41,16 @@
 }
 
 /// A statement that a client has to send.
-pub(crate) struct Ask {
+pub(crate) struct ClientStatement {
     pub txn: u32,
     pub text: String,
     pub left: Duration,
 }
 
 /// Observes what clients send and receive.
-pub(crate) trait Ledger: Send {
+pub(crate) trait ClientObserver: Send {
     /// A statement has been completely written to a front.
-    fn asked(&mut self, at: Duration, front: usize, ask: &Ask);
+    fn asked(&mut self, at: Duration, front: usize, ask: &ClientStatement);
     /// The statement's answer or its absence, the error code, and whether the connection had ended.
     fn answered(
         &mut self,
@@ -75,13 +75,13 @@
     /// Receivers of submission results, by front, txn and member, and of probe reports, by front and member.
     pub waits: HashMap<(usize, u32, usize), SyncSender<Ended>>,
     pub probes: HashMap<(usize, usize), VecDeque<SyncSender<Option<Report>>>>,
-    pub pending_statements: Vec<VecDeque<Ask>>,
-    pub ledger: Option<Box<dyn Ledger>>,
+    pub pending_statements: Vec<VecDeque<ClientStatement>>,
+    pub ledger: Option<Box<dyn ClientObserver>>,
     pub over: bool,
 }
 
 impl State {
-    pub fn new(mut world: World, fronts: usize, ledger: Option<Box<dyn Ledger>>) -> State {
+    pub fn new(mut world: World, fronts: usize, ledger: Option<Box<dyn ClientObserver>>) -> State {
         world.remote = true;
         let pending_statements = (0..fronts).map(|_| VecDeque::new()).collect();
         State {
@@ -102,7 +102,7 @@
                 let (mark, id) = (self.world.mark(txn), format!("{txn:x}"));
                 let write = kind.reads == Reads::Write;
                 let text = statement(&kind.name, write, &id, left.as_millis(), mark, group as u64, retried);
-                self.pending_statements[front].push_back(Ask { txn, text, left });
+                self.pending_statements[front].push_back(ClientStatement { txn, text, left });
                 None
             }
             Out::Ended { front, txn, member, ending, role, position, .. } => {
@@ -124,7 +124,7 @@
 }
 
 /// The members, clients and emulator around the fronts under test.
-pub(crate) struct Town {
+pub(crate) struct TestCluster {
     pub state: Mutex<State>,
     pub asked: Condvar,
     pub begun: Instant,
@@ -156,13 +156,13 @@
     }
 }
 
-impl Town {
-    pub fn new(state: State, slack: Duration) -> Arc<Town> {
+impl TestCluster {
+    pub fn new(state: State, slack: Duration) -> Arc<TestCluster> {
         let (state, asked) = (Mutex::new(state), Condvar::new());
         let leaving = Mutex::new(Leaving { share: 0.0, chance: Stream::of(1, "leaving", 0) });
         let (begun, monotonic_origin, origin) = (Instant::now(), monotonic(), unix_ms());
         let listening = Mutex::default();
-        Arc::new(Town { state, asked, begun, origin, monotonic_origin, slack, leaving, listening })
+        Arc::new(TestCluster { state, asked, begun, origin, monotonic_origin, slack, leaving, listening })
     }
 
     /// Ends the run: client and member threads terminate.
@@ -175,7 +175,7 @@
     }
 
     /// Starts listeners for `most` members of one front, on one IP address, and returns their addresses.
-    pub fn members(self: &Arc<Town>, front: usize, most: usize) -> Result<Vec<SocketAddr>, String> {
+    pub fn members(self: &Arc<TestCluster>, front: usize, most: usize) -> Result<Vec<SocketAddr>, String> {
         let ip = address().ip();
         let open = |number| {
             let listener = TcpListener::bind(SocketAddr::new(ip, 0))
@@ -253,7 +253,13 @@
 }
 
 /// A server list in the form of discovery's answers; members' addresses are looked up in `at`.
-pub(crate) fn list(cluster: &Town, version: u64, full: bool, entries: &[Entry], at: &[SocketAddr]) -> String {
+pub(crate) fn list(
+    cluster: &TestCluster,
+    version: u64,
+    full: bool,
+    entries: &[Entry],
+    at: &[SocketAddr],
+) -> String {
     let entries: Vec<serde_json::Value> = entries
         .iter()
         .map(|e| {
@@ -272,7 +278,7 @@
 }
 
 /// Serves one connection of a front to a member.
-fn member(cluster: &Town, mut stream: TcpStream, front: usize, member: usize) -> Option<()> {
+fn member(cluster: &TestCluster, mut stream: TcpStream, front: usize, member: usize) -> Option<()> {
     stream.set_nodelay(true).ok()?;
     read_message(&mut stream, false)?;
     stream.write_all(&[message(b'R', &[0; 4]), ready()].concat()).ok()?;
@@ -325,7 +331,7 @@
 
 /// Waits for the result of a submission. A closed connection means that the front has cancelled it.
 fn wait(
-    cluster: &Town,
+    cluster: &TestCluster,
     stream: &TcpStream,
     receiver: &Receiver<Ended>,
     front: usize,
@@ -350,16 +356,16 @@
 }
 
 /// Runs one client of a front: sends the queued statements, one txn at a time.
-pub(crate) fn client(cluster: &Town, at: SocketAddr, front: usize) {
+pub(crate) fn client(cluster: &TestCluster, at: SocketAddr, front: usize) {
     let mut client: Option<Client> = None;
     while let Some(ask) = cluster.next_statement(front) {
         cluster.send_statement(at, front, &ask, &mut client);
     }
 }
 
-impl Town {
+impl TestCluster {
     /// Waits for the next statement for a front; `None` once the run is over.
-    pub fn next_statement(&self, front: usize) -> Option<Ask> {
+    pub fn next_statement(&self, front: usize) -> Option<ClientStatement> {
         let mut state = self.lock();
         loop {
             if state.over {
@@ -375,7 +381,13 @@
 
     /// Sends a statement on the given connection, or on a new one if there is none, and records the answer. If the
     /// front had closed the connection between txns, the statement is sent once more on a new one.
-    pub fn send_statement(&self, at: SocketAddr, front: usize, ask: &Ask, client: &mut Option<Client>) {
+    pub fn send_statement(
+        &self,
+        at: SocketAddr,
+        front: usize,
+        ask: &ClientStatement,
+        client: &mut Option<Client>,
+    ) {
         let (mut reply, mut reached) = (Reply::default(), false);
         for _ in 0..2 {
             if client.is_none() {
@@ -466,7 +478,7 @@
         return Err("scenarios in which fronts stall or are killed run in simulated time only".to_owned());
     }
     let kinds = shape.kinds.clone();
-    let cluster = Town::new(State::new(World::new(shape), fronts, None), GRACE_SLACK);
+    let cluster = TestCluster::new(State::new(World::new(shape), fronts, None), GRACE_SLACK);
     // Every front has its own address for each member; addresses for replacement members are reserved in advance.
     let most = members + extra.min(256);
     let at = (0..fronts).map(|front| cluster.members(front, most)).collect::<Result<Vec<_>, _>>()?;
--- a/crates/lab/src/upgrade.rs
+++ b/crates/lab/src/upgrade.rs
@@ -4,7 +4,7 @@
 use crate::fleet::play::scenario;
 use crate::fleet::schedule::Schedule;
 use crate::scenario::Scenario;
-use crate::sockets::{Ask, Ledger, State, Town, client, list, settings};
+use crate::sockets::{ClientObserver, ClientStatement, State, TestCluster, client, list, settings};
 use juniperdock_emulator::{Entry, FinalAnswer, Note, Out, World};
 use juniperdock_fd_passing::{PacketSocket, Received};
 use juniperdock_hot_restart::message::{self, MAX_MESSAGE_LEN, MessageHandler};
@@ -99,8 +99,8 @@
     }
 }
 
-impl Ledger for ClientLog {
-    fn asked(&mut self, at: Duration, _front: usize, ask: &Ask) {
+impl ClientObserver for ClientLog {
+    fn asked(&mut self, at: Duration, _front: usize, ask: &ClientStatement) {
         self.update(|observed| observed.asked.entry(ask.txn).or_insert((at, 0, None)).1 += 1);
     }
 
@@ -122,7 +122,7 @@
 }
 
 /// Advances the emulator until the run is over; returns how often each write has taken effect.
-fn drive(cluster: &Town, scenario: &Scenario) -> HashMap<u32, i64> {
+fn drive(cluster: &TestCluster, scenario: &Scenario) -> HashMap<u32, i64> {
     let mut ran = HashMap::new();
     loop {
         let mut state = cluster.lock();
@@ -177,8 +177,10 @@
         _ => return Err("the emulator has no front".to_owned()),
     };
     let observed = Arc::new(Mutex::new(Observed::default()));
-    let cluster =
-        Town::new(State::new(world, fronts, Some(Box::new(ClientLog(observed.clone())))), CLIENT_SLACK);
+    let cluster = TestCluster::new(
+        State::new(world, fronts, Some(Box::new(ClientLog(observed.clone())))),
+        CLIENT_SLACK,
+    );
     let members = cluster.members(0, groups * members)?;
     let (known, agent, at) = (list(&cluster, 1, true, &known, &members), Agent::start(WATCH), address());
     agent.publish(known.clone());
