--- a/crates/discovery/tests/answer.rs
+++ b/crates/discovery/tests/answer.rs
@@ -1,11 +1,11 @@
-//! Answers of discovery, whole and spoilt, put together from any pieces.
+//! Parsing of discovery responses, valid and malformed, from bytes split at any place.
 
 use juniperdock_discovery::{Answer, Failure};
 use juniperdock_server_list::ServerList;
 use std::collections::VecDeque;
 
 #[test]
-fn a_watch_is_put_together_from_any_pieces() {
+fn watch_response_parses_the_same_for_any_split_of_its_bytes() {
     let entry = r#"{"id":"m","addr":"127.0.0.1:5","zone":"a","cell":3,"state":"up","started_ms":0}"#;
     let line = format!("{{\"version\":4,\"full\":true,\"servers\":[{entry}]}}\n\n");
     let (one, two) = line.split_at(30);
@@ -20,13 +20,13 @@
             bytes.extend(part);
             lists.extend(answer.take(&mut bytes).expect("a good answer"));
         }
-        assert_eq!((lists.len(), answer.signs, answer.over()), (1, 2, true));
+        assert_eq!((lists.len(), answer.line_ends, answer.is_complete()), (1, 2, true));
         assert_eq!(lists[0].servers[0].group, 3);
     }
 }
 
 #[test]
-fn a_list_may_be_indented_over_lines_and_counts_once_it_is_whole() {
+fn indented_list_is_returned_once_it_is_complete() {
     let entry = r#"{"id":"m}\\\"{","addr":"127.0.0.1:5","cell":3,"state":"up"}"#;
     let line = format!(r#"{{"version":4,"full":true,"servers":[{entry}]}}"#);
     let list = ServerList::parse(line.as_bytes()).expect("a list");
@@ -40,7 +40,7 @@
         }
         assert_eq!(lists, [list.clone(), list.clone(), list.clone()]);
     }
-    // One that stops in the middle of a line, or after one, is no list yet.
+    // A list that is cut off within a line or after one is incomplete.
     for part in ["{\"version\":1", "{\n \"version\":4,\n"] {
         let mut bytes = VecDeque::from(format!("HTTP/1.1 200 OK\r\n\r\n{part}").into_bytes());
         assert_eq!(Answer::default().take(&mut bytes), Ok(Vec::new()));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn what_is_no_list_is_an_error() {
+fn malformed_response_is_an_error() {
     for text in [
         "HTTP/1.1 500 no\r\n\r\n",
         "hello\r\n\r\n",
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_status_says_whether_discovery_is_overloaded() {
+fn status_429_and_503_are_reported_as_overload() {
     for (status, overload) in [(503, true), (429, true), (500, false), (404, false)] {
         let mut bytes = VecDeque::from(format!("HTTP/1.1 {status} no\r\n\r\n").into_bytes());
         let failure = Answer::default().take(&mut bytes).expect_err("no list");
--- a/crates/emulator/tests/stories.rs
+++ b/crates/emulator/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! What the model does by itself, one story for each of its parts; and the calendar against a sorted list.
+//! Tests of the model by itself, one scenario for each part, and of the calendar against a sorted list.
 
 use juniperdock_emulator::*;
 use juniperdock_router::host::{
@@ -14,8 +14,8 @@
 const READ: usize = 0;
 const WRITE: usize = 1;
 
-/// One group of three, one front; clients come only if a story says so.
-fn shape(per_second: f64, troubles: Vec<Trouble>) -> Shape {
+/// One group of three members and one front, with clients at the given rate.
+fn shape(per_second: f64, troubles: Vec<ScheduledFault>) -> Shape {
     let kind = |name: &str, effect, consistency| Kind {
         name: name.to_owned(),
         part: 1.0,
@@ -23,13 +23,13 @@
         terms: TxnType { sla: ms(300), value: 1.0, late_value: 0.0, effect, consistency },
         expiry: ms(2000),
     };
-    let marked = Effect::Referenced { window: ms(2000), scope: Scope::Group };
+    let referenced = Effect::Referenced { window: ms(2000), scope: Scope::Group };
     Shape {
         seed: 4,
         lasts: ms(10_000),
         kinds: vec![
             kind("read", Effect::Repeatable, Consistency::Bounded(ms(300))),
-            kind("write", marked, Consistency::Write),
+            kind("write", referenced, Consistency::Write),
         ],
         fronts: vec![0],
         members: (0..3).map(|_| Node { group: 0, zone: 0 }).collect(),
@@ -63,7 +63,7 @@
         cold: ColdStart { share: 0.5, warm_up: ms(4000), multiple: 2.0, window: ms(1000) },
         drain_grace: ms(1000),
         answer_grace: ms(50),
-        crowd: Crowd {
+        crowd: ClientLoad {
             per_second,
             series: Vec::new(),
             skew: 0.0,
@@ -75,12 +75,12 @@
     }
 }
 
-fn trouble(from: u64, lasts: u64, what: What) -> Trouble {
-    Trouble { from: ms(from), lasts: ms(lasts), what }
+fn trouble(from: u64, lasts: u64, what: What) -> ScheduledFault {
+    ScheduledFault { from: ms(from), lasts: ms(lasts), what }
 }
 
-/// Runs on until a time, sending each txn that comes to where the story says; gives how submissions ended, and
-/// when.
+/// Runs the world until a time. Submits each txn to the member that `to` returns, or declines it. Returns the txn, the
+/// member, the outcome and the duration of each submission.
 fn run(
     world: &mut World,
     until: u64,
@@ -91,12 +91,12 @@
         match out {
             Out::Arrived { txn, kind, .. } => match to(kind) {
                 Some(member) => world.submit(0, txn, member),
-                None => world.answer(0, txn, Told::Declined, None),
+                None => world.answer(0, txn, FinalAnswer::Declined, None),
             },
             Out::Ended { txn, member, ending, took, over, .. } => {
                 ended.push((txn as usize, member, ending, took));
                 if !over {
-                    world.answer(0, txn, Told::Unknown, None);
+                    world.answer(0, txn, FinalAnswer::Unknown, None);
                 }
             }
             _ => {}
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn what_is_at_work_shares_the_cores_and_what_finds_no_room_is_turned_away() {
+fn concurrent_txns_share_the_cores_and_excess_txns_are_refused() {
     let mut world = World::new(shape(3000.0, Vec::new()));
     let mut sent = 0;
     let ended = run(&mut world, 200, |_| {
@@ -117,15 +117,15 @@
     let full = ended.iter().filter(|e| e.2 == AttemptOutcome::Full).count();
     assert_eq!(committed.len() + full, 20);
     assert!(full >= 6 && committed.len() >= 12, "eight at work, four wait: {full} full");
-    // Eight at once on two cores take four times as long as one; nothing is done faster than its work.
+    // Eight txns at once on two cores take four times as long as one. No txn is faster than its own work.
     let first = committed[0].3;
     assert!(first > ms(12) && first < ms(55), "{first:?}");
     assert!(committed.iter().all(|e| e.3 >= ms(12)));
 }
 
 #[test]
-fn a_dead_primary_is_followed_by_one_that_has_its_log_and_comes_back_as_a_replica() {
-    let killed = trouble(1000, 3000, What::Member(Whom::Primary(0), Ill::Killed));
+fn a_killed_primary_is_replaced_by_an_up_to_date_replica_and_returns_as_a_replica() {
+    let killed = trouble(1000, 3000, What::Member(Targets::Primary(0), MemberFault::Killed));
     let mut world = World::new(shape(50.0, vec![killed]));
     run(&mut world, 990, |kind| (kind == WRITE).then_some(0));
     assert_eq!(world.primary(0), Some(0));
@@ -136,7 +136,7 @@
     assert_ne!(next, 0);
     let ended = run(&mut world, 5000, |kind| (kind == WRITE).then_some(next));
     assert!(ended.iter().filter(|e| e.2 == AttemptOutcome::Committed).count() > 30);
-    // Back, it takes no writes, and has soon what was written meanwhile.
+    // After its return it refuses writes and soon catches up on those it missed.
     let ended = run(&mut world, 6000, |kind| (kind == WRITE).then_some(0));
     let at_old: Vec<_> = ended.iter().filter(|e| e.1 == 0).collect();
     assert!(at_old.len() > 10 && at_old.iter().all(|e| e.2 == AttemptOutcome::Misplaced));
@@ -144,10 +144,11 @@
     assert!(world.audit.kept(), "{:?}", world.audit.broken);
 }
 
-/// A repeated write with a mark waits for a replica as the first one does: else it is answered, and lost with its primary.
+/// Guards against a repeated write with a mark being answered while no replica has the first one: it would be lost with
+/// its primary.
 #[test]
 fn a_repeated_write_is_not_answered_before_a_replica_has_the_first() {
-    let apart = trouble(100, 3000, What::Member(Whom::Primary(0), Ill::CutFromPeers));
+    let apart = trouble(100, 3000, What::Member(Targets::Primary(0), MemberFault::CutFromPeers));
     let mut world = World::new(shape(200.0, vec![apart]));
     run(&mut world, 120, |_| None);
     let (mut sent, mut committed) = (0, 0);
@@ -158,7 +159,7 @@
                 world.submit(0, txn, 0);
                 sent += 1;
             }
-            Out::Arrived { txn, .. } => world.answer(0, txn, Told::Declined, None),
+            Out::Arrived { txn, .. } => world.answer(0, txn, FinalAnswer::Declined, None),
             Out::Ended { ending: AttemptOutcome::Committed, .. } => committed += 1,
             _ => {}
         }
@@ -167,11 +168,11 @@
 }
 
 #[test]
-fn a_hung_primary_that_wakes_ends_its_writes_in_errors_and_none_takes_effect() {
-    let hung = trouble(1000, 2500, What::Member(Whom::Primary(0), Ill::Hung));
+fn writes_at_a_hung_primary_end_in_errors_and_take_no_effect() {
+    let hung = trouble(1000, 2500, What::Member(Targets::Primary(0), MemberFault::Hung));
     let mut world = World::new(shape(100.0, vec![hung]));
     let ended = run(&mut world, 6000, |kind| (kind == WRITE).then_some(0));
-    // Those on new connections never came up; what it had read, or would read, it can't commit.
+    // New connections are never established. Writes that the member had read, or reads later, cannot be committed.
     let during = ended.iter().filter(|e| e.3 > ms(260)).collect::<Vec<_>>();
     assert!(
         during.len() >= 5
@@ -184,8 +185,8 @@
 }
 
 #[test]
-fn a_slow_log_makes_data_old_and_a_read_of_it_is_found() {
-    let lags = trouble(500, 9000, What::Member(Whom::Replicas(0), Ill::Lags(60.0)));
+fn a_read_of_old_data_on_a_lagging_replica_breaks_rule_5() {
+    let lags = trouble(500, 9000, What::Member(Targets::Replicas(0), MemberFault::Lags(60.0)));
     let mut world = World::new(shape(100.0, vec![lags]));
     run(&mut world, 4000, |kind| Some(0).filter(|_| kind < 2));
     assert!(world.age(1).expect("it runs") > ms(1000), "{:?}", world.age(1));
@@ -195,8 +196,8 @@
 }
 
 #[test]
-fn a_cold_member_that_gets_too_much_falls_for_good() {
-    let killed = trouble(500, 500, What::Member(Whom::Member(1), Ill::Killed));
+fn an_overloaded_cold_member_fails_for_good() {
+    let killed = trouble(500, 500, What::Member(Targets::Member(1), MemberFault::Killed));
     let mut world = World::new(shape(600.0, vec![killed]));
     run(&mut world, 990, |kind| (kind == READ).then_some(2));
     run(&mut world, 3000, |kind| (kind == READ).then_some(1));
@@ -205,8 +206,8 @@
 }
 
 #[test]
-fn a_drained_member_is_told_of_and_sends_past_the_grace_are_found() {
-    let drained = trouble(1000, 5000, What::Member(Whom::Member(2), Ill::Drained));
+fn sends_to_a_draining_member_after_the_grace_break_rule_3() {
+    let drained = trouble(1000, 5000, What::Member(Targets::Member(2), MemberFault::Drained));
     let mut world = World::new(shape(50.0, vec![drained]));
     run(&mut world, 2000, |kind| (kind == READ).then_some(2));
     assert!(world.audit.kept(), "inside the grace: {:?}", world.audit.broken);
@@ -215,15 +216,15 @@
 }
 
 #[test]
-fn a_replaced_member_comes_back_under_another_name_with_an_old_copy() {
-    let replaced = trouble(4000, 500, What::Member(Whom::Member(1), Ill::Replaced));
+fn a_replaced_member_returns_under_a_new_number_with_an_old_copy() {
+    let replaced = trouble(4000, 500, What::Member(Targets::Member(1), MemberFault::Replaced));
     let mut world = World::new(shape(50.0, vec![replaced]));
     let mut listed = Vec::new();
     while let Some(out) = world.next(ms(4600)) {
         match out {
             Out::Listed { entry, .. } => listed.push((entry.member, entry.state)),
             Out::Arrived { txn, kind: WRITE, .. } => world.submit(0, txn, 0),
-            Out::Arrived { txn, .. } => world.answer(0, txn, Told::Declined, None),
+            Out::Arrived { txn, .. } => world.answer(0, txn, FinalAnswer::Declined, None),
             _ => {}
         }
     }
@@ -235,12 +236,12 @@
 }
 
 #[test]
-fn a_probe_tells_role_and_position_and_a_cut_answers_none() {
-    let cut = trouble(1000, 1000, What::Member(Whom::Member(1), Ill::CutFromFronts));
+fn a_probe_reports_role_and_position_and_none_from_a_member_cut_off() {
+    let cut = trouble(1000, 1000, What::Member(Targets::Member(1), MemberFault::CutFromFronts));
     let mut world = World::new(shape(0.0, vec![cut]));
-    let mut ask = |at: u64, member| {
+    let mut probe = |at: u64, member| {
         world.next(ms(at));
-        world.pass(ms(at));
+        world.advance_to(ms(at));
         world.probe(0, member);
         loop {
             if let Out::Probed { ending, report, .. } = world.next(ms(at + 500)).expect("an answer") {
@@ -248,36 +249,36 @@
             }
         }
     };
-    let (ending, role, position) = ask(100, 0);
+    let (ending, role, position) = probe(100, 0);
     assert_eq!((ending, role), (AttemptOutcome::Committed, Some(Role::Primary)));
     assert!(position.is_some_and(|at| at >= ms(101)));
-    let (_, role, position) = ask(300, 1);
+    let (_, role, position) = probe(300, 1);
     assert!(
         role == Some(Role::Replica) && position.is_some_and(|at| at < ms(301) && at > ms(280)),
         "{position:?}"
     );
-    assert_eq!(ask(1200, 1), (AttemptOutcome::Unreachable, None, None));
+    assert_eq!(probe(1200, 1), (AttemptOutcome::Unreachable, None, None));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_calendar_gives_what_a_sorted_list_would(steps in proptest::collection::vec((0..3u8, 0..5_000_000u64), 1..300)) {
+    fn the_calendar_orders_events_as_a_sorted_list_does(steps in proptest::collection::vec((0..3u8, 0..5_000_000u64), 1..300)) {
         let mut calendar = Calendar::new(Duration::from_micros(50), 64);
-        let (mut list, mut turn, mut now) = (Vec::new(), 0u64, 0u64);
-        for (what, far) in steps {
-            if what > 0 {
-                turn += 1;
-                // Near, far, and at the very same time.
-                let at = now + if what == 1 { far % 3000 * 1000 } else { far * 1000 };
-                calendar.set(Duration::from_nanos(at), turn);
-                list.push((at, turn));
+        let (mut list, mut sequence, mut now) = (Vec::new(), 0u64, 0u64);
+        for (choice, far) in steps {
+            if choice > 0 {
+                sequence += 1;
+                // Near times, far times, and equal times.
+                let at = now + if choice == 1 { far % 3000 * 1000 } else { far * 1000 };
+                calendar.set(Duration::from_nanos(at), sequence);
+                list.push((at, sequence));
             } else {
                 list.sort_unstable();
                 let expected = if list.is_empty() { None } else { Some(list.remove(0)) };
                 prop_assert_eq!(calendar.next_at(), expected.map(|(at, _)| Duration::from_nanos(at)));
-                prop_assert_eq!(calendar.take(), expected.map(|(at, turn)| (Duration::from_nanos(at), turn)));
+                prop_assert_eq!(calendar.take(), expected.map(|(at, sequence)| (Duration::from_nanos(at), sequence)));
                 now = expected.map_or(now, |(at, _)| at);
             }
             prop_assert_eq!(calendar.len(), list.len());
--- a/crates/front/src/configuration.rs
+++ b/crates/front/src/configuration.rs
@@ -1,15 +1,15 @@
-//! The file that `GW_CONFIG` names. Its list of servers may be much larger than all the rest: it is read into typed
-//! entries, and never kept as JSON.
+//! Reads the file that `GW_CONFIG` names. Its server list may be much larger than everything else, so it is parsed into
+//! typed entries and never kept as JSON.
 
 use juniperdock_server_list::ServerList;
 use serde::de::{Deserialize, Deserializer, Error, IgnoredAny, MapAccess, Visitor};
 use serde_json::{Map, Value};
 use std::fmt;
 
-/// The field of the server list as it was last seen.
-const KNOWN: &str = "known";
+/// The field that contains the last known server list.
+const KNOWN_FIELD: &str = "known";
 
-/// All of the file but its server list.
+/// The file without its server list.
 struct Rest(Value);
 
 impl<'de> Deserialize<'de> for Rest {
@@ -30,7 +30,7 @@
     fn visit_map<A: MapAccess<'de>>(self, mut fields: A) -> Result<Rest, A::Error> {
         let mut rest = Map::new();
         while let Some(name) = fields.next_key::<String>()? {
-            if name == KNOWN {
+            if name == KNOWN_FIELD {
                 fields.next_value::<IgnoredAny>()?;
             } else if rest.insert(name, fields.next_value()?).is_some() {
                 return Err(A::Error::custom("expected each field once"));
@@ -40,16 +40,16 @@
     }
 }
 
-/// The list of servers alone.
-struct Known(Result<ServerList, String>);
+/// The server list alone.
+struct KnownList(Result<ServerList, String>);
 
-impl<'de> Deserialize<'de> for Known {
-    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Known, D::Error> {
+impl<'de> Deserialize<'de> for KnownList {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<KnownList, D::Error> {
         #[derive(serde::Deserialize)]
         struct Field {
             known: ServerList,
         }
-        Ok(Known(Field::deserialize(deserializer).map(|field| field.known).map_err(|e| e.to_string())))
+        Ok(KnownList(Field::deserialize(deserializer).map(|field| field.known).map_err(|e| e.to_string())))
     }
 }
 
@@ -62,15 +62,15 @@
     rest.map(|rest| rest.0).map_err(|e| format!("GW_CONFIG: {path}: expected JSON: {e}"))
 }
 
-/// Reads the file, without its server list.
-pub fn configuration(path: &str) -> Result<Value, String> {
+/// Reads the file without its server list.
+pub fn read_without_list(path: &str) -> Result<Value, String> {
     parse(path, &read(path)?)
 }
 
-/// Reads the file, and apart from it the server list or why there is none.
-pub fn with_known(path: &str) -> Result<(Value, Result<ServerList, String>), String> {
+/// Reads the file without its server list, and separately the server list or why there is none.
+pub fn read_with_list(path: &str) -> Result<(Value, Result<ServerList, String>), String> {
     let text = read(path)?;
     let rest = parse(path, &text)?;
-    let known: Result<Known, _> = serde_json::from_str(&text);
+    let known: Result<KnownList, _> = serde_json::from_str(&text);
     Ok((rest, known.map_err(|e| e.to_string()).and_then(|known| known.0)))
 }
--- a/crates/front/src/mailbox.rs
+++ b/crates/front/src/mailbox.rs
@@ -1,23 +1,24 @@
-//! Mail for an actor that waits on its link: posting rings its bell.
+//! A queue to an actor that waits on its connection: sending also wakes the actor.
 
-use juniperdock_connection::Bell;
+use juniperdock_connection::Waker;
 use may::sync::mpsc::Sender;
 
+/// The sending end of an actor's queue, with the actor's waker.
 pub struct Mailbox<T> {
-    pub mail: Sender<T>,
-    pub bell: Bell,
+    pub sender: Sender<T>,
+    pub waker: Waker,
 }
 
 impl<T> Clone for Mailbox<T> {
     fn clone(&self) -> Self {
-        Mailbox { mail: self.mail.clone(), bell: self.bell.clone() }
+        Mailbox { sender: self.sender.clone(), waker: self.waker.clone() }
     }
 }
 
 impl<T> Mailbox<T> {
-    /// Posts to an actor; one that has ended needs no mail any more.
-    pub fn post(&self, mail: T) {
-        let _ = self.mail.send(mail);
-        self.bell.ring();
+    /// Sends a message and wakes the actor. If the actor has ended, the message is dropped.
+    pub fn post(&self, sender: T) {
+        let _ = self.sender.send(sender);
+        self.waker.wake();
     }
 }
--- a/crates/front/tests/cluster/mod.rs
+++ b/crates/front/tests/cluster/mod.rs
@@ -1,12 +1,12 @@
-//! The built program among stand-ins: one group, and what stories wait for.
-#![allow(dead_code)] // Not every file of stories uses all of it.
+//! A test cluster for the built program: one group of simulated members, discovery, and helpers that wait for a state.
+#![allow(dead_code)] // Not every test file uses all of it.
 
-use juniperdock_test_support::{Agent, Front, Member, PATIENCE, WATCH, list};
+use juniperdock_test_support::{Agent, Front, Member, TEST_TIMEOUT, WATCH, list};
 use std::time::Instant;
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_juniperdock");
 
-/// One group: member 0 is its primary, 1 and 2 are replicas.
+/// One group, with member 0 as its primary and members 1 and 2 as replicas.
 pub struct TestCluster {
     pub agent: Agent,
     pub members: Vec<Member>,
@@ -35,12 +35,12 @@
     }
 
     pub fn publish_list(&self, version: u64, states: [&str; 3]) {
-        self.agent.tell(TestCluster::list(&self.members, version, states));
+        self.agent.publish(TestCluster::list(&self.members, version, states));
     }
 
-    /// The next txn that a member is sent.
+    /// Waits for the next txn that a member receives.
     pub fn next_txn(&self, member: usize) -> String {
-        self.members[member].seen.recv_timeout(PATIENCE).expect("a txn goes there")
+        self.members[member].seen.recv_timeout(TEST_TIMEOUT).expect("the member receives a txn")
     }
 
     pub fn received_nothing(&self, member: usize) -> bool {
@@ -48,11 +48,11 @@
     }
 }
 
-/// Asks until an answer is as it should be.
-pub fn wait_until(mut good: impl FnMut() -> bool) {
-    let begun = Instant::now();
-    while !good() {
-        assert!(begun.elapsed() < PATIENCE, "it does not come about");
+/// Waits until the condition holds.
+pub fn wait_until(mut condition: impl FnMut() -> bool) {
+    let started_at = Instant::now();
+    while !condition() {
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "the condition did not become true in time");
         std::thread::sleep(std::time::Duration::from_millis(1));
     }
 }
--- a/crates/front/tests/discovery.rs
+++ b/crates/front/tests/discovery.rs
@@ -1,20 +1,19 @@
-//! Discovery that goes away and comes back, by several ways of failing, while descriptors are short and while fronts
-//! start.
+//! Discovery fails in several ways and comes back, while descriptors are short and while fronts start.
 
 use cluster::{PROGRAM, TestCluster, wait_until};
-use juniperdock_test_support::{Client, Front, PATIENCE, address, txn};
+use juniperdock_test_support::{Client, Front, TEST_TIMEOUT, address, txn};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
 mod cluster;
 
-/// A change counts as told so long after discovery had it and could be reached.
-const TOLD_AFTER: Duration = Duration::from_secs(6);
+/// The time after which a change has to be in force once discovery has it and is reachable.
+const UPDATE_LIMIT: Duration = Duration::from_secs(6);
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// Takes the next watch, and answers it with these bytes.
+/// Accepts the next watch, and answers it with these bytes.
 fn answer_watch(listener: &TcpListener, answer: &str) -> TcpStream {
     let (mut stream, _) = listener.accept().expect("a watch");
     let mut request = [0; 4096];
@@ -28,21 +27,35 @@
     format!("{HEAD}{:x}\r\n{list}\n\r\n", list.len() + 1)
 }
 
-/// Reads are served by nobody but the primary from some time on, within what counts as told.
-fn drains_are_in_force(cluster: &TestCluster, front: &Front, since: Instant) {
+/// Asserts that only the primary serves reads within the limit, and that it stays so.
+fn assert_drains_in_force(cluster: &TestCluster, front: &Front, since: Instant) {
     let mut client = front.client();
     wait_until(|| {
         cluster.members.iter().for_each(|member| member.seen.try_iter().for_each(drop));
-        let _ = client.ask(&txn("lookup", 20_000, "r"));
+        let _ = client.query(&txn("lookup", 20_000, "r"));
         cluster.members[0].seen.try_iter().count() > 0
     });
-    assert!(since.elapsed() < TOLD_AFTER, "{:?}", since.elapsed());
+    assert!(since.elapsed() < UPDATE_LIMIT, "{:?}", since.elapsed());
     for _ in 0..20 {
-        assert!(client.ask(&txn("lookup", 20_000, "r")).value.is_some());
+        assert!(client.query(&txn("lookup", 20_000, "r")).value.is_some());
     }
     assert!(cluster.received_nothing(1) && cluster.received_nothing(2));
 }
 
+/// Binds an address whose listener has been closed. A process that another test is starting may still hold the
+/// inherited descriptor of that listener, so this tries until the kernel gives the address.
+fn bind_again(at: SocketAddr) -> TcpListener {
+    let begun = Instant::now();
+    loop {
+        match TcpListener::bind(at) {
+            Err(e) if e.kind() == ErrorKind::AddrInUse && begun.elapsed() < TEST_TIMEOUT => {
+                std::thread::sleep(Duration::from_millis(1));
+            }
+            bound => return bound.expect("its address"),
+        }
+    }
+}
+
 /// How calls fail while discovery is down.
 #[derive(Clone, Copy, Debug)]
 enum Failure {
@@ -53,17 +66,17 @@
     EndlessHead,
 }
 
-/// Discovery is down for so long: long enough for waits between calls to grow, were they to.
+/// How long discovery is down: long enough for back-off between calls to grow, if there were any.
 const DOWN: Duration = Duration::from_secs(4);
 
-/// Lets calls fail for a while; nothing of it is left open after.
-fn fail(at: SocketAddr, how: Failure) {
+/// Lets calls fail for a while; no connection is left open afterwards.
+fn fail_calls(at: SocketAddr, how: Failure) {
     let begun = Instant::now();
     if matches!(how, Failure::Refused) {
         std::thread::sleep(DOWN);
         return;
     }
-    let listener = TcpListener::bind(at).expect("its address");
+    let listener = bind_again(at);
     listener.set_nonblocking(true).expect("a listener");
     let mut open = Vec::new();
     while begun.elapsed() < DOWN {
@@ -72,7 +85,7 @@
             continue;
         };
         match how {
-            // Closed over an unread request.
+            // Closed with an unread request, which resets the connection.
             Failure::Reset => std::thread::sleep(Duration::from_millis(1)),
             Failure::Error => drop(stream.write_all(b"HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n")),
             Failure::EndlessHead => {
@@ -85,57 +98,57 @@
 }
 
 #[test]
-fn whatever_calls_failed_before_a_change_is_in_force_in_time_once_discovery_is_back() {
+fn list_change_is_in_force_in_time_after_any_failure_of_discovery() {
     for how in [Failure::Refused, Failure::Reset, Failure::Error, Failure::Silent, Failure::EndlessHead] {
         let cluster = TestCluster::new();
         let at = address();
         let listener = TcpListener::bind(at).expect("a free address");
         let front = Front::start(PROGRAM, at, &cluster.server_list, 1024);
         let watch = answer_watch(&listener, &list(&cluster, 1, ["up"; 3]));
-        wait_until(|| front.client().ask(&txn("order", 20_000, "first")).value.is_some());
+        wait_until(|| front.client().query(&txn("order", 20_000, "first")).value.is_some());
         drop((watch, listener));
-        fail(at, how);
-        let listener = TcpListener::bind(at).expect("its address");
+        fail_calls(at, how);
+        let listener = bind_again(at);
         let back = Instant::now();
         let _watch = answer_watch(&listener, &list(&cluster, 2, ["up", "draining", "draining"]));
-        drains_are_in_force(&cluster, &front, back);
+        assert_drains_in_force(&cluster, &front, back);
     }
 }
 
-/// Connections that say nothing, as many as the front has descriptors, and more.
-fn fill(front: &Front, sockets: usize) -> Vec<TcpStream> {
+/// Opens silent connections, twice as many as the front has descriptors.
+fn fill_descriptors(front: &Front, sockets: usize) -> Vec<TcpStream> {
     let connect = || TcpStream::connect_timeout(&front.at, Duration::from_millis(200)).ok();
     (0..2 * sockets).filter_map(|_| connect()).collect()
 }
 
 #[test]
-fn while_idle_clients_fill_the_descriptors_the_watch_comes_back_and_servers_are_reached() {
+fn watch_and_servers_are_reached_while_idle_clients_fill_the_descriptors() {
     const SOCKETS: usize = 64;
     let cluster = TestCluster::new();
     let at = address();
     let listener = TcpListener::bind(at).expect("a free address");
     let front = Front::start(PROGRAM, at, &cluster.server_list, SOCKETS as u32);
     let watch = answer_watch(&listener, &list(&cluster, 1, ["up"; 3]));
-    wait_until(|| front.client().ask(&txn("order", 20_000, "first")).value.is_some());
+    wait_until(|| front.client().query(&txn("order", 20_000, "first")).value.is_some());
     drop((watch, listener));
-    // All that the front had open to its servers ends too.
-    cluster.members.iter().for_each(juniperdock_test_support::Member::cut);
-    let mut idle = fill(&front, SOCKETS);
-    let listener = TcpListener::bind(at).expect("its address");
+    // All of the front's connections to its servers end, too.
+    cluster.members.iter().for_each(juniperdock_test_support::Member::close_connections);
+    let mut idle = fill_descriptors(&front, SOCKETS);
+    let listener = bind_again(at);
     let back = Instant::now();
     let _watch = answer_watch(&listener, &list(&cluster, 2, ["up", "draining", "draining"]));
-    assert!(back.elapsed() < TOLD_AFTER, "{:?}", back.elapsed());
-    // Some of them were there to the end: their place is still filled.
+    assert!(back.elapsed() < UPDATE_LIMIT, "{:?}", back.elapsed());
+    // Some of them stayed to the end: their slots are still taken.
     idle.retain_mut(|stream| {
         stream.set_nonblocking(true).expect("a stream");
         matches!(stream.read(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock)
     });
     assert!(idle.len() >= SOCKETS / 8, "{}", idle.len());
-    // Who speaks finds a place, and its server is reached.
-    let patience = Duration::from_millis(500);
+    // A client that sends a request finds a slot, and its server is reached.
+    let max_wait = Duration::from_millis(500);
     wait_until(|| {
-        Client::open_within(front.at, patience)
-            .is_some_and(|mut c| c.ask(&txn("order", 2_000, "now")).value.is_some())
+        Client::open_within(front.at, max_wait)
+            .is_some_and(|mut c| c.query(&txn("order", 2_000, "now")).value.is_some())
     });
     assert!(front.descriptors() <= SOCKETS);
 }
@@ -143,13 +156,13 @@
 #[test]
 fn nine_of_ten_fronts_that_are_killed_at_once_are_ready_in_time_without_discovery() {
     let cluster = TestCluster::new();
-    // It takes connections and never answers.
+    // It accepts connections and never answers.
     let silent = TcpListener::bind(address()).expect("a free address");
     let agent = silent.local_addr().expect("an address");
-    // Most of the servers are gone, too.
-    cluster.members[1].welcome(false);
-    cluster.members[2].welcome(false);
-    let start = |at| Front::again(PROGRAM, at, agent, &cluster.server_list, 1024, None);
+    // Most of the servers are down, too.
+    cluster.members[1].set_answers_new(false);
+    cluster.members[2].set_answers_new(false);
+    let start = |at| Front::start_at(PROGRAM, at, agent, &cluster.server_list, 1024, None);
     let fronts: Vec<Front> = (0..10).map(|_| start(address())).collect();
     fronts.iter().for_each(|front| drop(front.client()));
     let places: Vec<SocketAddr> = fronts.iter().map(|front| front.at).collect();
@@ -159,16 +172,16 @@
     let fronts: Vec<Front> = places.into_iter().map(start).collect();
     let mut in_time = 0;
     for front in &fronts {
-        wait_until(|| Client::open_within(front.at, PATIENCE).is_some());
+        wait_until(|| Client::open_within(front.at, TEST_TIMEOUT).is_some());
         in_time += usize::from(begun.elapsed() < Duration::from_secs(10));
     }
     assert!(in_time >= 9, "{in_time} of 10");
-    // Ready is not only up: writes are served.
-    assert!(fronts.iter().all(|front| front.client().ask(&txn("order", 20_000, "w")).value.is_some()));
+    // Ready means more than accepting: writes are served.
+    assert!(fronts.iter().all(|front| front.client().query(&txn("order", 20_000, "w")).value.is_some()));
 }
 
 #[test]
-fn a_discovery_that_says_it_is_overloaded_is_called_ever_less_often_and_in_time_when_it_is_not() {
+fn overloaded_discovery_is_called_less_often_and_in_time_once_it_recovers() {
     let cluster = TestCluster::new();
     let listener = TcpListener::bind(address()).expect("a free address");
     let at = listener.local_addr().expect("an address");
@@ -179,9 +192,9 @@
         drop(answer_watch(&listener, "HTTP/1.1 503 overloaded\r\nContent-Length: 0\r\n\r\n"));
         calls += 1;
     }
-    // Some times a second, as after other failures, would be eighty.
+    // Several calls a second, as after other failures, would be eighty.
     assert!((3..=10).contains(&calls), "{calls}");
     let back = Instant::now();
     let _watch = answer_watch(&listener, &list(&cluster, 2, ["up", "draining", "draining"]));
-    drains_are_in_force(&cluster, &front, back);
+    assert_drains_in_force(&cluster, &front, back);
 }
--- a/crates/front/tests/dispatcher.rs
+++ b/crates/front/tests/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher alone, with actors of the test's own round it.
+//! The dispatcher alone, surrounded by actors of the test.
 
 use juniperdock_connection::{BufferLimits, Link};
 use juniperdock_front::clock::Clock;
@@ -33,16 +33,21 @@
     }
 }
 
-/// An order that came in then.
-fn arrival(ticket: u64, at: Duration, expiry: Duration, client: Mailbox<(u64, Answer)>) -> DispatcherMessage {
-    let (kind, cell, statement, left) = (0, 3, "".into(), 0..0);
+/// An order that came in at that time.
+fn arrival(
+    request_id: u64,
+    at: Duration,
+    expiry: Duration,
+    client: Mailbox<(u64, Answer)>,
+) -> DispatcherMessage {
+    let (txn_type, group, statement, left) = (0, 3, "".into(), 0..0);
     let (retried, session, wrote_ago) = (false, None, None);
     let guard = RequestGuard::new(expiry, Box::new(Stays), Arc::default());
-    DispatcherMessage::Arrived(Box::new(Arrival {
-        ticket,
+    DispatcherMessage::RequestArrived(Box::new(Arrival {
+        request_id,
         at,
-        kind,
-        cell,
+        txn_type,
+        group,
         expiry,
         retried,
         session,
@@ -58,122 +63,122 @@
     ProbeQueue::new(1, ProbeLimits::for_connections(100))
 }
 
-fn make() -> Result<Router, String> {
+fn make_router() -> Result<Router, String> {
     let sla = Duration::from_secs(1);
     let (effect, consistency) = (Effect::OnceOnly, Consistency::Write);
-    let kinds = vec![TxnType { sla, value: 1.0, late_value: 0.0, effect, consistency }];
+    let txn_types = vec![TxnType { sla, value: 1.0, late_value: 0.0, effect, consistency }];
     let cold = ColdStart { share: 1.0, warm_up: sla, multiple: 2.0, window: sla };
-    Ok(Router::new(1, FrontInfo { index: 0, fronts: 1, zone: 0 }, kinds, cold))
+    Ok(Router::new(1, FrontInfo { index: 0, fronts: 1, zone: 0 }, txn_types, cold))
 }
 
 fn link_to(at: SocketAddr) -> Link {
     let stream = std::net::TcpStream::connect(at).expect("a connection");
-    Link::came(stream, BufferLimits { inbound: 1, outbound: 1 }).expect("a link")
+    Link::new(stream, BufferLimits { inbound: 1, outbound: 1 }).expect("a link")
 }
 
 #[test]
-fn after_a_panic_the_desk_answers_all_and_starts_anew() {
-    let (clock, _ring) = Clock::start(Duration::ZERO).expect("a clock");
-    let ((mail, read), (discovery, _discovery)) = (channel(), channel());
-    let hire: SpawnMember = Box::new(|_, _, _, _| Ok(()));
+fn after_a_panic_the_dispatcher_answers_all_and_goes_on() {
+    let (clock, _run_timers) = Clock::start(Duration::ZERO).expect("a clock");
+    let ((sender, messages), (discovery, _discovery)) = (channel(), channel());
+    let spawn_member: SpawnMember = Box::new(|_, _, _, _| Ok(()));
     let counters = Arc::new(Counters::default());
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    let (make, zones, now) = (Box::new(make), Vec::new(), clock.now());
-    let desk = Dispatcher::new(
-        make,
+    let (make_router, zones, now) = (Box::new(make_router), Vec::new(), clock.now());
+    let dispatcher = Dispatcher::new(
+        make_router,
         vec!["order".to_owned()],
         zones,
         clock,
-        mail.clone(),
+        sender.clone(),
         discovery,
-        hire,
+        spawn_member,
         probes(),
         counters.clone(),
         log.clone(),
         RequestLog::new(log, false),
     );
-    let desk = desk.expect("a desk");
-    std::thread::spawn(move || desk.run(&read));
+    let dispatcher = dispatcher.expect("a dispatcher");
+    std::thread::spawn(move || dispatcher.run(&messages));
 
-    let door = std::net::TcpListener::bind("127.0.0.1:0").expect("a free address");
-    let at = door.local_addr().expect("an address");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free address");
+    let at = listener.local_addr().expect("an address");
     let link = link_to(at);
-    let (answers, told) = channel();
-    let arrival = |ticket, left| {
-        let client = Mailbox { mail: answers.clone(), bell: link.bell() };
-        arrival(ticket, now, now + Duration::from_secs(left), client)
+    let (answers, received) = channel();
+    let arrival = |request_id, left| {
+        let client = Mailbox { sender: answers.clone(), waker: link.waker() };
+        arrival(request_id, now, now + Duration::from_secs(left), client)
     };
-    let _ = mail.send(DispatcherMessage::List(list(at)));
-    let _ = mail.send(arrival(1, 9000));
-    // An input that no router can take.
-    let _ = mail.send(DispatcherMessage::Probed {
+    let _ = sender.send(DispatcherMessage::List(list(at)));
+    let _ = sender.send(arrival(1, 9000));
+    // An input with which any router panics.
+    let _ = sender.send(DispatcherMessage::Probed {
         member: 99,
-        ending: AttemptOutcome::Committed,
+        outcome: AttemptOutcome::Committed,
         report: Report::default(),
     });
-    assert!(matches!(told.recv(), Ok((1, Answer::Unknown(_)))));
-    let _ = mail.send(arrival(2, 0));
-    assert!(matches!(told.recv(), Ok((2, Answer::Declined(_)))), "it goes on");
+    assert!(matches!(received.recv(), Ok((1, Answer::Unknown(_)))));
+    let _ = sender.send(arrival(2, 0));
+    assert!(matches!(received.recv(), Ok((2, Answer::Declined(_)))), "it goes on");
     assert_eq!(counters.panics.read(), 1);
 }
 
 #[test]
-fn after_a_panic_nothing_is_written_for_what_has_its_answer() {
-    let (clock, _ring) = Clock::start(Duration::ZERO).expect("a clock");
-    let ((mail, read), (discovery, _discovery), (jobs, job)) = (channel(), channel(), channel());
-    // The member's actor is the story's own: what it is given stays unwritten.
-    let hire: SpawnMember = Box::new(move |_, _, read, _| {
+fn after_a_panic_no_answered_request_is_written() {
+    let (clock, _run_timers) = Clock::start(Duration::ZERO).expect("a clock");
+    let ((sender, messages), (discovery, _discovery), (jobs, job)) = (channel(), channel(), channel());
+    // The test plays the member's actor: the job stays unwritten.
+    let spawn_member: SpawnMember = Box::new(move |_, _, receiver, _| {
         let jobs = jobs.clone();
         std::thread::spawn(move || {
-            while let Ok(mail) = read.recv() {
-                let _ = jobs.send(mail);
+            while let Ok(message) = receiver.recv() {
+                let _ = jobs.send(message);
             }
         });
         Ok(())
     });
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    let kinds = vec!["order".to_owned()];
+    let txn_types = vec!["order".to_owned()];
     let (counters, zones) = (Arc::new(Counters::default()), Vec::new());
-    let desk = Dispatcher::new(
-        Box::new(make),
-        kinds,
+    let dispatcher = Dispatcher::new(
+        Box::new(make_router),
+        txn_types,
         zones,
         clock.clone(),
-        mail.clone(),
+        sender.clone(),
         discovery,
-        hire,
+        spawn_member,
         probes(),
         counters,
         log.clone(),
         RequestLog::new(log, false),
     );
-    let desk = desk.expect("a desk");
-    std::thread::spawn(move || desk.run(&read));
-    let door = std::net::TcpListener::bind("127.0.0.1:0").expect("a free address");
-    let at = door.local_addr().expect("an address");
+    let dispatcher = dispatcher.expect("a dispatcher");
+    std::thread::spawn(move || dispatcher.run(&messages));
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free address");
+    let at = listener.local_addr().expect("an address");
     let link = link_to(at);
-    let (answers, told) = channel();
-    let client = Mailbox { mail: answers, bell: link.bell() };
-    let _ = mail.send(DispatcherMessage::List(list(at)));
+    let (answers, received) = channel();
+    let client = Mailbox { sender: answers, waker: link.waker() };
+    let _ = sender.send(DispatcherMessage::List(list(at)));
     let report = Report { role: Some(Role::Primary), position: Some(clock.now()), ..Report::default() };
-    let _ = mail.send(DispatcherMessage::Probed { member: 0, ending: AttemptOutcome::Committed, report });
+    let _ = sender.send(DispatcherMessage::Probed { member: 0, outcome: AttemptOutcome::Committed, report });
     let now = clock.now();
-    let _ = mail.send(arrival(1, now, now + Duration::from_secs(900), client));
+    let _ = sender.send(arrival(1, now, now + Duration::from_secs(900), client));
     let submit = loop {
         if let MemberMessage::Job(Job::Submit(submit)) = job.recv().expect("a job") {
             break submit;
         }
     };
     assert_eq!(submit.permit.check(clock.now()), Ok(()));
-    // An input that no router can take: the txn gets its answer while its connection is still to come up.
-    let _ = mail.send(DispatcherMessage::Probed {
+    // An input with which any router panics: the txn is answered while its connection is still being opened.
+    let _ = sender.send(DispatcherMessage::Probed {
         member: 99,
-        ending: AttemptOutcome::Committed,
+        outcome: AttemptOutcome::Committed,
         report: Report::default(),
     });
-    assert!(matches!(told.recv(), Ok((1, Answer::Unknown(_)))));
-    let (tell, taken) = channel();
-    let _ = mail.send(DispatcherMessage::Turn(tell));
-    let _ = taken.recv();
+    assert!(matches!(received.recv(), Ok((1, Answer::Unknown(_)))));
+    let (reply, done) = channel();
+    let _ = sender.send(DispatcherMessage::Barrier(reply));
+    let _ = done.recv();
     assert!(submit.permit.consume(clock.now()).is_err(), "rule 1: nothing is sent after the answer");
 }
--- a/crates/lab/src/fleet/ledger.rs
+++ b/crates/lab/src/fleet/ledger.rs
@@ -1,16 +1,16 @@
-//! What clients saw goes into the history.
+//! Records the clients' observations in the history.
 
 use super::history::History;
-use crate::sockets::{Ask, Ledger};
-use juniperdock_emulator::Told;
+use crate::sockets::{ClientObserver, ClientStatement};
+use juniperdock_emulator::FinalAnswer;
 use serde_json::json;
 use std::time::Duration;
 
-/// Writes down what clients saw.
+/// Writes the clients' observations.
 pub(super) struct Clients(pub History);
 
-impl Ledger for Clients {
-    fn asked(&mut self, at: Duration, front: usize, ask: &Ask) {
+impl ClientObserver for Clients {
+    fn asked(&mut self, at: Duration, front: usize, ask: &ClientStatement) {
         let left = ask.left.as_micros() as u64;
         self.0.note(at, "asked", json!({ "front": front, "txn": ask.txn, "left": left }));
     }
@@ -28,20 +28,20 @@
         at: Duration,
         front: usize,
         txn: u32,
-        told: Told,
+        outcome: FinalAnswer,
         code: Option<&str>,
         ended: bool,
     ) {
-        let told = match told {
-            Told::Committed => "committed",
-            Told::Declined => "declined",
-            Told::Unknown => "unknown",
-            Told::Nothing => "nothing",
+        let outcome = match outcome {
+            FinalAnswer::Committed => "committed",
+            FinalAnswer::Declined => "declined",
+            FinalAnswer::Unknown => "unknown",
+            FinalAnswer::Nothing => "nothing",
         };
         self.0.note(
             at,
             "answered",
-            json!({ "front": front, "txn": txn, "told": told, "code": code, "ended": ended }),
+            json!({ "front": front, "txn": txn, "told": outcome, "code": code, "ended": ended }),
         );
     }
 }
--- a/crates/router/src/snapshot.rs
+++ b/crates/router/src/snapshot.rs
@@ -1,77 +1,89 @@
-//! What a router leaves to the process after it, and takes up from the one before. Nothing is decided here.
+//! Parts of the router's state that a process passes on to its successor. No routing decision is made here.
 
 use crate::routing::Router;
 use juniperdock_primary_tracker::{ClaimsSnapshot, GroupSnapshot};
 use juniperdock_snapshot::Decay;
 use std::time::Duration;
 
-/// Of a member.
+/// The state of one member that is worth keeping.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MemberSnapshot {
+    /// The server list has marked it as draining.
     pub draining: bool,
+    /// End of its warm-up.
     pub warm_at: Duration,
+    /// Proven log position.
     pub position: Option<Duration>,
+    /// Work sent within the window of the rule on cold members, in seconds.
     pub work_sent: f64,
     pub concurrency_limit: f64,
+    /// Recent latency, as a multiple of the base latency.
     pub slowness: f64,
+    /// End of its back-off.
     pub avoid_until: Duration,
+    /// What it has claimed about its role.
     pub claims: ClaimsSnapshot,
 }
 
 impl Router {
-    /// What is worth keeping of a member; `None` for one that is not listed.
+    /// The state of a member that is worth keeping; `None` for a member that is not listed.
     pub fn snapshot_member(&mut self, now: Duration, member: usize) -> Option<MemberSnapshot> {
-        let claims = self.tenure.snapshot_claims(member);
+        let claims = self.primary_tracker.snapshot_claims(member);
         let m = self.members.get_mut(member).filter(|m| m.listed)?;
         Some(MemberSnapshot {
-            draining: m.drains,
+            draining: m.draining,
             warm_at: m.warm_at,
             position: m.position,
-            work_sent: m.sent.sum(now),
-            concurrency_limit: m.room,
-            slowness: m.slow,
-            avoid_until: m.shunned,
+            work_sent: m.work_sent.sum(now),
+            concurrency_limit: m.concurrency_limit,
+            slowness: m.slowness,
+            avoid_until: m.avoid_until,
             claims,
         })
     }
 
+    /// The state of a group that is worth keeping.
     pub fn snapshot_group(&self, group: usize) -> GroupSnapshot {
-        self.tenure.snapshot_group(group)
+        self.primary_tracker.snapshot_group(group)
     }
 
-    /// Answer times of a txn type in seconds: typical and usual.
+    /// Base and mean latency of a txn type, in seconds.
     pub fn snapshot_type(&self, kind: usize) -> (f64, f64) {
-        (self.typical[kind], self.usual[kind])
+        (self.base_latency[kind], self.mean_latency[kind])
     }
 
-    /// Takes up what was kept of a member that is listed. Proofs, drains and budgets spent hold; what was
-    /// learnt of its speed fades. A drain binds until the list shows a later start.
-    pub fn restore_member(&mut self, now: Duration, member: usize, kept: &MemberSnapshot, worth: Decay) {
+    /// Restores the state of a member that is listed. Proofs, drains and spent budgets count in full; what was learnt
+    /// of its speed fades with the snapshot's age. A drain lasts until the list shows a later start.
+    pub fn restore_member(&mut self, now: Duration, member: usize, snapshot: &MemberSnapshot, decay: Decay) {
         let window = self.cold.window;
         let Some(m) = self.members.get_mut(member).filter(|m| m.listed) else { return };
-        m.position = m.position.max(kept.position);
-        if kept.draining && m.warm_at <= kept.warm_at {
-            (m.drains, m.stopped) = (true, true);
+        m.position = m.position.max(snapshot.position);
+        if snapshot.draining && m.warm_at <= snapshot.warm_at {
+            (m.draining, m.excluded) = (true, true);
         }
-        let spent = worth.budget_spent(kept.work_sent, window);
+        let spent = decay.budget_spent(snapshot.work_sent, window);
         if spent > 0.0 {
-            m.sent.add(now, spent);
+            m.work_sent.add(now, spent);
         }
-        (m.room, m.slow) =
-            (worth.estimate(kept.concurrency_limit, m.room), worth.estimate(kept.slowness, m.slow));
-        m.shunned = m.shunned.max(kept.avoid_until);
-        let (stopped, drains) = (m.stopped, m.drains);
-        self.tenure.restore_claims(member, &kept.claims);
-        self.tenure.set_availability(now, member, stopped, drains);
+        (m.concurrency_limit, m.slowness) = (
+            decay.estimate(snapshot.concurrency_limit, m.concurrency_limit),
+            decay.estimate(snapshot.slowness, m.slowness),
+        );
+        m.avoid_until = m.avoid_until.max(snapshot.avoid_until);
+        let (excluded, draining) = (m.excluded, m.draining);
+        self.primary_tracker.restore_claims(member, &snapshot.claims);
+        self.primary_tracker.set_availability(now, member, excluded, draining);
     }
 
-    /// Takes up what was kept of a group, before its members. Who held the slot has to claim anew.
-    pub fn restore_group(&mut self, now: Duration, group: usize, kept: &GroupSnapshot) {
-        self.tenure.restore_group(now, group, kept);
+    /// Restores the state of a group; to be called before its members are restored. The former primary has to claim its
+    /// role again.
+    pub fn restore_group(&mut self, now: Duration, group: usize, snapshot: &GroupSnapshot) {
+        self.primary_tracker.restore_group(now, group, snapshot);
     }
 
-    pub fn restore_type(&mut self, kind: usize, typical: f64, usual: f64, worth: Decay) {
-        self.typical[kind] = worth.estimate(typical, self.typical[kind]);
-        self.usual[kind] = worth.estimate(usual, self.usual[kind]);
+    /// Restores the latencies of a txn type, in seconds; they fade with the snapshot's age.
+    pub fn restore_type(&mut self, kind: usize, base_latency: f64, mean_latency: f64, decay: Decay) {
+        self.base_latency[kind] = decay.estimate(base_latency, self.base_latency[kind]);
+        self.mean_latency[kind] = decay.estimate(mean_latency, self.mean_latency[kind]);
     }
 }
--- a/crates/test-support/src/member.rs
+++ b/crates/test-support/src/member.rs
@@ -1,6 +1,6 @@
-//! A member that says what a story tells it to say: bytes on a connection. It models nothing.
+//! A member whose responses a test sets, down to the bytes on the connection. It models no database.
 
-use crate::wire::{Said, Store, error, parameter, ready, row, serve};
+use crate::wire::{StatementHandler, StatementReply, error, parameter, ready, row, serve};
 use crate::{address, unix_ms};
 use std::collections::VecDeque;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -8,88 +8,93 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// What a member does with a txn.
+/// How a member responds to a txn.
 #[derive(Clone, Debug)]
-pub enum Does {
-    Serves,
-    Fails(&'static str),
-    /// Takes it and says nothing.
-    Hangs,
-    /// Takes it and ends the connection, perhaps after these bytes.
-    Breaks(Vec<u8>),
-    /// Answers with these bytes.
-    Says(Vec<u8>),
+pub enum Behaviour {
+    /// Answers with the statement's text as the row.
+    Serve,
+    /// Answers with an error of this SQLSTATE.
+    Fail(&'static str),
+    /// Reads it and never answers.
+    Hang,
+    /// Reads it, sends these bytes and closes the connection.
+    Close(Vec<u8>),
+    /// Answers with these bytes in place of a row.
+    Send(Vec<u8>),
 }
 
-struct Act {
+struct Script {
     primary: bool,
-    /// Where its log stands, in seconds since 1970; else it is up to date.
+    /// Position of its log, in seconds since 1970; `None` if it is up to date.
     position: Option<f64>,
-    /// Welcomes new connections; else it accepts and stays silent.
-    welcomes: bool,
-    does: Does,
-    next: VecDeque<Does>,
+    /// Whether it answers new connections. If not, it accepts them and sends nothing.
+    answers_new: bool,
+    behaviour: Behaviour,
+    /// Responses to the next txns, before `behaviour` applies again.
+    next: VecDeque<Behaviour>,
     open: Vec<TcpStream>,
-    /// How often all that hung was ended.
+    /// How many times `close_hanging` was called.
     hangs_ended: u32,
 }
 
+/// A scripted member, listening on loopback.
 pub struct Member {
     pub at: SocketAddr,
-    /// Statements that it was sent.
+    /// Statements received, except probes.
     pub seen: Receiver<String>,
-    act: Arc<Mutex<Act>>,
+    script: Arc<Mutex<Script>>,
 }
 
-struct Acting {
-    act: Arc<Mutex<Act>>,
-    tell: Mutex<Sender<String>>,
+struct ScriptedHandler {
+    script: Arc<Mutex<Script>>,
+    seen: Mutex<Sender<String>>,
 }
 
-impl Store for Acting {
+impl StatementHandler for ScriptedHandler {
     fn welcome(&self, stream: &TcpStream) -> bool {
-        let act = || self.act.lock().expect("no panic there");
+        let script = || self.script.lock().expect("no thread panicked with the lock");
         if let Ok(stream) = stream.try_clone() {
-            act().open.push(stream);
+            script().open.push(stream);
         }
-        while !act().welcomes {
+        while !script().answers_new {
             std::thread::sleep(Duration::from_millis(5));
         }
         true
     }
 
-    fn statement(&self, text: &str) -> Said {
+    fn statement(&self, text: &str) -> StatementReply {
         let (primary, position) = {
-            let act = self.act.lock().expect("no panic there");
-            (act.primary, act.position.unwrap_or(now()))
+            let script = self.script.lock().expect("no thread panicked with the lock");
+            (script.primary, script.position.unwrap_or(now()))
         };
         if text == "SHOW server_load" {
             let report = format!("x0={position:.3},x1={},q=0,busy=0.1", u8::from(primary));
-            return Said::Answer([row(report.as_bytes()), ready()].concat());
+            return StatementReply::Answer([row(report.as_bytes()), ready()].concat());
         }
-        let _ = self.tell.lock().expect("no panic there").send(text.to_owned());
-        let does = {
-            let mut act = self.act.lock().expect("no panic there");
-            let next = act.next.pop_front();
-            next.unwrap_or_else(|| act.does.clone())
+        let _ = self.seen.lock().expect("no thread panicked with the lock").send(text.to_owned());
+        let behaviour = {
+            let mut script = self.script.lock().expect("no thread panicked with the lock");
+            let next = script.next.pop_front();
+            next.unwrap_or_else(|| script.behaviour.clone())
         };
-        let told = parameter("node_role", if primary { "leader" } else { "follower" });
-        let answer = match does {
+        let role = parameter("node_role", if primary { "leader" } else { "follower" });
+        let answer = match behaviour {
             _ if !primary && text.contains("INSERT") => error("25006"),
-            Does::Serves => row(text.as_bytes()),
-            Does::Fails(code) => error(code),
-            Does::Hangs => {
-                let ends = || self.act.lock().expect("no panic there").hangs_ended;
-                let before = ends();
-                while ends() == before {
+            Behaviour::Serve => row(text.as_bytes()),
+            Behaviour::Fail(code) => error(code),
+            Behaviour::Hang => {
+                let hangs_ended =
+                    || self.script.lock().expect("no thread panicked with the lock").hangs_ended;
+                let before = hangs_ended();
+                while hangs_ended() == before {
                     std::thread::sleep(Duration::from_millis(5));
                 }
-                return Said::End(Vec::new());
+                return StatementReply::End(Vec::new());
             }
-            Does::Breaks(bytes) => return Said::End(bytes),
-            Does::Says(bytes) => bytes,
+            Behaviour::Close(bytes) => return StatementReply::End(bytes),
+            Behaviour::Send(bytes) => bytes,
         };
-        Said::Answer([answer, told, ready()].concat())
+        StatementReply::Answer([answer, role, ready()].concat())
     }
 }
 
@@ -99,70 +104,75 @@
 }
 
 impl Member {
+    /// Starts a member that serves all txns, as a primary or as a replica.
     pub fn start(primary: bool) -> Member {
         let listener = TcpListener::bind(address()).expect("a free address");
         let at = listener.local_addr().expect("an address");
-        let (does, next, open) = (Does::Serves, VecDeque::new(), Vec::new());
-        let act = Arc::new(Mutex::new(Act {
+        let (behaviour, next, open) = (Behaviour::Serve, VecDeque::new(), Vec::new());
+        let script = Arc::new(Mutex::new(Script {
             primary,
             position: None,
-            welcomes: true,
-            does,
+            answers_new: true,
+            behaviour,
             next,
             open,
             hangs_ended: 0,
         }));
-        let (tell, seen) = channel();
-        let acting = Arc::new(Acting { act: act.clone(), tell: Mutex::new(tell) });
+        let (seen_sender, seen) = channel();
+        let store = Arc::new(ScriptedHandler { script: script.clone(), seen: Mutex::new(seen_sender) });
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let acting = acting.clone();
-                std::thread::spawn(move || serve(stream, acting.as_ref()));
+                let store = store.clone();
+                std::thread::spawn(move || serve(stream, store.as_ref()));
             }
         });
-        Member { at, seen, act }
+        Member { at, seen, script }
     }
 
-    pub fn set(&self, does: Does) {
-        self.act.lock().expect("no panic there").does = does;
+    /// Sets the response to all later txns.
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
+        self.script.lock().expect("no thread panicked with the lock").behaviour = behaviour;
     }
 
-    /// For the next txn only.
-    pub fn once(&self, does: Does) {
-        self.act.lock().expect("no panic there").next.push_back(does);
+    /// Queues a response for one txn.
+    pub fn behave_once(&self, behaviour: Behaviour) {
+        self.script.lock().expect("no thread panicked with the lock").next.push_back(behaviour);
     }
 
-    pub fn be_primary(&self, primary: bool) {
-        self.act.lock().expect("no panic there").primary = primary;
+    /// Sets the role that it reports; a replica refuses inserts with 25006.
+    pub fn set_primary(&self, primary: bool) {
+        self.script.lock().expect("no thread panicked with the lock").primary = primary;
     }
 
-    /// From now on its log does not move.
-    pub fn stand_still(&self) {
-        self.act.lock().expect("no panic there").position = Some(now());
+    /// Freezes the reported log position at the present.
+    pub fn freeze_position(&self) {
+        self.script.lock().expect("no thread panicked with the lock").position = Some(now());
     }
 
-    /// From now on its log does not move, and its clock was so far ahead.
-    pub fn stand_at(&self, ahead: Duration) {
-        self.act.lock().expect("no panic there").position = Some(now() + ahead.as_secs_f64());
+    /// Freezes the reported log position `ahead` of the present, as a member whose clock runs ahead reports it.
+    pub fn freeze_position_ahead(&self, ahead: Duration) {
+        self.script.lock().expect("no thread panicked with the lock").position =
+            Some(now() + ahead.as_secs_f64());
     }
 
-    pub fn welcome(&self, welcomes: bool) {
-        self.act.lock().expect("no panic there").welcomes = welcomes;
+    /// Sets whether new connections are answered; if not, they are accepted and stay silent.
+    pub fn set_answers_new(&self, answers_new: bool) {
+        self.script.lock().expect("no thread panicked with the lock").answers_new = answers_new;
     }
 
-    /// How many there were since the last cut.
+    /// The number of connections accepted since the last [`Member::close_connections`].
     pub fn connections(&self) -> usize {
-        self.act.lock().expect("no panic there").open.len()
+        self.script.lock().expect("no thread panicked with the lock").open.len()
     }
 
-    /// Ends the connections of all statements that hang, and no others.
-    pub fn end_hanging(&self) {
-        self.act.lock().expect("no panic there").hangs_ended += 1;
+    /// Closes the connections of all statements that hang, and no others.
+    pub fn close_hanging(&self) {
+        self.script.lock().expect("no thread panicked with the lock").hangs_ended += 1;
     }
 
-    /// Ends all its connections.
-    pub fn cut(&self) {
-        for stream in self.act.lock().expect("no panic there").open.drain(..) {
+    /// Closes all connections.
+    pub fn close_connections(&self) {
+        for stream in self.script.lock().expect("no thread panicked with the lock").open.drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
