--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the control socket speaks: a length of four bytes in network order, then an object in JSON that names
-//! its version. No sockets.
+//! Framing of the control socket's protocol: a length of four bytes in network byte order, then a JSON object with the
+//! protocol version in `v`. Does no I/O.
 //!
 //! ```
 //! use juniperdock_control::{Frames, frame};
@@ -8,19 +8,19 @@
 //! let bytes = frame(&json!({"do": "status"}));
 //! let mut frames = Frames::default();
 //! frames.take(&bytes[..3]);
-//! assert_eq!(frames.whole(), Ok(None));
+//! assert_eq!(frames.next_frame(), Ok(None));
 //! frames.take(&bytes[3..]);
-//! assert_eq!(frames.whole().unwrap().unwrap()["do"], "status");
+//! assert_eq!(frames.next_frame().unwrap().unwrap()["do"], "status");
 //! ```
 
 use serde_json::Value;
 
-/// The version that is spoken here, told in every frame.
+/// The protocol version, sent in every frame.
 pub const VERSION: u64 = 1;
-/// The most bytes of one frame.
-pub const LONGEST: usize = 1 << 20;
+/// The largest body of a frame, in bytes.
+pub const MAX_FRAME_LEN: usize = 1 << 20;
 
-/// An object as a frame; its version is put in.
+/// Encodes an object as a frame and adds the protocol version.
 pub fn frame(object: &Value) -> Vec<u8> {
     let mut object = object.clone();
     object["v"] = VERSION.into();
@@ -28,33 +28,37 @@
     [&(body.len() as u32).to_be_bytes()[..], &body].concat()
 }
 
-/// An answer: what was asked for.
-pub fn good(what: Value) -> Value {
+/// Builds a successful reply with its result.
+pub fn ok_reply(what: Value) -> Value {
     serde_json::json!({ "ok": true, "is": what })
 }
 
-/// An answer: why it can't be had.
-pub fn fault(why: &str) -> Value {
+/// Builds an error reply with its reason.
+pub fn error_reply(why: &str) -> Value {
     serde_json::json!({ "ok": false, "why": why })
 }
 
-/// What came in, put together again.
+/// Reassembles frames from received bytes.
 #[derive(Debug, Default)]
 pub struct Frames {
     bytes: Vec<u8>,
 }
 
 impl Frames {
+    /// Appends received bytes.
     pub fn take(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The next whole object; the error says why what follows can't be followed.
-    pub fn whole(&mut self) -> Result<Option<Value>, String> {
+    /// Returns the next object, or `None` while its frame is incomplete.
+    ///
+    /// # Errors
+    /// If the frame is too long, is no JSON or has another version. The connection can't be used any further.
+    pub fn next_frame(&mut self) -> Result<Option<Value>, String> {
         let Some(head) = self.bytes.first_chunk::<4>() else { return Ok(None) };
         let length = u32::from_be_bytes(*head) as usize;
-        if length > LONGEST {
-            return Err(format!("expected at most {LONGEST} bytes in a frame, found {length}"));
+        if length > MAX_FRAME_LEN {
+            return Err(format!("expected at most {MAX_FRAME_LEN} bytes in a frame, found {length}"));
         }
         if self.bytes.len() < 4 + length {
             return Ok(None);
@@ -75,20 +79,20 @@
     use super::*;
 
     #[test]
-    fn frames_come_whole_and_bad_ones_are_named() {
-        let two = [frame(&good(1.into())), frame(&fault("no"))].concat();
+    fn split_frames_are_reassembled_and_bad_ones_are_rejected_with_a_reason() {
+        let two = [frame(&ok_reply(1.into())), frame(&error_reply("no"))].concat();
         for piece in [1, 5, 1000] {
-            let (mut frames, mut seen) = (Frames::default(), Vec::new());
+            let (mut frames, mut statuses) = (Frames::default(), Vec::new());
             for part in two.chunks(piece) {
                 frames.take(part);
-                while let Some(object) = frames.whole().expect("good frames") {
-                    seen.push(object["ok"].as_bool());
+                while let Some(object) = frames.next_frame().expect("valid frames") {
+                    statuses.push(object["ok"].as_bool());
                 }
             }
-            assert_eq!(seen, [Some(true), Some(false)]);
+            assert_eq!(statuses, [Some(true), Some(false)]);
         }
         let old = br#"{"v":9}"#;
-        for (bytes, names) in [
+        for (bytes, expected) in [
             (vec![255; 4], "at most"),
             ([&4u32.to_be_bytes()[..], b"what"].concat(), "JSON"),
             ([&(old.len() as u32).to_be_bytes()[..], old].concat(), "version 1, found 9"),
@@ -96,7 +100,7 @@
         ] {
             let mut frames = Frames::default();
             frames.take(&bytes);
-            assert!(frames.whole().is_err_and(|why| why.contains(names)), "{names}");
+            assert!(frames.next_frame().is_err_and(|why| why.contains(expected)), "{expected}");
         }
     }
 }
--- a/crates/front/src/discovery_client.rs
+++ b/crates/front/src/discovery_client.rs
@@ -1,12 +1,12 @@
-//! The discovery client: keeps a watch on the server list and passes on what it is told. Where discovery moves to
-//! another address, the watch there is opened before the old one is dropped.
+//! The discovery client keeps a watch on the server list and passes lists on to the dispatcher. When discovery moves
+//! to another address, the new watch is opened before the old one is dropped.
 
 use crate::clock::Clock;
-use crate::connect::{Wanted, connect};
+use crate::connect::{ConnectRequest, connect};
 use crate::counters::Counters;
-use crate::mail::{ToDesk, ToDiscovery, WatchEnd};
+use crate::messages::{DiscoveryMessage, DispatcherMessage, WatchEnd};
+use juniperdock_connection::{BufferLimits, Waker, spawn};
 use juniperdock_discovery::{Answer, MAX_UNREAD, watch_request};
-use juniperdock_link::{Bell, BufferLimits, spawn};
 use juniperdock_server_list::{Backoff, ServerList, Versions};
 use may::sync::mpsc::{Receiver, Sender, channel};
 use std::net::SocketAddr;
@@ -15,150 +15,162 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Without a sign of life for this long the watch is opened anew: an empty line, which comes every 2 s, is overdue.
-/// Whatever the list has to tell counts as told 6 s after a silence began: two more watches can be opened by then.
-const SILENCE: Duration = Duration::from_millis(3500);
+/// A watch is replaced if nothing arrives for this long; discovery sends an empty line every 2 s. A change of the
+/// list has to be in force 6 s after a silence began: two more watches can be opened by then.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(3500);
 
-/// The agent is on this machine and answers at once. A new watch that has told nothing for this long, be it that it
-/// never came up, is given up for the next. After a change of address what it has counts as told after 4 s.
-const FIRST: Duration = Duration::from_millis(1500);
-const CONNECT: Duration = Duration::from_millis(500);
-const BUFFERS: BufferLimits = BufferLimits { inbound: MAX_UNREAD, outbound: MAX_UNREAD };
+/// The agent is on this machine and answers at once. A new watch that has sent no list within this time, for whatever
+/// reason, is given up for the next one. After a change of address, the new agent's list has to be in force after 4
+/// s.
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(1500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+const BUFFER_LIMITS: BufferLimits = BufferLimits { inbound: MAX_UNREAD, outbound: MAX_UNREAD };
 
-/// A watch that is open or being opened.
-struct Open {
+/// The client's side of a watch that is open or being opened.
+struct WatchHandle {
     number: u64,
-    bell: Option<Bell>,
+    waker: Option<Waker>,
     stop: Arc<AtomicBool>,
 }
 
+/// The actor that owns the watches.
 pub struct DiscoveryClient {
     address: SocketAddr,
     versions: Versions,
     backoff: Backoff,
     clock: Clock,
-    desk: Sender<ToDesk>,
+    dispatcher: Sender<DispatcherMessage>,
     counters: Arc<Counters>,
     log: slog::Logger,
     stack: usize,
-    mail: Sender<ToDiscovery>,
-    read: Receiver<ToDiscovery>,
-    /// In the order in which they were opened; only the last counts once it has told something.
-    watches: Vec<Open>,
+    sender: Sender<DiscoveryMessage>,
+    messages: Receiver<DiscoveryMessage>,
+    /// In the order in which they were opened; once the last one has sent a list, only it counts.
+    watches: Vec<WatchHandle>,
     opened: u64,
-    /// That no watch could be kept has been logged since the last list.
+    /// Whether the loss of the watch has been logged since the last list.
     logged: bool,
 }
 
 impl DiscoveryClient {
+    /// Makes a client for discovery at this address. `version` is that of the list that is already known, if any.
     pub fn new(
         address: SocketAddr,
         version: Option<u64>,
         seed: u64,
         clock: Clock,
-        desk: Sender<ToDesk>,
+        dispatcher: Sender<DispatcherMessage>,
         counters: Arc<Counters>,
         log: slog::Logger,
         stack: usize,
     ) -> DiscoveryClient {
-        let (mail, read) = channel();
+        let (sender, messages) = channel();
         DiscoveryClient {
             address,
             versions: Versions::new(version),
             backoff: Backoff::new(seed),
             clock,
-            desk,
+            dispatcher,
             counters,
             log,
             stack,
-            mail,
-            read,
+            sender,
+            messages,
             watches: Vec::new(),
             opened: 0,
             logged: false,
         }
     }
 
-    pub fn mail(&self) -> Sender<ToDiscovery> {
-        self.mail.clone()
+    /// The sending end of the client's queue.
+    pub fn sender(&self) -> Sender<DiscoveryMessage> {
+        self.sender.clone()
     }
 
+    /// Handles messages until all senders are gone.
     pub fn run(mut self) {
-        while let Ok(mail) = self.read.recv() {
-            match mail {
-                ToDiscovery::Open => self.open(),
-                ToDiscovery::At(address) => {
+        while let Ok(message) = self.messages.recv() {
+            match message {
+                DiscoveryMessage::OpenWatch => self.open(),
+                DiscoveryMessage::SetAddress(address) => {
                     if address != self.address {
-                        slog::info!(self.log, "discovery has moved"; "to" => %address);
+                        slog::info!(self.log, "discovery has a new address"; "to" => %address);
                         self.address = address;
                         self.open();
                     }
                 }
-                ToDiscovery::Up(number, bell) => {
+                DiscoveryMessage::WakerReady(number, waker) => {
                     if let Some(watch) = self.watches.iter_mut().find(|watch| watch.number == number) {
-                        watch.bell = Some(bell);
+                        watch.waker = Some(waker);
                     }
                 }
-                ToDiscovery::Told(number, list) => self.told(number, list),
-                ToDiscovery::Over(number, why) => self.over(number, &why),
+                DiscoveryMessage::ListReceived(number, list) => self.list_received(number, list),
+                DiscoveryMessage::WatchEnded(number, why) => self.watch_ended(number, &why),
             }
         }
     }
 
+    /// Opens another watch.
     fn open(&mut self) {
         self.opened += 1;
         let (number, stop) = (self.opened, Arc::new(AtomicBool::new(false)));
-        self.watches.push(Open { number, bell: None, stop: stop.clone() });
-        let watch =
-            Watch { number, address: self.address, clock: self.clock.clone(), list: self.mail.clone(), stop };
-        let (version, counters, list) = (self.versions.known(), self.counters.clone(), self.mail.clone());
+        self.watches.push(WatchHandle { number, waker: None, stop: stop.clone() });
+        let watch = Watch {
+            number,
+            address: self.address,
+            clock: self.clock.clone(),
+            list: self.sender.clone(),
+            stop,
+        };
+        let (version, counters, list) = (self.versions.known(), self.counters.clone(), self.sender.clone());
         let started = spawn("watch", self.stack, move || {
             let why = catch_unwind(AssertUnwindSafe(|| watch.run(version))).unwrap_or_else(|_| {
                 counters.panics.add();
-                WatchEnd::Failed("its actor failed".to_owned())
+                WatchEnd::Failed("the watch's actor panicked".to_owned())
             });
-            let _ = list.send(ToDiscovery::Over(number, why));
+            let _ = list.send(DiscoveryMessage::WatchEnded(number, why));
         });
         if let Err(why) = started {
-            let _ = self.mail.send(ToDiscovery::Over(number, WatchEnd::Failed(why)));
+            let _ = self.sender.send(DiscoveryMessage::WatchEnded(number, WatchEnd::Failed(why)));
         }
     }
 
-    /// Passes on what counts of a list. Nothing is believed of a watch that a later one has taken over from.
-    fn told(&mut self, number: u64, list: ServerList) {
+    /// Passes a list on. Older watches are stopped, and lists of a watch that a newer one replaced are ignored.
+    fn list_received(&mut self, number: u64, list: ServerList) {
         let Some(at) = self.watches.iter().position(|watch| watch.number == number) else { return };
         for old in self.watches.drain(..at) {
             old.stop.store(true, Ordering::Relaxed);
-            old.bell.iter().for_each(Bell::ring);
+            old.waker.iter().for_each(Waker::wake);
         }
         self.backoff.reset();
         if let Some(list) = self.versions.accept(number, list) {
             self.logged = false;
-            let _ = self.desk.send(ToDesk::List(list));
+            let _ = self.dispatcher.send(DispatcherMessage::List(list));
         }
     }
 
-    /// One that was taken over from may end; the desk hears of the last one's end, and asks for the next.
-    fn over(&mut self, number: u64, why: &WatchEnd) {
+    /// Handles the end of a watch. If it was the last one, the dispatcher is notified, which asks for the next; a
+    /// watch that was replaced may just end.
+    fn watch_ended(&mut self, number: u64, why: &WatchEnd) {
         let last = self.watches.last().is_some_and(|watch| watch.number == number);
         self.watches.retain(|watch| watch.number != number);
         if !last {
             return;
         }
         if !std::mem::replace(&mut self.logged, true) {
-            slog::warn!(self.log, "the watch on the server list is lost"; "why" => %why);
+            slog::warn!(self.log, "lost the watch on the server list"; "why" => %why);
         }
         let wait = match why {
             WatchEnd::Overloaded => self.backoff.next_wait(),
             WatchEnd::Failed(_) => Duration::ZERO,
         };
         if wait.is_zero() {
-            let _ = self.desk.send(ToDesk::ListLost);
+            let _ = self.dispatcher.send(DispatcherMessage::DiscoveryLost);
             return;
         }
-        let desk = self.desk.clone();
-        self.clock.at(self.clock.now() + wait, move || {
-            let _ = desk.send(ToDesk::ListLost);
+        let dispatcher = self.dispatcher.clone();
+        self.clock.run_at(self.clock.now() + wait, move || {
+            let _ = dispatcher.send(DispatcherMessage::DiscoveryLost);
         });
     }
 }
@@ -168,19 +180,20 @@
     number: u64,
     address: SocketAddr,
     clock: Clock,
-    list: Sender<ToDiscovery>,
+    list: Sender<DiscoveryMessage>,
     stop: Arc<AtomicBool>,
 }
 
 impl Watch {
-    /// Watches until it fails, and says why it did.
+    /// Watches until it fails or is stopped; returns why.
     fn run(&self, after: Option<u64>) -> WatchEnd {
         let failed = |why: String| WatchEnd::Failed(why);
-        let (request, begun) = (watch_request(&self.address.to_string(), after), self.clock.now());
-        let up = |bell| {
-            let _ = self.list.send(ToDiscovery::Up(self.number, bell));
+        let (request, started_at) = (watch_request(&self.address.to_string(), after), self.clock.now());
+        let up = |waker| {
+            let _ = self.list.send(DiscoveryMessage::WakerReady(self.number, waker));
         };
-        let wanted = Wanted { to: self.address, until: begun + CONNECT, limits: BUFFERS };
+        let wanted =
+            ConnectRequest { to: self.address, until: started_at + CONNECT_TIMEOUT, limits: BUFFER_LIMITS };
         let stopped = || self.stop.load(Ordering::Relaxed);
         let mut link = match connect(&self.clock, &wanted, &up, &stopped) {
             Ok(link) => link,
@@ -189,9 +202,9 @@
         if let Err(why) = link.queue(request.as_bytes()) {
             return failed(why.to_string());
         }
-        let (mut answer, mut signs, mut silent) = (Answer::default(), 0, begun + FIRST);
-        let bell = link.bell();
-        self.clock.at(silent, move || bell.ring());
+        let (mut answer, mut signs, mut silent) = (Answer::default(), 0, started_at + FIRST_LIST_TIMEOUT);
+        let waker = link.waker();
+        self.clock.run_at(silent, move || waker.wake());
         for busy in 1u32.. {
             if stopped() {
                 break;
@@ -200,26 +213,28 @@
             match answer.take(&mut link.inbound) {
                 Ok(lists) => {
                     for list in lists {
-                        let _ = self.list.send(ToDiscovery::Told(self.number, list));
+                        let _ = self.list.send(DiscoveryMessage::ListReceived(self.number, list));
                     }
                 }
                 Err(why) if why.is_overload() => return WatchEnd::Overloaded,
                 Err(why) => return failed(why.to_string()),
             }
             let now = self.clock.now();
-            if answer.signs > signs {
-                (signs, silent) = (answer.signs, now + SILENCE);
-                let bell = link.bell();
-                self.clock.at(silent, move || bell.ring());
+            if answer.line_ends > signs {
+                (signs, silent) = (answer.line_ends, now + SILENCE_TIMEOUT);
+                let waker = link.waker();
+                self.clock.run_at(silent, move || waker.wake());
             }
             match moved {
                 Err(why) => return failed(why.to_string()),
-                Ok(_) if link.ended || answer.over() => return failed("the watch ended".to_owned()),
-                Ok(_) if now >= silent => return failed("the watch fell silent".to_owned()),
-                Ok(true) => self.clock.take_turns(busy, link.is_short()),
+                Ok(_) if link.ended || answer.is_complete() => {
+                    return failed("the watch was closed".to_owned());
+                }
+                Ok(_) if now >= silent => return failed("the watch timed out".to_owned()),
+                Ok(true) => self.clock.yield_if_busy(busy, link.lacks_memory()),
                 Ok(false) => link.wait(),
             }
         }
-        failed("another has taken over".to_owned())
+        failed("replaced by a newer watch".to_owned())
     }
 }
--- a/crates/front/src/member.rs
+++ b/crates/front/src/member.rs
@@ -1,16 +1,16 @@
-//! A member's actor and its connections. The actor keeps the pool; each connection carries one job at a time
-//! and tells the desk how it ended.
+//! A member's actor and its connections. The actor keeps the pool; each connection carries one job at a time and
+//! reports its outcome to the dispatcher.
 
 use crate::clock::Clock;
-use crate::connect::{NoConnection, Wanted, connect};
+use crate::connect::{ConnectFailure, ConnectRequest, connect};
 use crate::counters::Counters;
-use crate::mail::{End, Job, ToDesk, ToMember};
+use crate::messages::{AttemptEnd, DispatcherMessage, Job, MemberMessage};
 use crate::request_log::{RequestEvent, RequestLog};
-use juniperdock_door::{self as door, Origin};
-use juniperdock_link::{Bell, BufferLimits, Failure, Link, Reached, spawn};
+use juniperdock_connection::{BufferLimits, Failure, Link, Reached, Waker, spawn};
+use juniperdock_deployment::{self as deployment, Origin};
 use juniperdock_pg as pg;
-use juniperdock_router::host::{Ending, Report, Role};
-use juniperdock_server_clock::{Told, Verdict};
+use juniperdock_router::host::{AttemptOutcome, Report, Role};
+use juniperdock_server_clock::{PositionSample, Verdict};
 use may::sync::mpsc::{Receiver, Sender, channel};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -22,250 +22,275 @@
 use std::sync::mpsc::TryRecvError;
 use std::time::Duration;
 
-/// What follows right behind an answer is read this soon after it.
-const REST: Duration = Duration::from_millis(3);
+/// Bytes that a member sends right behind an answer arrive within this time.
+const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(3);
 
-enum ToConnection {
+/// Messages to a connection.
+enum ConnectionMessage {
     Job(Job),
     Cancel(u64),
-    /// It goes to another process, under this name.
-    Give(String, std::sync::mpsc::Sender<(String, OwnedFd)>),
+    /// Sends its descriptor to another process, with the member's id.
+    Transfer(String, std::sync::mpsc::Sender<(String, OwnedFd)>),
     Close,
 }
 
-/// What all connections to members need.
+/// What the pools of all members share.
 #[derive(Clone)]
-pub struct Reach {
+pub struct PoolContext {
     pub clock: Clock,
-    pub desk: Sender<ToDesk>,
+    pub dispatcher: Sender<DispatcherMessage>,
     pub counters: Arc<Counters>,
     pub log: slog::Logger,
     pub request_log: RequestLog,
-    /// A connection comes up in this time or not at all; a probe is answered in it.
-    pub connect: Duration,
-    /// Members close connections that stand idle for this long.
-    pub idle: Duration,
-    pub stack: usize,
-    /// Connections to all members, and how many there may be.
-    pub open: Arc<AtomicUsize>,
-    pub most: usize,
-    /// The longest message taken from a member.
-    pub longest: usize,
+    /// The time limit of opening a connection, and of a probe.
+    pub connect_timeout: Duration,
+    /// Members close connections that have been idle for this long.
+    pub idle_timeout: Duration,
+    pub stack_bytes: usize,
+    /// Open connections to all members, and the most that there may be.
+    pub open_connections: Arc<AtomicUsize>,
+    pub max_connections: usize,
+    /// The longest message that is accepted from a member.
+    pub max_message_bytes: usize,
 }
 
-/// How often the desk has its turn before something is written right after a standstill. Once would do but for
-/// clients whose actors are woken by an alarm: those run after the desk has been waited for.
-const TURNS: u32 = 2;
+/// How many times a connection waits for the dispatcher to handle its queue before it writes anything right after a
+/// stall. Once is not enough for clients whose actors are woken by a timer: those run only after the first wait.
+const BARRIERS_AFTER_STALL: u32 = 2;
 
-/// Idle connections that follow to another process.
-const FOLLOW: usize = 2;
+/// The most idle connections that are transferred to another process.
+const MAX_TRANSFERRED_IDLE: usize = 2;
 
+/// A pool's view of one of its connections.
 struct Connection {
-    mail: Sender<ToConnection>,
-    bell: Option<Bell>,
-    ticket: Option<u64>,
+    sender: Sender<ConnectionMessage>,
+    waker: Option<Waker>,
+    request_id: Option<u64>,
     idle_since: Option<Duration>,
     to: SocketAddr,
 }
 
-pub struct Member {
+/// The actor of one member.
+pub struct MemberPool {
     pub index: usize,
     pub address: SocketAddr,
-    pub mail: Sender<ToMember>,
-    pub reach: Reach,
+    pub sender: Sender<MemberMessage>,
+    pub context: PoolContext,
     connections: HashMap<u64, Connection>,
-    /// Free ones; the last used is the next used.
+    /// Idle connections, the last used at the end.
     idle: Vec<u64>,
-    next: u64,
-    leaving: bool,
+    next_id: u64,
+    removed: bool,
 }
 
-impl Reach {
+impl PoolContext {
     fn buffers(&self) -> BufferLimits {
-        BufferLimits { inbound: 2 * self.longest, outbound: 2 * pg::LONGEST }
+        BufferLimits { inbound: 2 * self.max_message_bytes, outbound: 2 * pg::MAX_MESSAGE_LEN }
     }
 }
 
-impl Member {
-    pub fn new(index: usize, address: SocketAddr, mail: Sender<ToMember>, reach: Reach) -> Member {
+impl MemberPool {
+    /// A pool without connections. `sender` is the sending end of the queue that [`MemberPool::run`] reads.
+    pub fn new(
+        index: usize,
+        address: SocketAddr,
+        sender: Sender<MemberMessage>,
+        context: PoolContext,
+    ) -> MemberPool {
         let (connections, idle) = (HashMap::new(), Vec::new());
-        Member { index, address, mail, reach, connections, idle, next: 0, leaving: false }
+        MemberPool { index, address, sender, context, connections, idle, next_id: 0, removed: false }
     }
 
-    /// Ends with its last connection: a server that is not in use has no actor. Mail that lies behind the one by
-    /// which it ends is taken first, as who posted does not learn that nobody read it; no other coroutine runs between.
-    pub fn run(mut self, mail: &Receiver<ToMember>) {
-        let ends = |member: &Member| member.connections.is_empty();
-        let mut begun = false;
+    /// Handles messages until the last connection ends: a server that is not in use has no actor. Messages that are
+    /// already queued then are handled first, because their senders do not learn that nobody read them; no other
+    /// coroutine runs in between.
+    pub fn run(mut self, messages: &Receiver<MemberMessage>) {
+        let is_empty = |member: &MemberPool| member.connections.is_empty();
+        let mut started = false;
         loop {
-            let next = if begun && ends(&self) { mail.try_recv().ok() } else { mail.recv().ok() };
-            let Some(mail) = next else { break };
-            begun = true;
-            if catch_unwind(AssertUnwindSafe(|| self.take(mail))).is_err() {
-                // The pool can't be trusted any more; connections end as their jobs do.
-                self.reach.counters.panics.add();
+            let next =
+                if started && is_empty(&self) { messages.try_recv().ok() } else { messages.recv().ok() };
+            let Some(message) = next else { break };
+            started = true;
+            if catch_unwind(AssertUnwindSafe(|| self.handle(message))).is_err() {
+                // The pool can't be trusted any more; its connections end with their jobs.
+                self.context.counters.panics.add();
                 self.idle.clear();
                 let all = std::mem::take(&mut self.connections);
-                all.values().for_each(|c| post(c, ToConnection::Close));
+                all.values().for_each(|c| send(c, ConnectionMessage::Close));
             }
         }
-        self.reach.counters.members_ended.add();
+        self.context.counters.members_ended.add();
     }
 
-    fn take(&mut self, mail: ToMember) {
-        match mail {
-            ToMember::Job(job) => self.assign(job),
-            ToMember::Cancel(ticket) => {
-                let its = |c: &&Connection| c.ticket == Some(ticket);
-                if let Some(c) = self.connections.values().find(its) {
-                    post(c, ToConnection::Cancel(ticket));
+    fn handle(&mut self, message: MemberMessage) {
+        match message {
+            MemberMessage::Job(job) => self.assign(job),
+            MemberMessage::Cancel(request_id) => {
+                let has_request = |c: &&Connection| c.request_id == Some(request_id);
+                if let Some(c) = self.connections.values().find(has_request) {
+                    send(c, ConnectionMessage::Cancel(request_id));
                 }
             }
-            ToMember::Address(address) => {
+            MemberMessage::Address(address) => {
                 self.address = address;
                 for id in std::mem::take(&mut self.idle) {
                     self.close(id);
                 }
             }
-            ToMember::Stay => self.leaving = false,
-            ToMember::Leave | ToMember::Spare => {
-                self.leaving |= matches!(mail, ToMember::Leave);
+            MemberMessage::Relisted => self.removed = false,
+            MemberMessage::Removed | MemberMessage::CloseIdle => {
+                self.removed |= matches!(message, MemberMessage::Removed);
                 std::mem::take(&mut self.idle).into_iter().for_each(|id| self.close(id));
             }
-            ToMember::Give(name, to) => {
-                // The last used: where all followed, each upgrade would add what its start has opened.
+            MemberMessage::TransferIdle(name, to) => {
+                // Only the last used: if all were transferred, each upgrade would add those that its start has
+                // opened.
                 let idle = std::mem::take(&mut self.idle);
-                let (old, follow) = idle.split_at(idle.len().saturating_sub(FOLLOW));
+                let (old, transferred) = idle.split_at(idle.len().saturating_sub(MAX_TRANSFERRED_IDLE));
                 old.iter().for_each(|&id| self.close(id));
-                for id in follow {
+                for id in transferred {
                     if let Some(c) = self.connections.get(id) {
-                        post(c, ToConnection::Give(name.clone(), to.clone()));
+                        send(c, ConnectionMessage::Transfer(name.clone(), to.clone()));
                     }
                 }
             }
-            ToMember::Took(stream) => self.open(Begins::Took(stream), None),
-            ToMember::Up(id, bell) => {
+            MemberMessage::Adopt(stream) => self.open(InitialWork::Adopted(stream), None),
+            MemberMessage::WakerReady(id, waker) => {
                 if let Some(c) = self.connections.get_mut(&id) {
-                    c.bell = Some(bell);
+                    c.waker = Some(waker);
                 }
             }
-            ToMember::Idle(id) => {
+            MemberMessage::Idle(id) => {
                 if let Some(c) = self.connections.get_mut(&id) {
-                    (c.ticket, c.idle_since) = (None, Some(self.reach.clock.now()));
+                    (c.request_id, c.idle_since) = (None, Some(self.context.clock.now()));
                     self.idle.push(id);
                 }
-                // One that was busy when the address changed leads to the old one.
-                if self.leaving || self.connections.get(&id).is_some_and(|c| c.to != self.address) {
+                // A connection that was busy when the address changed leads to the old address.
+                if self.removed || self.connections.get(&id).is_some_and(|c| c.to != self.address) {
                     self.close(id);
                 }
-                self.close_old();
+                self.close_stale();
             }
-            ToMember::Gone(id) => self.close(id),
+            MemberMessage::Ended(id) => self.close(id),
         }
     }
 
     fn close(&mut self, id: u64) {
         self.idle.retain(|&idle| idle != id);
         if let Some(c) = self.connections.remove(&id) {
-            post(&c, ToConnection::Close);
+            send(&c, ConnectionMessage::Close);
         }
     }
 
-    /// Closes those that stood idle for so long that the member may close them any moment.
-    fn close_old(&mut self) {
-        let now = self.reach.clock.now();
+    /// Closes connections that have been idle for so long that the member may close them any moment.
+    fn close_stale(&mut self) {
+        let now = self.context.clock.now();
         while let Some(&id) = self.idle.first() {
             let since = self.connections.get(&id).and_then(|c| c.idle_since);
-            if since.is_some_and(|since| since + self.reach.idle * 3 / 4 > now) {
+            if since.is_some_and(|since| since + self.context.idle_timeout * 3 / 4 > now) {
                 break;
             }
-            self.reach.counters.connections_idle_closed.add();
+            self.context.counters.connections_idle_closed.add();
             self.close(id);
         }
     }
 
-    /// The last used one that has rested since: what a member sends right behind an answer, its end or more
-    /// than belongs to it, has come in by then. Where none has, the one that has rested longest.
+    /// Takes the last used connection that has been idle for long enough that anything a member sends right behind an
+    /// answer has come in, such as its end or extra bytes. If there is none, the one that has been idle longest.
     fn next_idle(&mut self) -> Option<u64> {
-        let now = self.reach.clock.now();
+        let now = self.context.clock.now();
         let since = |id: &u64| self.connections.get(id).and_then(|c| c.idle_since);
-        let rested = |id: &u64| since(id).is_some_and(|since| since + REST <= now);
-        let at = self.idle.iter().rposition(rested).unwrap_or(0);
+        let idle_long_enough = |id: &u64| since(id).is_some_and(|since| since + MIN_IDLE_BEFORE_REUSE <= now);
+        let at = self.idle.iter().rposition(idle_long_enough).unwrap_or(0);
         (at < self.idle.len()).then(|| self.idle.remove(at))
     }
 
+    /// Gives a job to an idle connection or a new one.
     fn assign(&mut self, job: Job) {
-        self.close_old();
+        self.close_stale();
         if let Job::Submit(submit) = &job
-            && submit.permit.check(self.reach.clock.now()).is_err()
+            && submit.permit.check(self.context.clock.now()).is_err()
         {
-            // Put back from a connection that has ended, and its client may have left: none is opened for nobody.
-            tell(&self.reach, self.index, &job, Ending::Moot, Reply::default());
+            // It was returned by a connection that has ended, and its client may have left: open no connection in
+            // vain.
+            report_outcome(&self.context, self.index, &job, AttemptOutcome::Moot, Reply::default());
             return;
         }
-        let ticket = if let Job::Submit(submit) = &job { Some(submit.ticket) } else { None };
+        let request_id = if let Job::Submit(submit) = &job { Some(submit.request_id) } else { None };
         if let Some(id) = self.next_idle() {
             if let Some(c) = self.connections.get_mut(&id) {
-                (c.ticket, c.idle_since) = (ticket, None);
-                self.reach.counters.connections_reused.add();
-                post(c, ToConnection::Job(job));
+                (c.request_id, c.idle_since) = (request_id, None);
+                self.context.counters.connections_reused.add();
+                send(c, ConnectionMessage::Job(job));
             }
             return;
         }
-        if self.reach.open.load(Ordering::Relaxed) >= self.reach.most {
-            // As if the member had no connection left; the idle ones of others make room for the next.
-            let _ = self.reach.desk.send(ToDesk::Short);
-            tell(&self.reach, self.index, &job, Ending::Full, Reply::default());
+        if self.context.open_connections.load(Ordering::Relaxed) >= self.context.max_connections {
+            // As if the member had no connection left; closing idle ones to other members makes room for the next
+            // job.
+            let _ = self.context.dispatcher.send(DispatcherMessage::ConnectionsShort);
+            report_outcome(&self.context, self.index, &job, AttemptOutcome::Full, Reply::default());
             return;
         }
-        self.open(Begins::Job(job), ticket);
+        self.open(InitialWork::Job(job), request_id);
     }
 
-    /// Starts a connection: to carry a job, or one that another process had.
-    fn open(&mut self, begins: Begins, ticket: Option<u64>) {
-        if self.reach.open.load(Ordering::Relaxed) >= self.reach.most {
+    /// Starts a connection, for a job or for a socket of the previous process.
+    fn open(&mut self, work: InitialWork, request_id: Option<u64>) {
+        if self.context.open_connections.load(Ordering::Relaxed) >= self.context.max_connections {
             return;
         }
-        let id = self.next;
-        self.next += 1;
-        self.reach.open.fetch_add(1, Ordering::Relaxed);
-        let (mail, read) = channel();
+        let id = self.next_id;
+        self.next_id += 1;
+        self.context.open_connections.fetch_add(1, Ordering::Relaxed);
+        let (sender, receiver) = channel();
         self.connections
-            .insert(id, Connection { mail, bell: None, ticket, idle_since: None, to: self.address });
-        let (member, address, pool, reach) =
-            (self.index, self.address, self.mail.clone(), self.reach.clone());
-        self.reach.counters.connections_opened.add();
-        let stack = reach.stack;
-        let wanted = if let Begins::Job(job) = &begins { Some(job.clone()) } else { None };
+            .insert(id, Connection { sender, waker: None, request_id, idle_since: None, to: self.address });
+        let (member, address, pool, context) =
+            (self.index, self.address, self.sender.clone(), self.context.clone());
+        self.context.counters.connections_opened.add();
+        let stack = context.stack_bytes;
+        let wanted = if let InitialWork::Job(job) = &work { Some(job.clone()) } else { None };
         let started = spawn("connection", stack, move || {
-            let (kept, rings) = (RefCell::default(), Cell::default());
-            Line { id, member, address, pool, reach, mail: read, kept, rings }.run(begins);
+            let (deferred, timer_set_for) = (RefCell::default(), Cell::default());
+            ServerConnection {
+                id,
+                member,
+                address,
+                pool,
+                context,
+                messages: receiver,
+                deferred,
+                timer_set_for,
+            }
+            .run(work);
         });
         if let Err(why) = started {
-            slog::error!(self.reach.log, "no connection can be started"; "why" => why);
-            self.reach.open.fetch_sub(1, Ordering::Relaxed);
+            slog::error!(self.context.log, "the coroutine of a connection can't be started"; "why" => why);
+            self.context.open_connections.fetch_sub(1, Ordering::Relaxed);
             self.connections.remove(&id);
             if let Some(wanted) = &wanted {
-                tell(&self.reach, self.index, wanted, Ending::Full, Reply::default());
+                report_outcome(&self.context, self.index, wanted, AttemptOutcome::Full, Reply::default());
             }
         }
     }
 }
 
-/// What a connection begins with.
-enum Begins {
+/// What a connection starts with.
+enum InitialWork {
     Job(Job),
-    Took(TcpStream),
+    Adopted(TcpStream),
 }
 
-fn post(c: &Connection, mail: ToConnection) {
-    let _ = c.mail.send(mail);
-    if let Some(bell) = &c.bell {
-        bell.ring();
+fn send(c: &Connection, message: ConnectionMessage) {
+    let _ = c.sender.send(message);
+    if let Some(waker) = &c.waker {
+        waker.wake();
     }
 }
 
-/// What a member has said so far to one query.
+/// What a member has answered so far to one query.
 #[derive(Default)]
 struct Reply {
     raw: Vec<u8>,
@@ -283,364 +308,388 @@
 }
 
 impl Reply {
-    /// What the answer comes to, once the member is ready again; nothing else is an answer.
-    fn ending(&self) -> Option<Ending> {
+    /// The outcome of a complete answer, once the member is ready again; anything else is no answer.
+    fn outcome(&self) -> Option<AttemptOutcome> {
         match self.error.as_deref() {
             _ if !self.ready => None,
-            Some(pg::NO_PRIMARY | pg::TOO_FAR_BEHIND) => Some(Ending::Misplaced),
-            Some(pg::TOO_MANY) => Some(Ending::Full),
-            Some(code) if pg::of_statement(code) => Some(Ending::Invalid),
-            Some(_) => Some(Ending::Errored),
-            None if self.complete => Some(Ending::Committed),
+            Some(pg::NO_PRIMARY | pg::TOO_FAR_BEHIND) => Some(AttemptOutcome::Misplaced),
+            Some(pg::TOO_MANY_CONNECTIONS) => Some(AttemptOutcome::Full),
+            Some(code) if pg::is_statement_error(code) => Some(AttemptOutcome::Invalid),
+            Some(_) => Some(AttemptOutcome::Errored),
+            None if self.complete => Some(AttemptOutcome::Committed),
             None => None,
         }
     }
 }
 
-/// How a job ended, and whether its connection can carry another.
-struct Outcome {
-    ending: Ending,
+/// The outcome of a job, and whether its connection can carry another one.
+struct JobResult {
+    outcome: AttemptOutcome,
     reply: Reply,
     usable: bool,
 }
 
 /// One connection to a member.
-struct Line {
+struct ServerConnection {
     id: u64,
     member: usize,
     address: SocketAddr,
-    pool: Sender<ToMember>,
-    reach: Reach,
-    mail: Receiver<ToConnection>,
-    /// Mail that came while a job was in hand, and is not about it.
-    kept: RefCell<VecDeque<ToConnection>>,
-    /// When it is rung next, at the latest.
-    rings: Cell<Duration>,
+    pool: Sender<MemberMessage>,
+    context: PoolContext,
+    messages: Receiver<ConnectionMessage>,
+    /// Messages that came while a job was in hand and do not concern it.
+    deferred: RefCell<VecDeque<ConnectionMessage>>,
+    /// The time of the timer that was set last.
+    timer_set_for: Cell<Duration>,
 }
 
-impl Line {
-    fn run(self, begins: Begins) {
-        let (mut held, took) = match begins {
-            Begins::Job(job) => (Some(job), None),
-            Begins::Took(stream) => (None, Some(stream)),
+impl ServerConnection {
+    fn run(self, work: InitialWork) {
+        let (mut current, adopted) = match work {
+            InitialWork::Job(job) => (Some(job), None),
+            InitialWork::Adopted(stream) => (None, Some(stream)),
         };
-        let lived = catch_unwind(AssertUnwindSafe(|| self.live(&mut held, took)));
-        if lived.is_err() {
-            self.reach.counters.panics.add();
+        let result = catch_unwind(AssertUnwindSafe(|| self.serve_jobs(&mut current, adopted)));
+        if result.is_err() {
+            self.context.counters.panics.add();
         }
-        if let Some(job) = held.take() {
-            self.tell(&job, Ending::Dropped, Reply::default());
+        if let Some(job) = current.take() {
+            self.report_outcome(&job, AttemptOutcome::Dropped, Reply::default());
         }
-        self.reach.open.fetch_sub(1, Ordering::Relaxed);
-        let _ = self.pool.send(ToMember::Gone(self.id));
-        // A job that was given out just now has not been written: it goes to another connection.
-        while let Ok(mail) = self.next_mail().or_else(|_| self.mail.recv()) {
-            match mail {
-                ToConnection::Job(job) => {
-                    // The actor of a member that left may have ended; nothing was written.
-                    if let Err(unsent) = self.pool.send(ToMember::Job(job))
-                        && let ToMember::Job(job) = unsent.0
+        self.context.open_connections.fetch_sub(1, Ordering::Relaxed);
+        let _ = self.pool.send(MemberMessage::Ended(self.id));
+        // A job that was sent just now has not been written: it goes to another connection.
+        while let Ok(message) = self.next_message().or_else(|_| self.messages.recv()) {
+            match message {
+                ConnectionMessage::Job(job) => {
+                    // The actor of a removed member may have ended; nothing was written.
+                    if let Err(unsent) = self.pool.send(MemberMessage::Job(job))
+                        && let MemberMessage::Job(job) = unsent.0
                     {
-                        self.tell(&job, Ending::Moot, Reply::default());
+                        self.report_outcome(&job, AttemptOutcome::Moot, Reply::default());
                     }
                 }
-                ToConnection::Cancel(_) | ToConnection::Give(..) => {}
-                ToConnection::Close => break,
+                ConnectionMessage::Cancel(_) | ConnectionMessage::Transfer(..) => {}
+                ConnectionMessage::Close => break,
             }
         }
     }
 
-    fn live(&self, held: &mut Option<Job>, took: Option<TcpStream>) {
-        let begun = self.reach.clock.now();
-        let first = match (held.as_ref(), took) {
-            (Some(job), _) => match self.welcome(job, begun) {
+    /// Opens or adopts the connection, then carries jobs until it ends.
+    fn serve_jobs(&self, current: &mut Option<Job>, adopted: Option<TcpStream>) {
+        let started_at = self.context.clock.now();
+        let first = match (current.as_ref(), adopted) {
+            (Some(job), _) => match self.open_session(job, started_at) {
                 Ok(link) => Some(link),
-                Err(ending) => {
-                    if let Some(job) = held.take() {
-                        self.tell(&job, ending, Reply::default());
+                Err(outcome) => {
+                    if let Some(job) = current.take() {
+                        self.report_outcome(&job, outcome, Reply::default());
                     }
                     return;
                 }
             },
             (None, Some(stream)) => {
-                let link = Link::came(stream, self.reach.buffers());
+                let link = Link::new(stream, self.context.buffers());
                 link.ok().and_then(|link| {
-                    let _ = self.pool.send(ToMember::Up(self.id, link.bell()));
-                    self.rest(link, held)
+                    let _ = self.pool.send(MemberMessage::WakerReady(self.id, link.waker()));
+                    self.wait_for_job(link, current)
                 })
             }
             (None, None) => None,
         };
         let Some(mut link) = first else { return };
-        let took = (self.reach.clock.now() - begun).as_micros() as u64;
-        if held.is_some() {
-            self.reach.counters.connect_most_us.at_least(took);
+        let took = (self.context.clock.now() - started_at).as_micros() as u64;
+        if current.is_some() {
+            self.context.counters.connect_most_us.record_max(took);
         }
         loop {
-            let Some(job) = held.as_ref() else { return };
-            let outcome = self.serve(&mut link, job);
-            let suspect = matches!((job, outcome.ending), (Job::Probe { .. }, Ending::TimedOut));
-            // Given up is given up: the connection ends before the desk can send the txn again.
-            let kept = outcome.usable.then_some(link);
-            if let Some(job) = held.take() {
-                self.tell(&job, outcome.ending, outcome.reply);
-            }
-            if suspect {
-                // A machine that has fallen silent resets its old connections when it is back.
-                let _ = self.pool.send(ToMember::Spare);
-            }
-            let Some(back) = kept.and_then(|link| self.rest(link, held)) else { return };
+            let Some(job) = current.as_ref() else { return };
+            let result = self.run_job(&mut link, job);
+            let peer_is_suspect =
+                matches!((job, result.outcome), (Job::Probe { .. }, AttemptOutcome::TimedOut));
+            // Drops an unusable connection before the outcome is reported: it must have ended before the dispatcher
+            // can send the txn again.
+            let reusable = result.usable.then_some(link);
+            if let Some(job) = current.take() {
+                self.report_outcome(&job, result.outcome, result.reply);
+            }
+            if peer_is_suspect {
+                // A machine that stopped responding resets its old connections when it is back.
+                let _ = self.pool.send(MemberMessage::CloseIdle);
+            }
+            let Some(back) = reusable.and_then(|link| self.wait_for_job(link, current)) else { return };
             link = back;
         }
     }
 
-    /// Stands idle until the next job is held; `None` once the connection is over or another process's.
-    fn rest(&self, mut link: Link, held: &mut Option<Job>) -> Option<Link> {
-        let _ = self.pool.send(ToMember::Idle(self.id));
+    /// Waits for the next job; `None` if the connection is over or belongs to another process.
+    fn wait_for_job(&self, mut link: Link, current: &mut Option<Job>) -> Option<Link> {
+        let _ = self.pool.send(MemberMessage::Idle(self.id));
         loop {
-            match self.next_mail() {
-                Ok(ToConnection::Job(job)) => {
+            match self.next_message() {
+                Ok(ConnectionMessage::Job(job)) => {
                     // Checked for an end before it is used again.
-                    if !still_quiet(&mut link) {
-                        let _ = self.pool.send(ToMember::Job(job));
+                    if !is_still_idle(&mut link) {
+                        let _ = self.pool.send(MemberMessage::Job(job));
                         return None;
                     }
-                    *held = Some(job);
+                    *current = Some(job);
                     return Some(link);
                 }
-                Ok(ToConnection::Cancel(_)) => {}
-                Ok(ToConnection::Give(name, to)) => {
-                    if still_quiet(&mut link)
+                Ok(ConnectionMessage::Cancel(_)) => {}
+                Ok(ConnectionMessage::Transfer(name, to)) => {
+                    if is_still_idle(&mut link)
                         && let Ok(descriptor) = link.descriptor()
                     {
                         let _ = to.send((name, descriptor));
                     }
                     return None;
                 }
-                Ok(ToConnection::Close) => {
+                Ok(ConnectionMessage::Close) => {
                     let _ = link.queue(&pg::terminate()).and_then(|()| link.pump());
                     return None;
                 }
-                // Nobody can use it any more.
+                // The pool has ended.
                 Err(TryRecvError::Disconnected) => return None,
-                Err(_) if !still_quiet(&mut link) => return None,
+                Err(_) if !is_still_idle(&mut link) => return None,
                 Err(_) => link.wait(),
             }
         }
     }
 
-    /// All that is ready to run does, and the desk takes what was posted to it. To give way alone would not do:
-    /// `may` takes up what other threads have woken only once nothing else runs.
-    fn turn(&self) {
-        let (tell, told) = channel();
-        if self.reach.desk.send(ToDesk::Turn(tell)).is_ok() {
-            let _ = told.recv();
+    /// Waits until the dispatcher has handled everything that was sent to it before. Yielding alone is not enough:
+    /// `may` takes up what other threads have woken only when nothing else runs.
+    fn dispatcher_barrier(&self) {
+        let (reply, done) = channel();
+        if self.context.dispatcher.send(DispatcherMessage::Barrier(reply)).is_ok() {
+            let _ = done.recv();
         }
     }
 
-    fn next_mail(&self) -> Result<ToConnection, TryRecvError> {
-        self.kept.borrow_mut().pop_front().map_or_else(|| self.mail.try_recv(), Ok)
+    fn next_message(&self) -> Result<ConnectionMessage, TryRecvError> {
+        self.deferred.borrow_mut().pop_front().map_or_else(|| self.messages.try_recv(), Ok)
     }
 
-    /// Connects, and waits for the member's welcome; the error says how the job ended that wanted it.
-    fn welcome(&self, job: &Job, begun: Duration) -> Result<Link, Ending> {
-        let (clock, limit) = (&self.reach.clock, begun + self.reach.connect);
-        let give_up = self.give_up(job);
-        let until = limit.min(give_up);
-        // Out of time for the txn is no word on the member.
-        let late =
-            |at: Duration| if at >= give_up && at < limit { Ending::Moot } else { Ending::Unreachable };
-        let up = |bell| {
-            let _ = self.pool.send(ToMember::Up(self.id, bell));
+    /// Connects, and waits until the member is ready; the error is the outcome of the job that needed the connection.
+    fn open_session(&self, job: &Job, started_at: Duration) -> Result<Link, AttemptOutcome> {
+        let (clock, limit) = (&self.context.clock, started_at + self.context.connect_timeout);
+        let deadline = self.deadline(job);
+        let until = limit.min(deadline);
+        // Running out of the txn's time proves nothing about the member.
+        let late = |at: Duration| {
+            if at >= deadline && at < limit { AttemptOutcome::Moot } else { AttemptOutcome::Unreachable }
+        };
+        let up = |waker| {
+            let _ = self.pool.send(MemberMessage::WakerReady(self.id, waker));
         };
-        let wanted = Wanted { to: self.address, until, limits: self.reach.buffers() };
+        let wanted = ConnectRequest { to: self.address, until, limits: self.context.buffers() };
         let connected = connect(clock, &wanted, &up, &|| self.cancelled(job));
         let mut link = connected.map_err(|why| {
-            slog::debug!(self.reach.log, "no connection"; "why" => %why, "server" => self.member);
+            slog::debug!(self.context.log, "no connection to a server"; "why" => %why, "server" => self.member);
             match why {
-                NoConnection::Cancelled | NoConnection::TooLate | NoConnection::LocalShortage(_) => {
-                    Ending::Moot
+                ConnectFailure::Cancelled | ConnectFailure::TooLate | ConnectFailure::LocalShortage(_) => {
+                    AttemptOutcome::Moot
                 }
-                NoConnection::TimedOut | NoConnection::Failed(_) => late(clock.now()),
+                ConnectFailure::TimedOut | ConnectFailure::Failed(_) => late(clock.now()),
             }
         })?;
-        link.queue(&pg::startup("api", "ledger")).map_err(|_| Ending::Unreachable)?;
+        link.queue(&pg::startup("api", "ledger")).map_err(|_| AttemptOutcome::Unreachable)?;
         for busy in 1u32.. {
             let pumped = link.pump();
             while let Some((kind, body, length)) =
-                pg::message(link.inbound.make_contiguous(), self.reach.longest)
-                    .map_err(|_| Ending::Unreachable)?
+                pg::message(link.inbound.make_contiguous(), self.context.max_message_bytes)
+                    .map_err(|_| AttemptOutcome::Unreachable)?
             {
                 match kind {
                     b'Z' => {
                         link.inbound.drain(..length);
                         return Ok(link);
                     }
-                    b'E' if pg::error_field(body, b'C') == Some(pg::TOO_MANY) => return Err(Ending::Full),
-                    b'E' => return Err(Ending::Unreachable),
-                    b'R' if !body.starts_with(&[0; 4]) => return Err(Ending::Unreachable),
+                    b'E' if pg::error_field(body, b'C') == Some(pg::TOO_MANY_CONNECTIONS) => {
+                        return Err(AttemptOutcome::Full);
+                    }
+                    b'E' => return Err(AttemptOutcome::Unreachable),
+                    b'R' if !body.starts_with(&[0; 4]) => return Err(AttemptOutcome::Unreachable),
                     _ => {}
                 }
                 link.inbound.drain(..length);
             }
             let now = clock.now();
             if pumped.is_err() || link.ended || now >= until {
-                return Err(if pumped.is_ok() && !link.ended { late(now) } else { Ending::Unreachable });
+                return Err(if pumped.is_ok() && !link.ended {
+                    late(now)
+                } else {
+                    AttemptOutcome::Unreachable
+                });
             }
             if self.cancelled(job) {
-                return Err(Ending::Moot);
+                return Err(AttemptOutcome::Moot);
             }
             if matches!(pumped, Ok(false)) {
                 link.wait();
             } else {
-                // It may talk without an end, and nobody else would have a turn.
-                clock.take_turns(busy, link.is_short());
+                // A member that sends without an end must not starve the others.
+                clock.yield_if_busy(busy, link.lacks_memory());
             }
         }
-        Err(Ending::Unreachable)
+        Err(AttemptOutcome::Unreachable)
     }
 
-    fn give_up(&self, job: &Job) -> Duration {
+    /// When the job is given up.
+    fn deadline(&self, job: &Job) -> Duration {
         match job {
-            Job::Submit(submit) => submit.give_up,
-            Job::Probe { at } => *at + self.reach.connect,
+            Job::Submit(submit) => submit.deadline,
+            Job::Probe { at } => *at + self.context.connect_timeout,
         }
     }
 
+    /// Whether the job has been cancelled; all other messages are kept for later.
     fn cancelled(&self, job: &Job) -> bool {
-        let mut kept = self.kept.borrow_mut();
-        kept.extend(std::iter::from_fn(|| self.mail.try_recv().ok()));
-        let before = kept.len();
-        kept.retain(
-            |mail| !matches!((mail, job), (ToConnection::Cancel(t), Job::Submit(s)) if *t == s.ticket),
+        let mut deferred = self.deferred.borrow_mut();
+        deferred.extend(std::iter::from_fn(|| self.messages.try_recv().ok()));
+        let before = deferred.len();
+        deferred.retain(
+            |message| !matches!((message, job), (ConnectionMessage::Cancel(t), Job::Submit(s)) if *t == s.request_id),
         );
-        kept.len() < before
+        deferred.len() < before
     }
 
     /// Carries one job to its end.
-    fn serve(&self, link: &mut Link, job: &Job) -> Outcome {
-        let (clock, give_up, mut reply) = (&self.reach.clock, self.give_up(job), Reply::default());
-        // After a standstill its client's end may lie unread: the client's actor has its turn first, then the desk.
-        clock.pulse();
-        (0..TURNS).take_while(|_| clock.stood_still()).for_each(|_| self.turn());
+    fn run_job(&self, link: &mut Link, job: &Job) -> JobResult {
+        let (clock, deadline, mut reply) = (&self.context.clock, self.deadline(job), Reply::default());
+        // After a stall the client's end may still be unread: its actor gets a turn first, then the dispatcher.
+        clock.note_running();
+        (0..BARRIERS_AFTER_STALL)
+            .take_while(|_| clock.recently_stalled())
+            .for_each(|_| self.dispatcher_barrier());
         let now = clock.now();
         let text = match job {
             Job::Submit(submit) => {
-                let left = submit.give_up.saturating_sub(now).as_millis();
+                let left = submit.deadline.saturating_sub(now).as_millis();
                 pg::with_time_left(&submit.statement, &submit.left, left)
             }
             Job::Probe { .. } => "SHOW server_load".to_owned(),
         };
-        if now >= give_up || self.cancelled(job) || !self.permitted(job, now) {
-            return Outcome { ending: Ending::Moot, reply, usable: true };
+        if now >= deadline || self.cancelled(job) || !self.permitted(job, now) {
+            return JobResult { outcome: AttemptOutcome::Moot, reply, usable: true };
         }
         if let Err(failure) = link.queue(&pg::query(&text)) {
-            return broken(&failure, reply);
+            return result_of_failure(&failure, reply);
         }
         let mut written = false;
         for busy in 1u32.. {
-            // What the machine did not take at once begins only with its last byte.
-            if busy > 1 && !link.flushed() && !self.may_go_on(job) {
-                return Outcome { ending: Ending::Moot, reply, usable: false };
+            // The statement takes effect only with its last byte: if it was not written at once, check again before
+            // each further write.
+            if busy > 1 && !link.is_flushed() && !self.may_continue(job) {
+                return JobResult { outcome: AttemptOutcome::Moot, reply, usable: false };
             }
             let pumped = link.pump();
             if let Err(why) = self.read(link, &mut reply, now) {
-                slog::warn!(self.reach.log, "a member talks nonsense"; "member" => self.member, "why" => why);
-                // Nothing that such an answer says is believed.
-                return Outcome { ending: Ending::Spoilt, reply: Reply::default(), usable: false };
+                slog::warn!(self.context.log, "a member sent an invalid answer"; "member" => self.member, "why" => why);
+                // Nothing in such an answer is used.
+                return JobResult { outcome: AttemptOutcome::Spoilt, reply: Reply::default(), usable: false };
             }
-            let unsent = !link.flushed();
+            let unsent = !link.is_flushed();
             if !unsent
                 && !std::mem::replace(&mut written, true)
                 && let Job::Submit(submit) = job
             {
-                submit.permit.written(clock.now());
+                submit.permit.record_written(clock.now());
                 let event = RequestEvent::Written { server: self.member, connection: self.id };
-                self.reach.request_log.request(submit.ticket, event);
+                self.context.request_log.request(submit.request_id, event);
             }
             if reply.ready {
-                // Ready without an answer is no proof of anything.
-                let Some(ending) = reply.ending().filter(|_| !unsent) else {
-                    return Outcome { ending: Ending::Spoilt, reply: Reply::default(), usable: false };
+                // Ready without an answer proves nothing.
+                let Some(outcome) = reply.outcome().filter(|_| !unsent) else {
+                    return JobResult {
+                        outcome: AttemptOutcome::Spoilt,
+                        reply: Reply::default(),
+                        usable: false,
+                    };
                 };
-                return Outcome { ending, reply, usable: true };
+                return JobResult { outcome, reply, usable: true };
             }
             match pumped {
-                Err(failure) => return broken(&failure, reply),
+                Err(failure) => return result_of_failure(&failure, reply),
                 Ok(_) if link.ended => {
                     let reached = if unsent { Reached::Connection } else { Reached::Written };
-                    return broken(&Failure { reached, why: "the member ended".to_owned() }, reply);
+                    return result_of_failure(
+                        &Failure { reached, why: "the member closed the connection".to_owned() },
+                        reply,
+                    );
                 }
                 Ok(_) => {}
             }
             let stop = if self.cancelled(job) {
-                Some(Ending::Cancelled)
+                Some(AttemptOutcome::Cancelled)
             } else {
-                (clock.now() >= give_up).then_some(Ending::TimedOut)
+                (clock.now() >= deadline).then_some(AttemptOutcome::TimedOut)
             };
-            if let Some(ending) = stop {
-                let ending = if unsent { Ending::Moot } else { ending };
-                return Outcome { ending, reply, usable: false };
+            if let Some(outcome) = stop {
+                let outcome = if unsent { AttemptOutcome::Moot } else { outcome };
+                return JobResult { outcome, reply, usable: false };
             }
             if matches!(pumped, Ok(false)) {
-                self.wait(link, give_up);
+                self.wait_until(link, deadline);
             } else {
-                // An answer without an end, as fast as it is read: nobody else would have a turn.
-                clock.take_turns(busy, link.is_short());
+                // An answer without an end must not starve the others.
+                clock.yield_if_busy(busy, link.lacks_memory());
             }
         }
-        Outcome { ending: Ending::Spoilt, reply: Reply::default(), usable: false }
+        JobResult { outcome: AttemptOutcome::Spoilt, reply: Reply::default(), usable: false }
     }
 
-    /// The last look before the first byte. Probes belong to no request.
+    /// The last check before the first byte is written. Probes belong to no request.
     fn permitted(&self, job: &Job, now: Duration) -> bool {
         let Job::Submit(submit) = job else { return true };
-        let withheld = submit.permit.settle(now).err();
+        let withheld = submit.permit.consume(now).err();
         if let Some(why) = withheld {
             let event = RequestEvent::Withheld { server: self.member, why };
-            self.reach.request_log.request(submit.ticket, event);
+            self.context.request_log.request(submit.request_id, event);
         }
         withheld.is_none()
     }
 
-    fn may_go_on(&self, job: &Job) -> bool {
+    fn may_continue(&self, job: &Job) -> bool {
         let Job::Submit(submit) = job else { return true };
-        submit.permit.may_go_on(self.reach.clock.now()).is_ok()
+        submit.permit.may_continue(self.context.clock.now()).is_ok()
     }
 
-    /// Waits, until that time at the longest. One alarm is out at a time: most txns end long before theirs.
-    fn wait(&self, link: &mut Link, until: Duration) {
-        if self.rings.get() <= self.reach.clock.now() || self.rings.get() > until {
-            self.rings.set(until);
-            let bell = link.bell();
-            self.reach.clock.at(until, move || bell.ring());
+    /// Waits for an event, until that time at most. Only one timer is pending at a time, as most txns end long before
+    /// theirs.
+    fn wait_until(&self, link: &mut Link, until: Duration) {
+        if self.timer_set_for.get() <= self.context.clock.now() || self.timer_set_for.get() > until {
+            self.timer_set_for.set(until);
+            let waker = link.waker();
+            self.context.clock.run_at(until, move || waker.wake());
         }
         link.wait();
     }
 
-    /// Takes up the positions of a whole answer, by the time as it is then.
+    /// Checks the positions of a complete answer, and dates them by the origin as it is then.
     fn judge(&self, reply: &mut Reply, asked: Duration) -> Result<(), String> {
-        let (reach, member) = (&self.reach, self.member);
-        let date = |reply: &Reply| reply.position_unix.and_then(|at| reach.clock.origin().position(at));
-        plausible(reach, member, reply.role, date(reply), asked)?;
+        let (context, member) = (&self.context, self.member);
+        let date = |reply: &Reply| reply.position_unix.and_then(|at| context.clock.origin().position(at));
+        check_position(context, member, reply.role, date(reply), asked)?;
         if let Some(text) = &reply.load_text {
-            // One that can't be read takes nothing from the answer that it came with.
-            let told = load_report(reach, member, text, asked);
-            if let Err(why) = &told {
-                slog::debug!(reach.log, "a load can't be read"; "member" => member, "why" => why);
+            // An unreadable load report does not spoil the answer that it came with.
+            let reported = load_report(context, member, text, asked);
+            if let Err(why) = &reported {
+                slog::debug!(context.log, "the load report of an answer is invalid"; "member" => member, "why" => why);
             }
-            reply.load = told.ok();
+            reply.load = reported.ok();
         }
-        // By the origin as it is now: either of the two may have corrected it. A load is judged last.
+        // Dated last, as either check may have corrected the origin.
         reply.position = date(reply);
         Ok(())
     }
 
+    /// Reads the messages that have come in.
     fn read(&self, link: &mut Link, reply: &mut Reply, asked: Duration) -> Result<(), String> {
         while let Some((kind, body, length)) =
-            pg::message(link.inbound.make_contiguous(), self.reach.longest)?
+            pg::message(link.inbound.make_contiguous(), self.context.max_message_bytes)?
         {
-            // In this order, each once: description, row, end; or an error and nothing else.
+            // The messages must come in this order, each once: description, row, completion; or one error.
             let next =
                 |whole: bool| if whole { Ok(()) } else { Err("expected one answer of one row".to_owned()) };
             match kind {
@@ -648,18 +697,18 @@
                     Some(("node_role", "leader")) => reply.role = Some(Role::Primary),
                     Some(("node_role", "follower")) => reply.role = Some(Role::Replica),
                     Some(("replay_position", ms)) => {
-                        reply.position_unix = ms.parse::<f64>().ok().and_then(door::micros);
+                        reply.position_unix = ms.parse::<f64>().ok().and_then(deployment::micros);
                     }
                     Some(("server_load", text)) => reply.load_text = Some(text.to_owned()),
                     _ => {}
                 },
                 b'T' => {
-                    next(!reply.described && reply.error.is_none() && pg::one_column(body))?;
+                    next(!reply.described && reply.error.is_none() && pg::has_one_column(body))?;
                     reply.described = true;
                 }
                 b'D' => {
                     next(reply.described && reply.value.is_none())?;
-                    let value = pg::column(body).ok_or("expected a row of one column")?;
+                    let value = pg::single_column(body).ok_or("expected a row of one column")?;
                     reply.value = Some(value.to_vec());
                 }
                 b'C' => {
@@ -681,7 +730,7 @@
                 }
             }
             if matches!(kind, b'T' | b'D' | b'C' | b'E') {
-                // Contiguous since it was read.
+                // Contiguous since the message was read.
                 reply.raw.extend_from_slice(&link.inbound.as_slices().0[..length]);
             }
             link.inbound.drain(..length);
@@ -692,89 +741,108 @@
         Ok(())
     }
 
-    fn tell(&self, job: &Job, ending: Ending, reply: Reply) {
-        if matches!(ending, Ending::Dropped) {
-            self.reach.counters.connections_lost.add();
+    fn report_outcome(&self, job: &Job, outcome: AttemptOutcome, reply: Reply) {
+        if matches!(outcome, AttemptOutcome::Dropped) {
+            self.context.counters.connections_lost.add();
         }
-        tell(&self.reach, self.member, job, ending, reply);
+        report_outcome(&self.context, self.member, job, outcome, reply);
     }
 }
 
-/// What a member says of itself. One that has made no report yet says 0 to all: that tells nothing, its role
-/// neither.
+/// Parses a member's load report. A member that has made no report yet sends 0 in all fields: that tells nothing, not
+/// even its role.
 fn report(text: &str, origin: &Origin) -> Result<Report, String> {
     let fields = || text.split(',').filter_map(|part| part.trim().split_once('='));
     if fields().any(|(name, at)| name == "x0" && at.parse() == Ok(0.0)) {
         return Ok(Report::default());
     }
-    door::report(fields(), origin)
+    deployment::parse_report(fields(), origin)
 }
 
-/// Reads what a server says of itself and judges its position; the report is dated by the origin as it is after that.
-fn load_report(reach: &Reach, server: usize, text: &str, asked: Duration) -> Result<Report, String> {
-    let told = report(text, &reach.clock.origin())?;
-    plausible(reach, server, told.role, told.position, asked)?;
-    report(text, &reach.clock.origin())
+/// Parses a server's load report and checks its position; the result is dated by the origin as it is after that.
+fn load_report(context: &PoolContext, server: usize, text: &str, asked: Duration) -> Result<Report, String> {
+    let reported = report(text, &context.clock.origin())?;
+    check_position(context, server, reported.role, reported.position, asked)?;
+    report(text, &context.clock.origin())
 }
 
-/// No server can have a commit still to come: either its clock is wrong or this process is behind. What was known before
-/// is given up once that is proven.
-fn plausible(
-    reach: &Reach,
+/// Checks a position against the time: no server can have a commit from the future, so either its clock is wrong or
+/// this process's is behind. If the latter is proven, the dispatcher discards what it knew before.
+fn check_position(
+    context: &PoolContext,
     server: usize,
     role: Option<Role>,
     position: Option<Duration>,
     asked: Duration,
 ) -> Result<(), String> {
     let Some(position) = position else { return Ok(()) };
-    let (primary, now) = (role == Some(Role::Primary), reach.clock.now());
-    match reach.clock.judge(Told { server, position, primary, asked, now }) {
+    let (primary, now) = (role == Some(Role::Primary), context.clock.now());
+    match context.clock.judge(PositionSample { server, position, primary, asked, now }) {
         Verdict::Plausible => Ok(()),
         Verdict::Behind(by) => {
-            let _ = reach.desk.send(ToDesk::ClockAdvanced(by));
+            let _ = context.dispatcher.send(DispatcherMessage::ClockAdvanced(by));
             Ok(())
         }
         Verdict::Implausible => Err("expected a position in the past".to_owned()),
     }
 }
 
-/// Tells the desk how a job ended.
-fn tell(reach: &Reach, member: usize, job: &Job, ending: Ending, reply: Reply) {
-    let mail = match job {
+/// Reports the outcome of a job to the dispatcher.
+fn report_outcome(context: &PoolContext, member: usize, job: &Job, outcome: AttemptOutcome, reply: Reply) {
+    let message = match job {
         Job::Submit(submit) => {
             let (role, position, load) = (reply.role, reply.position, reply.load);
-            let (ticket, sent, row, at) = (submit.ticket, submit.at, reply.raw, reach.clock.now());
-            ToDesk::Ended(Box::new(End { ticket, member, ending, role, position, load, sent, at, row }))
+            let (request_id, sent, row, at) = (submit.request_id, submit.at, reply.raw, context.clock.now());
+            DispatcherMessage::AttemptEnded(Box::new(AttemptEnd {
+                request_id,
+                member,
+                outcome,
+                role,
+                position,
+                load,
+                sent,
+                at,
+                row,
+            }))
         }
         Job::Probe { .. } => {
             let text = String::from_utf8(reply.value.unwrap_or_default());
-            let told = text.map_err(|e| e.to_string()).and_then(|text| {
+            let reported = text.map_err(|e| e.to_string()).and_then(|text| {
                 let asked = if let Job::Probe { at } = job { *at } else { Duration::ZERO };
-                load_report(reach, member, &text, asked)
+                load_report(context, member, &text, asked)
             });
-            match told {
-                Ok(report) => ToDesk::Probed { member, ending, report },
+            match reported {
+                Ok(report) => DispatcherMessage::Probed { member, outcome, report },
                 Err(why) => {
-                    slog::warn!(reach.log, "a report can't be read"; "why" => why);
-                    ToDesk::Probed { member, ending: Ending::Spoilt, report: Report::default() }
+                    slog::warn!(context.log, "the load report of a probe is invalid"; "why" => why);
+                    DispatcherMessage::Probed {
+                        member,
+                        outcome: AttemptOutcome::Spoilt,
+                        report: Report::default(),
+                    }
                 }
             }
         }
     };
-    let _ = reach.desk.send(mail);
+    let _ = context.dispatcher.send(message);
 }
 
-fn broken(failure: &Failure, reply: Reply) -> Outcome {
-    // An answer that came whole counts, though the connection did not last; of another nothing is believed.
-    let lost = if failure.reached < Reached::Written { Ending::Unreachable } else { Ending::Dropped };
-    match reply.ending() {
-        Some(ending) => Outcome { ending, reply, usable: false },
-        None => Outcome { ending: lost, reply: Reply::default(), usable: false },
+/// The result of a job whose connection failed.
+fn result_of_failure(failure: &Failure, reply: Reply) -> JobResult {
+    // A complete answer counts although the connection failed; nothing in an incomplete one is used.
+    let lost = if failure.reached < Reached::Written {
+        AttemptOutcome::Unreachable
+    } else {
+        AttemptOutcome::Dropped
+    };
+    match reply.outcome() {
+        Some(outcome) => JobResult { outcome, reply, usable: false },
+        None => JobResult { outcome: lost, reply: Reply::default(), usable: false },
     }
 }
 
-/// Whether an idle connection has neither ended nor said anything out of turn.
-fn still_quiet(link: &mut Link) -> bool {
+/// Whether an idle connection has neither ended nor received anything unexpected.
+fn is_still_idle(link: &mut Link) -> bool {
     link.pump().is_ok() && !link.ended && link.inbound.is_empty()
 }
 
--- /dev/null
+++ b/crates/front/tests/dispatcher.rs
@@ -0,0 +1,184 @@
+//! The dispatcher alone, surrounded by actors of the test.
+
+use juniperdock_connection::{BufferLimits, Link};
+use juniperdock_front::clock::Clock;
+use juniperdock_front::counters::Counters;
+use juniperdock_front::dispatcher::{Dispatcher, SpawnMember};
+use juniperdock_front::mailbox::Mailbox;
+use juniperdock_front::messages::{Answer, Arrival, DispatcherMessage, Job, MemberMessage};
+use juniperdock_front::request_log::RequestLog;
+use juniperdock_request_guard::{ClientPresence, RequestGuard};
+use juniperdock_router::host::AttemptOutcome;
+use juniperdock_router::host::Role;
+use juniperdock_router::host::{ColdStart, Consistency, Effect, FrontInfo, Report, TxnType};
+use juniperdock_router::routing::Router;
+use juniperdock_server_list::{ProbeLimits, ProbeQueue, ServerList};
+use may::sync::mpsc::channel;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+fn list(at: SocketAddr) -> ServerList {
+    let entry = format!(r#"{{"id":"m","addr":"{at}","cell":3,"state":"up"}}"#);
+    let text = format!(r#"{{"version":1,"full":true,"servers":[{entry}]}}"#);
+    ServerList::parse(text.as_bytes()).expect("a list")
+}
+
+/// A client that does not leave.
+struct Stays;
+
+impl ClientPresence for Stays {
+    fn has_left(&self) -> bool {
+        false
+    }
+}
+
+/// An order that came in at that time.
+fn arrival(
+    request_id: u64,
+    at: Duration,
+    expiry: Duration,
+    client: Mailbox<(u64, Answer)>,
+) -> DispatcherMessage {
+    let (txn_type, group, statement, left) = (0, 3, "".into(), 0..0);
+    let (retried, session, wrote_ago) = (false, None, None);
+    let guard = RequestGuard::new(expiry, Box::new(Stays), Arc::default());
+    DispatcherMessage::RequestArrived(Box::new(Arrival {
+        request_id,
+        at,
+        txn_type,
+        group,
+        expiry,
+        retried,
+        session,
+        wrote_ago,
+        statement,
+        left,
+        client,
+        guard,
+    }))
+}
+
+fn probes() -> ProbeQueue {
+    ProbeQueue::new(1, ProbeLimits::for_connections(100))
+}
+
+fn make_router() -> Result<Router, String> {
+    let sla = Duration::from_secs(1);
+    let (effect, consistency) = (Effect::OnceOnly, Consistency::Write);
+    let txn_types = vec![TxnType { sla, value: 1.0, late_value: 0.0, effect, consistency }];
+    let cold = ColdStart { share: 1.0, warm_up: sla, multiple: 2.0, window: sla };
+    Ok(Router::new(1, FrontInfo { index: 0, fronts: 1, zone: 0 }, txn_types, cold))
+}
+
+fn link_to(at: SocketAddr) -> Link {
+    let stream = std::net::TcpStream::connect(at).expect("a connection");
+    Link::new(stream, BufferLimits { inbound: 1, outbound: 1 }).expect("a link")
+}
+
+#[test]
+fn after_a_panic_the_dispatcher_answers_all_and_goes_on() {
+    let (clock, _run_timers) = Clock::start(Duration::ZERO).expect("a clock");
+    let ((sender, messages), (discovery, _discovery)) = (channel(), channel());
+    let spawn_member: SpawnMember = Box::new(|_, _, _, _| Ok(()));
+    let counters = Arc::new(Counters::default());
+    let log = slog::Logger::root(slog::Discard, slog::o!());
+    let (make_router, zones, now) = (Box::new(make_router), Vec::new(), clock.now());
+    let dispatcher = Dispatcher::new(
+        make_router,
+        vec!["order".to_owned()],
+        zones,
+        clock,
+        sender.clone(),
+        discovery,
+        spawn_member,
+        probes(),
+        counters.clone(),
+        log.clone(),
+        RequestLog::new(log, false),
+    );
+    let dispatcher = dispatcher.expect("a dispatcher");
+    std::thread::spawn(move || dispatcher.run(&messages));
+
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free address");
+    let at = listener.local_addr().expect("an address");
+    let link = link_to(at);
+    let (answers, received) = channel();
+    let arrival = |request_id, left| {
+        let client = Mailbox { sender: answers.clone(), waker: link.waker() };
+        arrival(request_id, now, now + Duration::from_secs(left), client)
+    };
+    let _ = sender.send(DispatcherMessage::List(list(at)));
+    let _ = sender.send(arrival(1, 9000));
+    // An input with which any router panics.
+    let _ = sender.send(DispatcherMessage::Probed {
+        member: 99,
+        outcome: AttemptOutcome::Committed,
+        report: Report::default(),
+    });
+    assert!(matches!(received.recv(), Ok((1, Answer::Unknown(_)))));
+    let _ = sender.send(arrival(2, 0));
+    assert!(matches!(received.recv(), Ok((2, Answer::Declined(_)))), "it goes on");
+    assert_eq!(counters.panics.read(), 1);
+}
+
+#[test]
+fn after_a_panic_no_answered_request_is_written() {
+    let (clock, _run_timers) = Clock::start(Duration::ZERO).expect("a clock");
+    let ((sender, messages), (discovery, _discovery), (jobs, job)) = (channel(), channel(), channel());
+    // The test plays the member's actor: the job stays unwritten.
+    let spawn_member: SpawnMember = Box::new(move |_, _, receiver, _| {
+        let jobs = jobs.clone();
+        std::thread::spawn(move || {
+            while let Ok(message) = receiver.recv() {
+                let _ = jobs.send(message);
+            }
+        });
+        Ok(())
+    });
+    let log = slog::Logger::root(slog::Discard, slog::o!());
+    let txn_types = vec!["order".to_owned()];
+    let (counters, zones) = (Arc::new(Counters::default()), Vec::new());
+    let dispatcher = Dispatcher::new(
+        Box::new(make_router),
+        txn_types,
+        zones,
+        clock.clone(),
+        sender.clone(),
+        discovery,
+        spawn_member,
+        probes(),
+        counters,
+        log.clone(),
+        RequestLog::new(log, false),
+    );
+    let dispatcher = dispatcher.expect("a dispatcher");
+    std::thread::spawn(move || dispatcher.run(&messages));
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free address");
+    let at = listener.local_addr().expect("an address");
+    let link = link_to(at);
+    let (answers, received) = channel();
+    let client = Mailbox { sender: answers, waker: link.waker() };
+    let _ = sender.send(DispatcherMessage::List(list(at)));
+    let report = Report { role: Some(Role::Primary), position: Some(clock.now()), ..Report::default() };
+    let _ = sender.send(DispatcherMessage::Probed { member: 0, outcome: AttemptOutcome::Committed, report });
+    let now = clock.now();
+    let _ = sender.send(arrival(1, now, now + Duration::from_secs(900), client));
+    let submit = loop {
+        if let MemberMessage::Job(Job::Submit(submit)) = job.recv().expect("a job") {
+            break submit;
+        }
+    };
+    assert_eq!(submit.permit.check(clock.now()), Ok(()));
+    // An input with which any router panics: the txn is answered while its connection is still being opened.
+    let _ = sender.send(DispatcherMessage::Probed {
+        member: 99,
+        outcome: AttemptOutcome::Committed,
+        report: Report::default(),
+    });
+    assert!(matches!(received.recv(), Ok((1, Answer::Unknown(_)))));
+    let (reply, done) = channel();
+    let _ = sender.send(DispatcherMessage::Barrier(reply));
+    let _ = done.recv();
+    assert!(submit.permit.consume(clock.now()).is_err(), "rule 1: nothing is sent after the answer");
+}
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Many processes of the program with faults between them: started, met by what a schedule says, written down
-//! in one history, and audited by that alone. `docs/fleet.md` says what is looked for.
+//! Runs many processes of the program under faults from a schedule, records one history, and audits it. The checks
+//! are described in `docs/fleet.md`.
 
 pub mod audit;
 mod control;
@@ -19,30 +19,34 @@
 pub use audit::{Figures, figures};
 pub use control::ask;
 pub use play::play;
-pub use schedule::{Harm, Mishap, Schedule};
+pub use schedule::{FaultKind, InjectedFault, Schedule};
 
 use std::path::Path;
 
-/// Plays a schedule and looks at its history.
-pub fn judged(schedule: &Schedule, seed: u64, program: &str, into: &Path) -> Result<Figures, String> {
+/// Plays a schedule and evaluates its history.
+pub fn play_and_evaluate(
+    schedule: &Schedule,
+    seed: u64,
+    program: &str,
+    into: &Path,
+) -> Result<Figures, String> {
     play(schedule, seed, program, into, None)?;
     Ok(figures(&history::read(into)?))
 }
 
-/// The least part of a schedule that still fails: mishaps are taken out one by one, as long as that is so, for
-/// so many plays at most.
-pub fn shrunk(
+/// Shrinks a failing schedule: removes faults one by one while it still fails, with at most `plays` runs.
+pub fn shrink(
     schedule: &Schedule,
     mut plays: usize,
     fails: &mut dyn FnMut(&Schedule) -> Result<bool, String>,
 ) -> Result<Schedule, String> {
-    let mut least = schedule.clone();
+    let mut minimal = schedule.clone();
     let mut at = 0;
-    while at < least.mishaps.len() && plays > 0 {
-        let mut less = least.clone();
-        less.mishaps.remove(at);
+    while at < minimal.mishaps.len() && plays > 0 {
+        let mut candidate = minimal.clone();
+        candidate.mishaps.remove(at);
         plays -= 1;
-        if fails(&less)? { least = less } else { at += 1 }
+        if fails(&candidate)? { minimal = candidate } else { at += 1 }
     }
-    Ok(least)
+    Ok(minimal)
 }
--- a/crates/lab/src/fleet/schedule.rs
+++ b/crates/lab/src/fleet/schedule.rs
@@ -1,124 +1,128 @@
-//! What befalls a fleet of processes, from a file in JSON5 or drawn from a seed.
+//! Schedules of faults for a fleet of processes, read from a JSON5 file or drawn from a seed.
 
 use garde::Validate;
-use juniperdock_charter::{Fault, fault};
 use juniperdock_emulator::Stream;
+use juniperdock_operator_config::{Fault, fault};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// What goes wrong. `front` and `other` say where; without `other`, to and from all of them.
+/// What a fault does. `front` and `other` select the processes; without `other`, all links of `front` in both
+/// directions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum Harm {
-    /// The process is killed, and starts again at the end with the same name and address.
+#[schemars(rename = "Harm")]
+pub enum FaultKind {
+    /// The process is killed; it restarts at the end with the same name and address.
     FrontKilled,
-    /// The process is told to end, and starts again at the end.
+    /// The process gets SIGTERM; it restarts at the end.
     FrontEnded,
-    /// The process is stopped, and goes on at the end.
+    /// The process is stopped, and continued at the end.
     FrontStopped,
-    /// The process is stopped and continued in short turns.
+    /// The process is alternately stopped and continued.
     FrontSlow,
-    /// The process hands over to a new one.
+    /// The process is replaced by a new one in a hot restart.
     Upgraded,
-    /// The fronts of `side` and the others do not hear each other.
+    /// The fronts of `side` and the others are partitioned from each other.
     Apart,
-    /// Nothing of what `front` sends comes to `other`.
+    /// Datagrams from `front` to `other` are dropped.
     OneWay,
-    /// `front` hears all and is heard by none.
+    /// All datagrams sent by `front` are dropped; it still receives.
     Unheard,
-    /// A `share` of datagrams, on all ways or those of `front`.
+    /// A `share` of datagrams is dropped, on all links or those of `front`.
     Lost,
     Doubled,
     Bent,
-    /// Later by up to `by` milliseconds, so that their order changes.
+    /// Datagrams are delayed by up to `by` milliseconds, so that their order changes.
     Late,
-    /// `by` old datagrams, or forged ones, a second on each way to `front`.
+    /// On each link to `front`, `by` old or forged datagrams per second are injected.
     Replayed,
     Forged,
-    /// `by` forged datagrams a second to `front`, from one other.
+    /// `by` forged datagrams per second are injected to `front`, on the link from one other front.
     Flooded,
-    /// `front` reaches no member.
+    /// `front` cannot reach any member.
     MembersCut,
-    /// `front` hears nothing from the list; all comes at the end.
+    /// `front` gets no list updates; all are delivered at the end.
     ListCut,
-    /// The primary of group `number` ends, and starts again cold.
+    /// The primary of group `number` exits, and restarts cold.
     PrimaryKilled,
-    /// It says nothing, and goes on where it stood.
+    /// The primary hangs, and continues from the same state.
     PrimaryHung,
-    /// No front reaches it; the other members do.
+    /// The fronts cannot reach the primary; the other members can.
     PrimaryCut,
-    /// Fronts reach it; the other members do not.
+    /// The other members cannot reach the primary; the fronts can.
     PrimaryApart,
-    /// The list says that it drains; it hands over, and starts again cold.
+    /// The list reports the primary as draining; it hands over, and restarts cold.
     PrimaryDrained,
-    /// It hands over, and nobody is told.
+    /// The primary hands over without any notification.
     PrimaryMoved,
-    /// Member `number` drains, and starts again cold.
+    /// Member `number` drains, and restarts cold.
     MemberDrained,
-    /// `front` is asked to roll the fleet, `number` fronts at once (1 where it is 0).
+    /// `front` is asked for a rolling restart of the fleet, `number` fronts at a time (1 if `number` is 0).
     RollOrdered,
-    /// Calls of the process on sockets stand still for up to `by` milliseconds, a `share` of them. This and the next
-    /// five meet all fronts where none is named.
+    /// A `share` of the process's socket calls is delayed by up to `by` milliseconds. This fault and the next five
+    /// affect all fronts if `front` is not given.
     HeldUp,
-    /// A `share` of accept, socket and connect fails.
+    /// A `share` of accept, socket and connect calls fails.
     CallsFail,
-    /// A `share` of reads and writes moves a part only, and as many are interrupted.
+    /// A `share` of reads and writes is partial, and the same share is interrupted.
     ShortCalls,
-    /// A `share` of the reads from members finds the connection broken.
+    /// A `share` of the reads from members fails with a broken connection.
     ConnectionsBreak,
-    /// The wall clock is `by` milliseconds ahead, or behind for an odd `number`.
+    /// The wall clock is `by` milliseconds ahead, or behind if `number` is odd.
     ClockStepped,
-    /// A `share` of the writes and syncs of files fails.
+    /// A `share` of file writes and syncs fails.
     DiskFails,
-    /// `by` idle clients a second come to `front` and stay.
+    /// `by` idle clients per second connect to `front` and stay.
     Crowd,
-    /// `front` is asked for a planned change of group `number`; once all hold, its primary hands over.
+    /// `front` is asked for a planned change of group `number`; once all fronts hold its writes, the primary hands
+    /// over.
     MoveOrdered,
 }
 
-impl Harm {
-    /// The ways in which a primary is lost.
-    pub const PRIMARY: [Harm; 6] = [
-        Harm::PrimaryKilled,
-        Harm::PrimaryHung,
-        Harm::PrimaryCut,
-        Harm::PrimaryApart,
-        Harm::PrimaryDrained,
-        Harm::PrimaryMoved,
+impl FaultKind {
+    /// The ways to lose a primary.
+    pub const PRIMARY: [FaultKind; 6] = [
+        FaultKind::PrimaryKilled,
+        FaultKind::PrimaryHung,
+        FaultKind::PrimaryCut,
+        FaultKind::PrimaryApart,
+        FaultKind::PrimaryDrained,
+        FaultKind::PrimaryMoved,
     ];
-    /// What a fleet's day is drawn from.
-    pub const ALL: [Harm; 19] = [
-        Harm::FrontKilled,
-        Harm::FrontEnded,
-        Harm::FrontStopped,
-        Harm::FrontSlow,
-        Harm::Upgraded,
-        Harm::Apart,
-        Harm::OneWay,
-        Harm::Unheard,
-        Harm::Lost,
-        Harm::Doubled,
-        Harm::Bent,
-        Harm::Late,
-        Harm::Replayed,
-        Harm::Forged,
-        Harm::Flooded,
-        Harm::MembersCut,
-        Harm::ListCut,
-        Harm::PrimaryKilled,
-        Harm::MemberDrained,
+    /// The kinds that a random schedule draws from.
+    pub const ALL: [FaultKind; 19] = [
+        FaultKind::FrontKilled,
+        FaultKind::FrontEnded,
+        FaultKind::FrontStopped,
+        FaultKind::FrontSlow,
+        FaultKind::Upgraded,
+        FaultKind::Apart,
+        FaultKind::OneWay,
+        FaultKind::Unheard,
+        FaultKind::Lost,
+        FaultKind::Doubled,
+        FaultKind::Bent,
+        FaultKind::Late,
+        FaultKind::Replayed,
+        FaultKind::Forged,
+        FaultKind::Flooded,
+        FaultKind::MembersCut,
+        FaultKind::ListCut,
+        FaultKind::PrimaryKilled,
+        FaultKind::MemberDrained,
     ];
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct Mishap {
+#[schemars(rename = "Mishap")]
+pub struct InjectedFault {
     #[garde(range(min = 0.0, max = 3600.0))]
     pub at_s: f64,
     #[garde(range(min = 0.0, max = 3600.0))]
     pub lasts_s: f64,
     #[garde(skip)]
-    pub what: Harm,
+    pub what: FaultKind,
     #[garde(skip)]
     #[serde(default)]
     pub front: Option<usize>,
@@ -128,7 +132,7 @@
     #[garde(skip)]
     #[serde(default)]
     pub side: Vec<usize>,
-    /// A member or group.
+    /// The number of a member or group; see the kind of fault.
     #[garde(skip)]
     #[serde(default)]
     pub number: usize,
@@ -140,7 +144,7 @@
     pub by: Option<f64>,
 }
 
-/// Processes, their load, and what befalls them.
+/// A fleet of processes, its load, and the faults injected into it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct Schedule {
@@ -156,39 +160,39 @@
     pub per_second: f64,
     #[garde(range(min = 1.0, max = 3600.0))]
     pub lasts_s: f64,
-    /// The fronts' own period.
+    /// The fronts' membership period.
     #[garde(range(min = 50, max = 10_000))]
     pub every_ms: u64,
-    /// Fronts that speak the older version.
+    /// Fronts that use the older protocol version.
     #[garde(skip)]
     pub older: Vec<usize>,
-    /// How often a client asks again that was declined or not answered.
+    /// How often a client retries after a decline or a missing answer.
     #[garde(range(min = 0, max = 100))]
     pub retries: u32,
-    /// A share of the clients that leave before they have their answer.
+    /// The share of clients that leave before they have their answer.
     #[garde(range(min = 0.0, max = 1.0))]
     pub leaves: f64,
-    /// The descriptors of each front.
+    /// The descriptor limit of each front.
     #[garde(range(min = 52, max = 1024))]
     pub sockets: u32,
-    /// Processes that are told to end get further signals meanwhile, and are killed at the end of the mishap whether or not
-    /// they have ended: what is left without an answer then shows in the history.
+    /// Terminating processes get further signals, and are killed at the end of the fault whether or not they have
+    /// exited. Requests left without an answer then show in the history.
     #[garde(skip)]
     pub kills_the_ending: bool,
-    /// The time of every txn; its client waits for two fifths of it at least.
+    /// The expiry of every txn; its client waits for at least two fifths of it.
     #[garde(range(min = 100, max = 60_000))]
     pub expiry_ms: u64,
-    /// From a primary's loss until another follows.
+    /// The range of the time from the loss of a primary to the election of its successor.
     #[garde(inner(range(min = 10.0, max = 60_000.0)))]
     pub lost_ms: [f64; 2],
-    /// Whether the fronts know each other at all.
+    /// Whether the fronts run the membership protocol.
     #[garde(skip)]
     pub fellows: bool,
-    /// Whether work on behalf of all has one owner.
+    /// Whether each fleet task has a single owner.
     #[garde(skip)]
     pub duties: bool,
     #[garde(dive)]
-    pub mishaps: Vec<Mishap>,
+    pub mishaps: Vec<InjectedFault>,
 }
 
 impl Default for Schedule {
@@ -215,10 +219,10 @@
     }
 }
 
-/// Reads a schedule; every fault is told with its line and field.
+/// Reads a schedule; each error names its line and field.
 pub fn read(text: &str) -> Result<Schedule, Vec<Fault>> {
-    let schedule: Schedule = juniperdock_charter::read_as(text)?;
-    let faults = schedule.impossible();
+    let schedule: Schedule = juniperdock_operator_config::read_as(text)?;
+    let faults = schedule.inconsistencies();
     if !faults.is_empty() {
         return Err(faults.into_iter().map(|(field, why)| fault(text, &field, why)).collect());
     }
@@ -226,7 +230,7 @@
 }
 
 impl Schedule {
-    fn impossible(&self) -> Vec<(String, String)> {
+    fn inconsistencies(&self) -> Vec<(String, String)> {
         let mut faults = Vec::new();
         for (i, m) in self.mishaps.iter().enumerate() {
             let mut wrong =
@@ -240,50 +244,52 @@
             }
             let needs_front = matches!(
                 m.what,
-                Harm::FrontKilled
-                    | Harm::FrontEnded
-                    | Harm::FrontStopped
-                    | Harm::FrontSlow
-                    | Harm::Upgraded
-                    | Harm::OneWay
-                    | Harm::Unheard
-                    | Harm::Flooded
-                    | Harm::MembersCut
-                    | Harm::ListCut
-                    | Harm::MoveOrdered
-                    | Harm::RollOrdered
-                    | Harm::Crowd
+                FaultKind::FrontKilled
+                    | FaultKind::FrontEnded
+                    | FaultKind::FrontStopped
+                    | FaultKind::FrontSlow
+                    | FaultKind::Upgraded
+                    | FaultKind::OneWay
+                    | FaultKind::Unheard
+                    | FaultKind::Flooded
+                    | FaultKind::MembersCut
+                    | FaultKind::ListCut
+                    | FaultKind::MoveOrdered
+                    | FaultKind::RollOrdered
+                    | FaultKind::Crowd
             );
             if needs_front && m.front.is_none() {
                 wrong("what", "expected a front");
             }
-            if m.what == Harm::OneWay && m.other.is_none() {
+            if m.what == FaultKind::OneWay && m.other.is_none() {
                 wrong("what", "expected other");
             }
-            if m.what == Harm::Apart && (m.side.is_empty() || m.side.len() >= self.fronts) {
+            if m.what == FaultKind::Apart && (m.side.is_empty() || m.side.len() >= self.fronts) {
                 wrong("what", "expected some of the fronts as side, not all");
             }
-            if (matches!(m.what, Harm::Lost | Harm::Doubled | Harm::Bent) || m.machine()) && m.share.is_none()
+            if (matches!(m.what, FaultKind::Lost | FaultKind::Doubled | FaultKind::Bent)
+                || m.targets_machine_calls())
+                && m.share.is_none()
             {
                 wrong("what", "expected a share");
             }
             let rate = matches!(
                 m.what,
-                Harm::Late
-                    | Harm::Replayed
-                    | Harm::Forged
-                    | Harm::Flooded
-                    | Harm::HeldUp
-                    | Harm::ClockStepped
-                    | Harm::Crowd
+                FaultKind::Late
+                    | FaultKind::Replayed
+                    | FaultKind::Forged
+                    | FaultKind::Flooded
+                    | FaultKind::HeldUp
+                    | FaultKind::ClockStepped
+                    | FaultKind::Crowd
             );
             if rate && m.by.is_none() {
                 wrong("what", "expected by");
             }
             let most = match m.what {
-                what if Harm::PRIMARY.contains(&what) || what == Harm::MoveOrdered => self.groups,
-                Harm::MemberDrained => self.groups * self.members,
-                Harm::RollOrdered => 5,
+                what if FaultKind::PRIMARY.contains(&what) || what == FaultKind::MoveOrdered => self.groups,
+                FaultKind::MemberDrained => self.groups * self.members,
+                FaultKind::RollOrdered => 5,
                 _ => usize::MAX,
             };
             if m.number >= most {
@@ -293,13 +299,13 @@
         faults
     }
 
-    /// When the last mishap ends.
+    /// When the last fault ends.
     pub fn healed_s(&self) -> f64 {
         self.mishaps.iter().map(|m| m.at_s + m.lasts_s).fold(0.0, f64::max)
     }
 
-    /// One front, and primaries of three groups that are lost again and again for so long, in turn in each way,
-    /// in an order by the seed; now and then the successor dies while the old one is still away.
+    /// One front and three groups whose primaries are lost repeatedly, in each way in an order drawn from the seed.
+    /// Sometimes the successor is killed while the previous primary is still away.
     pub fn primaries(seed: u64, lasts_s: f64) -> Schedule {
         let mut schedule = Schedule {
             title: format!("Primaries that change, from seed {seed}"),
@@ -314,16 +320,16 @@
             ..Schedule::default()
         };
         for number in 0..schedule.groups {
-            let mut chance = Stream::of(seed, "primaries", number);
-            let (mut at_s, mut left) = (1.0 + chance.share() / 2.0, Vec::new());
+            let mut random = Stream::of(seed, "primaries", number);
+            let (mut at_s, mut left) = (1.0 + random.share() / 2.0, Vec::new());
             while at_s < lasts_s {
                 if left.is_empty() {
-                    left = Harm::PRIMARY.to_vec();
+                    left = FaultKind::PRIMARY.to_vec();
                 }
-                let what = left.swap_remove(chance.below(left.len()));
+                let what = left.swap_remove(random.below(left.len()));
                 let mut lost = |what, at_s, lasts_s| {
                     let (front, other, side, share, by) = (None, None, Vec::new(), None, None);
-                    schedule.mishaps.push(Mishap {
+                    schedule.mishaps.push(InjectedFault {
                         at_s,
                         lasts_s,
                         what,
@@ -335,34 +341,34 @@
                         by,
                     });
                 };
-                // One that is cut from the fronts keeps its slot: it lasts as long as it lasts.
-                let cut = what == Harm::PrimaryCut;
-                let away = if cut { 0.3 + 0.6 * chance.share() } else { 0.9 + 0.5 * chance.share() };
+                // A primary cut off from the fronts keeps its role, so the cut can have any length.
+                let cut = what == FaultKind::PrimaryCut;
+                let away = if cut { 0.3 + 0.6 * random.share() } else { 0.9 + 0.5 * random.share() };
                 lost(what, at_s, away);
-                if !cut && chance.below(4) == 0 {
-                    lost(Harm::PrimaryKilled, at_s + 0.8, 0.05 + 0.25 * chance.share());
+                if !cut && random.below(4) == 0 {
+                    lost(FaultKind::PrimaryKilled, at_s + 0.8, 0.05 + 0.25 * random.share());
                 }
-                at_s += away + 0.8 + 0.7 * chance.share();
+                at_s += away + 0.8 + 0.7 * random.share();
             }
         }
         schedule.lasts_s = schedule.healed_s() + 2.0;
         schedule
     }
 
-    /// Owners that are stopped, killed, cut off and slowed by the seed, one after the other and over each other, while
-    /// planned changes are ordered; then calm.
+    /// Owners that are stopped, killed, cut off and slowed, drawn from the seed, one after the other and overlapping,
+    /// while planned changes are ordered; then a quiet period.
     pub fn owners(seed: u64, fronts: usize, lasts_s: f64) -> Schedule {
-        const HARMS: [Harm; 8] = [
-            Harm::FrontStopped,
-            Harm::FrontKilled,
-            Harm::Late,
-            Harm::Apart,
-            Harm::FrontStopped,
-            Harm::Unheard,
-            Harm::FrontEnded,
-            Harm::FrontSlow,
+        const OWNER_FAULTS: [FaultKind; 8] = [
+            FaultKind::FrontStopped,
+            FaultKind::FrontKilled,
+            FaultKind::Late,
+            FaultKind::Apart,
+            FaultKind::FrontStopped,
+            FaultKind::Unheard,
+            FaultKind::FrontEnded,
+            FaultKind::FrontSlow,
         ];
-        let mut chance = Stream::of(seed, "owners", 0);
+        let mut random = Stream::of(seed, "owners", 0);
         let mut schedule = Schedule {
             title: format!("Owners that go, from seed {seed}"),
             fronts,
@@ -373,49 +379,52 @@
         };
         let plain = |what, at_s: f64, lasts_s: f64| {
             let (front, other, side, number, share, by) = (None, None, Vec::new(), 0, None, None);
-            Mishap { at_s, lasts_s, what, front, other, side, number, share, by }
+            InjectedFault { at_s, lasts_s, what, front, other, side, number, share, by }
         };
-        let (mut at_s, mut left, mut orders_s) = (4.5, Vec::new(), 5.0);
-        // Whoever was met before comes later again: all fronts have their turn.
-        let mut turn: Vec<usize> = Vec::new();
+        let (mut at_s, mut left, mut next_move_s) = (4.5, Vec::new(), 5.0);
+        // Each front is chosen once before any is chosen again.
+        let mut unused_fronts: Vec<usize> = Vec::new();
         while at_s < lasts_s {
             if left.is_empty() {
-                left = HARMS.to_vec();
+                left = OWNER_FAULTS.to_vec();
             }
-            if turn.is_empty() {
-                turn = (0..fronts).collect();
+            if unused_fronts.is_empty() {
+                unused_fronts = (0..fronts).collect();
             }
-            let what = left.swap_remove(chance.below(left.len()));
-            let front = turn.swap_remove(chance.below(turn.len()));
-            let span = if what == Harm::FrontEnded { 4.0 } else { 2.2 + chance.share() };
+            let what = left.swap_remove(random.below(left.len()));
+            let front = unused_fronts.swap_remove(random.below(unused_fronts.len()));
+            let span = if what == FaultKind::FrontEnded { 4.0 } else { 2.2 + random.share() };
             match what {
-                // What it sends lies on its way while it is stopped and another takes over.
-                Harm::Late => {
-                    let late = Mishap { front: Some(front), by: Some(4500.0), ..plain(what, at_s, 1.0) };
+                // Its datagrams are still in flight while it is stopped and another front takes over.
+                FaultKind::Late => {
+                    let late =
+                        InjectedFault { front: Some(front), by: Some(4500.0), ..plain(what, at_s, 1.0) };
                     schedule.mishaps.push(late);
-                    let stopped = plain(Harm::FrontStopped, at_s + 0.9, span);
-                    schedule.mishaps.push(Mishap { front: Some(front), ..stopped });
+                    let stopped = plain(FaultKind::FrontStopped, at_s + 0.9, span);
+                    schedule.mishaps.push(InjectedFault { front: Some(front), ..stopped });
                 }
-                Harm::Apart => {
-                    let other = (front + 1 + chance.below(fronts - 1)) % fronts;
-                    schedule.mishaps.push(Mishap { side: vec![front, other], ..plain(what, at_s, span) });
+                FaultKind::Apart => {
+                    let other = (front + 1 + random.below(fronts - 1)) % fronts;
+                    schedule
+                        .mishaps
+                        .push(InjectedFault { side: vec![front, other], ..plain(what, at_s, span) });
                 }
-                _ => schedule.mishaps.push(Mishap { front: Some(front), ..plain(what, at_s, span) }),
+                _ => schedule.mishaps.push(InjectedFault { front: Some(front), ..plain(what, at_s, span) }),
             }
-            if at_s >= orders_s {
-                let (number, front) = (chance.below(schedule.groups), chance.below(fronts));
-                let order = plain(Harm::MoveOrdered, at_s + 0.5, 0.0);
-                schedule.mishaps.push(Mishap { front: Some(front), number, ..order });
-                orders_s += 4.0;
+            if at_s >= next_move_s {
+                let (number, front) = (random.below(schedule.groups), random.below(fronts));
+                let order = plain(FaultKind::MoveOrdered, at_s + 0.5, 0.0);
+                schedule.mishaps.push(InjectedFault { front: Some(front), number, ..order });
+                next_move_s += 4.0;
             }
-            at_s += 1.3 + 0.7 * chance.share();
+            at_s += 1.3 + 0.7 * random.share();
         }
         schedule.lasts_s = schedule.healed_s() + 6.0;
         schedule
     }
 
-    /// The same, while the wall clock of each front is stepped every two seconds, an hour or some seconds forward or back,
-    /// until the last mishap is over. Processes that start meanwhile start under the clock as it is then.
+    /// The same schedule, with the wall clock of each front stepped every two seconds by an hour or some seconds,
+    /// forward or back, until the last fault is over. Processes that start meanwhile start with the stepped clock.
     #[must_use]
     pub fn with_clock_steps(mut self) -> Schedule {
         const EVERY_S: f64 = 2.0;
@@ -424,10 +433,10 @@
         for front in 0..self.fronts {
             for step in 0..steps {
                 let off_ms = STEPS_MS[(front + step) % STEPS_MS.len()];
-                self.mishaps.push(Mishap {
+                self.mishaps.push(InjectedFault {
                     at_s: step as f64 * EVERY_S,
                     lasts_s: EVERY_S,
-                    what: Harm::ClockStepped,
+                    what: FaultKind::ClockStepped,
                     front: Some(front),
                     other: None,
                     side: Vec::new(),
@@ -440,9 +449,9 @@
         self
     }
 
-    /// A day of so many fronts drawn from a seed: mishaps one after the other and over each other, then calm.
-    pub fn drawn(seed: u64, fronts: usize, mishaps: usize, calm_s: f64) -> Schedule {
-        let mut chance = Stream::of(seed, "mishaps", 0);
+    /// A schedule drawn from a seed: faults one after the other and overlapping, then a quiet period.
+    pub fn random(seed: u64, fronts: usize, fault_count: usize, calm_s: f64) -> Schedule {
+        let mut random = Stream::of(seed, "mishaps", 0);
         let mut schedule = Schedule {
             title: format!("Drawn from seed {seed}"),
             fronts,
@@ -450,102 +459,111 @@
             ..Schedule::default()
         };
         let mut at_s = 2.5;
-        // Each kind once before any comes again.
-        let mut left: Vec<Harm> = Vec::new();
-        for _ in 0..mishaps {
+        // Each kind once before any is repeated.
+        let mut left: Vec<FaultKind> = Vec::new();
+        for _ in 0..fault_count {
             if left.is_empty() {
-                left = Harm::ALL.to_vec();
+                left = FaultKind::ALL.to_vec();
             }
-            let what = left.swap_remove(chance.below(left.len()));
-            let front = chance.below(fronts);
-            let other = (front + 1 + chance.below(fronts - 1)) % fronts;
+            let what = left.swap_remove(random.below(left.len()));
+            let front = random.below(fronts);
+            let other = (front + 1 + random.below(fronts - 1)) % fronts;
             let mut side: Vec<usize> = (0..fronts).collect();
-            let size = 1 + chance.below(fronts / 2);
+            let size = 1 + random.below(fronts / 2);
             for i in 0..size {
-                let with = i + chance.below(fronts - i);
+                let with = i + random.below(fronts - i);
                 side.swap(i, with);
             }
             side.truncate(size);
             let lasts_s = match what {
-                Harm::FrontKilled | Harm::FrontStopped | Harm::Apart | Harm::Unheard => {
-                    3.0 + 3.0 * chance.share()
+                FaultKind::FrontKilled | FaultKind::FrontStopped | FaultKind::Apart | FaultKind::Unheard => {
+                    3.0 + 3.0 * random.share()
                 }
-                Harm::FrontEnded => 4.0,
-                Harm::Upgraded => 1.5,
-                Harm::Flooded => 1.5,
-                _ => 2.0 + 3.0 * chance.share(),
+                FaultKind::FrontEnded => 4.0,
+                FaultKind::Upgraded => 1.5,
+                FaultKind::Flooded => 1.5,
+                _ => 2.0 + 3.0 * random.share(),
             };
             let number = match what {
-                Harm::PrimaryKilled => chance.below(schedule.groups),
-                Harm::MemberDrained => chance.below(schedule.groups * schedule.members),
+                FaultKind::PrimaryKilled => random.below(schedule.groups),
+                FaultKind::MemberDrained => random.below(schedule.groups * schedule.members),
                 _ => 0,
             };
             let share = match what {
-                Harm::Lost => Some(0.1 + 0.3 * chance.share()),
-                Harm::Doubled | Harm::Bent => Some(0.1 + 0.5 * chance.share()),
+                FaultKind::Lost => Some(0.1 + 0.3 * random.share()),
+                FaultKind::Doubled | FaultKind::Bent => Some(0.1 + 0.5 * random.share()),
                 _ => None,
             };
             let by = match what {
-                Harm::Late => Some(20.0 + 280.0 * chance.share()),
-                Harm::Replayed | Harm::Forged => Some(5.0 + 20.0 * chance.share()),
-                Harm::Flooded => Some(50_000.0),
+                FaultKind::Late => Some(20.0 + 280.0 * random.share()),
+                FaultKind::Replayed | FaultKind::Forged => Some(5.0 + 20.0 * random.share()),
+                FaultKind::Flooded => Some(50_000.0),
                 _ => None,
             };
-            // One process is met by one thing at a time.
+            // Only one fault affects a process at a time.
             let busy = |front: usize| {
-                schedule.mishaps.iter().any(|m: &Mishap| {
-                    m.process() && m.front == Some(front) && m.at_s + m.lasts_s + 1.0 > at_s
+                schedule.mishaps.iter().any(|m: &InjectedFault| {
+                    m.targets_process() && m.front == Some(front) && m.at_s + m.lasts_s + 1.0 > at_s
                 })
             };
             let whole = matches!(
                 what,
-                Harm::Lost | Harm::Doubled | Harm::Bent | Harm::Late | Harm::Replayed | Harm::Forged
+                FaultKind::Lost
+                    | FaultKind::Doubled
+                    | FaultKind::Bent
+                    | FaultKind::Late
+                    | FaultKind::Replayed
+                    | FaultKind::Forged
             );
             let front = (0..fronts).map(|i| (front + i) % fronts).find(|&f| !busy(f)).unwrap_or(front);
             let other = if other == front { (front + 1) % fronts } else { other };
-            let mishap = Mishap {
+            let fault = InjectedFault {
                 at_s,
                 lasts_s,
                 what,
                 front: Some(front).filter(|_| !whole),
-                other: Some(other).filter(|_| what == Harm::OneWay),
-                side: if what == Harm::Apart { side } else { Vec::new() },
+                other: Some(other).filter(|_| what == FaultKind::OneWay),
+                side: if what == FaultKind::Apart { side } else { Vec::new() },
                 number,
                 share,
                 by,
             };
-            schedule.mishaps.push(mishap);
-            at_s += 1.2 + 1.2 * chance.share();
+            schedule.mishaps.push(fault);
+            at_s += 1.2 + 1.2 * random.share();
         }
         schedule.lasts_s = schedule.healed_s() + calm_s;
         schedule
     }
 }
 
-impl Mishap {
-    /// It meets members, not fronts or the ways between them.
-    pub fn world(&self) -> bool {
-        Harm::PRIMARY.contains(&self.what) || self.what == Harm::MemberDrained
+impl InjectedFault {
+    /// Whether it affects members, and not the fronts or the links between them.
+    pub fn targets_members(&self) -> bool {
+        FaultKind::PRIMARY.contains(&self.what) || self.what == FaultKind::MemberDrained
     }
 
-    /// It meets the machine's calls, through the library that the rig loads.
-    pub fn machine(&self) -> bool {
+    /// Whether it affects system calls, through the preloaded library.
+    pub fn targets_machine_calls(&self) -> bool {
         matches!(
             self.what,
-            Harm::HeldUp
-                | Harm::CallsFail
-                | Harm::ShortCalls
-                | Harm::ConnectionsBreak
-                | Harm::ClockStepped
-                | Harm::DiskFails
+            FaultKind::HeldUp
+                | FaultKind::CallsFail
+                | FaultKind::ShortCalls
+                | FaultKind::ConnectionsBreak
+                | FaultKind::ClockStepped
+                | FaultKind::DiskFails
         )
     }
 
-    /// It meets the process itself.
-    pub fn process(&self) -> bool {
+    /// Whether it affects the process as a whole.
+    pub fn targets_process(&self) -> bool {
         matches!(
             self.what,
-            Harm::FrontKilled | Harm::FrontEnded | Harm::FrontStopped | Harm::FrontSlow | Harm::Upgraded
+            FaultKind::FrontKilled
+                | FaultKind::FrontEnded
+                | FaultKind::FrontStopped
+                | FaultKind::FrontSlow
+                | FaultKind::Upgraded
         )
     }
 }
--- a/crates/pipeline/tests/pipeline.rs
+++ b/crates/pipeline/tests/pipeline.rs
@@ -1,10 +1,10 @@
-//! The pipeline as its users see it: order, bounds, deadlines, and a random history against a plain model.
+//! Order, limits and deadlines of the pipeline, and a random sequence compared with a plain model.
 
 use juniperdock_pipeline::{ArrivalTimes, Limits, Overdue, Pipeline, Reply, Request, Start};
 use proptest::prelude::*;
 use std::time::Duration;
 
-const LIMITS: Limits = Limits { begun: 4, request_bytes: 100, answer_bytes: 50 };
+const LIMITS: Limits = Limits { started: 4, request_bytes: 100, answer_bytes: 50 };
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -21,7 +21,7 @@
 fn pipeline(requests: &[Request]) -> Pipeline<u64> {
     let mut pipeline = Pipeline::new(LIMITS);
     for request in requests {
-        pipeline.push(*request, request.id).expect("room");
+        pipeline.push(*request, request.id).expect("within the limits");
     }
     pipeline
 }
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn requests_begin_at_once_and_answers_leave_in_order() {
+fn requests_start_at_once_and_answers_are_sent_in_order() {
     let mut pipeline = pipeline(&[read(1, 7), read(2, 7), write(3, 8)]);
     assert_eq!(starts(&mut pipeline), [1, 2, 3]);
     assert!(pipeline.answer(ms(1), 3, vec![3]) && pipeline.answer(ms(1), 2, vec![2]));
@@ -44,7 +44,7 @@
     let answer = |byte| Reply::Answer(vec![byte]);
     assert_eq!(replies(&mut pipeline), [answer(1), answer(2), answer(3)]);
     assert!(pipeline.is_empty() && pipeline.answer_bytes() == 0);
-    assert!(!pipeline.answer(ms(3), 1, vec![1]), "one answer each");
+    assert!(!pipeline.answer(ms(3), 1, vec![1]), "each request is answered once");
 }
 
 #[test]
@@ -53,17 +53,21 @@
     assert_eq!(starts(&mut pipeline), [1, 4]);
     assert!(pipeline.answer(ms(5), 1, vec![]));
     assert_eq!(pipeline.start(), Some(Start { payload: 2, write_answered: Some(ms(5)) }));
-    assert_eq!(pipeline.start(), Some(Start { payload: 3, write_answered: Some(ms(5)) }), "beside a read");
+    assert_eq!(
+        pipeline.start(),
+        Some(Start { payload: 3, write_answered: Some(ms(5)) }),
+        "a write may start beside a read"
+    );
 }
 
 #[test]
-fn so_many_begin_at_once_and_the_others_wait_for_their_end() {
+fn requests_beyond_the_limit_of_started_ones_wait() {
     let all: Vec<Request> = (1..=7).map(|id| read(id, id)).collect();
     let mut pipeline = pipeline(&all);
     assert_eq!(starts(&mut pipeline), [1, 2, 3, 4]);
     assert!(pipeline.answer(ms(1), 3, vec![0]));
     assert_eq!(starts(&mut pipeline), [5]);
-    // While much waits behind a slow one nothing but the oldest begins.
+    // While many bytes of answers wait behind a slow one, only the oldest request may start.
     assert!(pipeline.answer(ms(1), 2, vec![0; 60]));
     assert_eq!((starts(&mut pipeline), pipeline.answer_bytes()), (vec![], 61));
     assert!(pipeline.answer(ms(2), 1, vec![0]));
@@ -73,11 +77,11 @@
     assert_eq!(starts(&mut pipeline), [1, 3]);
     assert!(pipeline.answer(ms(1), 3, vec![0; 60]) && pipeline.answer(ms(1), 1, vec![0]));
     assert_eq!(replies(&mut pipeline).len(), 1);
-    assert_eq!(starts(&mut pipeline), [2], "the oldest, however much waits behind it");
+    assert_eq!(starts(&mut pipeline), [2], "the oldest may start, however much waits behind it");
 }
 
 #[test]
-fn what_is_over_the_limits_is_refused_in_its_turn_and_takes_no_memory() {
+fn requests_over_the_limits_are_refused_in_order_and_take_no_memory() {
     let all: Vec<Request> = (0..10).map(|id| read(id, 7)).collect();
     let mut pipeline = pipeline(&all);
     for id in 10..100_000 {
@@ -92,7 +96,7 @@
 }
 
 #[test]
-fn a_single_request_always_fits() {
+fn a_single_request_is_never_over_the_limits() {
     let long = |id| Request { bytes: 5000, ..read(id, 7) };
     let mut pipeline = Pipeline::new(LIMITS);
     assert_eq!(pipeline.push(long(1), 1), Ok(()));
@@ -103,7 +107,7 @@
 }
 
 #[test]
-fn each_is_overdue_in_its_own_time_wherever_it_stands() {
+fn each_request_is_overdue_at_its_own_time_whatever_its_place() {
     let late = Request { deadline: ms(50), ..read(2, 7) };
     let mut pipeline = pipeline(&[write(1, 7), late, read(3, 8)]);
     assert_eq!(starts(&mut pipeline), [1, 3]);
@@ -112,26 +116,26 @@
     assert_eq!(pipeline.overdue(ms(50), ms(10)), Some(Overdue::Waiting(2)));
     assert!(pipeline.answer(ms(50), 2, vec![]));
     assert_eq!((pipeline.next_due(ms(10)), pipeline.overdue(ms(109), ms(10))), (Some(ms(110)), None));
-    assert_eq!(pipeline.overdue(ms(110), ms(10)), Some(Overdue::Begun(1)));
-    assert_eq!(pipeline.begun().collect::<Vec<_>>(), [1, 3]);
+    assert_eq!(pipeline.overdue(ms(110), ms(10)), Some(Overdue::Started(1)));
+    assert_eq!(pipeline.started().collect::<Vec<_>>(), [1, 3]);
 }
 
 #[test]
-fn bytes_are_dated_by_when_they_came_however_late_they_are_taken() {
+fn arrival_times_do_not_depend_on_when_bytes_are_consumed() {
     let mut times = ArrivalTimes::default();
     times.received(10, ms(1));
     times.received(0, ms(2));
     times.received(10, ms(3));
-    assert_eq!(times.of_next(5), Some(ms(1)));
-    times.take(5);
-    assert_eq!(times.of_next(10), Some(ms(3)), "it was whole then");
-    times.take(10);
-    assert_eq!(times.of_next(5), Some(ms(3)));
-    times.take(5);
-    assert_eq!(times.of_next(1), None, "it has not arrived");
+    assert_eq!(times.arrival_of_next(5), Some(ms(1)));
+    times.consume(5);
+    assert_eq!(times.arrival_of_next(10), Some(ms(3)), "the last byte arrived then");
+    times.consume(10);
+    assert_eq!(times.arrival_of_next(5), Some(ms(3)));
+    times.consume(5);
+    assert_eq!(times.arrival_of_next(1), None, "it has not arrived");
     let mut times = ArrivalTimes::default();
     (0..1000).for_each(|at| times.received(1, ms(at)));
-    assert_eq!(times.of_next(1000), Some(ms(63)), "too early rather than too late");
+    assert_eq!(times.arrival_of_next(1000), Some(ms(63)), "too early rather than too late");
 }
 
 #[derive(Clone, Debug)]
@@ -154,13 +158,13 @@
 }
 
 proptest! {
-    /// Whatever happens in whatever order: every command gets one reply, in its turn; a request begins at most once,
-    /// and only after the writes of its session that stood before it have their answers.
+    /// For any sequence of events, every command gets one reply, in order; a request starts at most once, and only
+    /// after the earlier writes of its session are answered.
     #[test]
-    fn every_command_gets_one_reply_in_its_turn(steps in prop::collection::vec(step(), 1..200)) {
+    fn every_command_gets_one_reply_in_order(steps in prop::collection::vec(step(), 1..200)) {
         let mut pipeline = Pipeline::new(LIMITS);
         let (mut wanted, mut got) = (Vec::new(), Vec::new());
-        let (mut unanswered, mut begun): (Vec<Request>, Vec<u64>) = (Vec::new(), Vec::new());
+        let (mut unanswered, mut started): (Vec<Request>, Vec<u64>) = (Vec::new(), Vec::new());
         let answer = |id: u64| id.to_be_bytes().to_vec();
         for (id, step) in (0u64..).zip(steps) {
             match step {
@@ -181,10 +185,10 @@
                 }
                 Step::Start => {
                     let Some(start) = pipeline.start() else { continue };
-                    prop_assert!(!begun.contains(&start.payload));
-                    begun.push(start.payload);
-                    let out = unanswered.iter().filter(|request| begun.contains(&request.id)).count();
-                    prop_assert!(out <= LIMITS.begun.max(1));
+                    prop_assert!(!started.contains(&start.payload));
+                    started.push(start.payload);
+                    let out = unanswered.iter().filter(|request| started.contains(&request.id)).count();
+                    prop_assert!(out <= LIMITS.started.max(1));
                     let own = unanswered.iter().find(|request| request.id == start.payload).expect("in hand");
                     let blocked = |before: &Request| before.id < own.id && before.writes && before.session == own.session;
                     prop_assert!(!unanswered.iter().any(blocked));
--- a/crates/held/src/heap.rs
+++ b/crates/wait-queue/src/heap.rs
@@ -1,15 +1,14 @@
-//! A heap of small indices by a key, from which any index can be taken out.
+//! A min-heap of small indices ordered by a key, from which any index can be removed.
 
-/// Four children to a node: as few levels as with two at half the depth, and all of a node's children lie
-/// beside each other in memory.
-const WIDE: usize = 4;
-const NOWHERE: u32 = u32::MAX;
+/// Four children to a node give half the depth of a binary heap, and the children of a node are adjacent in memory.
+const ARITY: usize = 4;
+const ABSENT: u32 = u32::MAX;
 
-/// A min-heap that knows where each index stands: setting, changing and removing take steps in proportion to
-/// the depth.
+/// A min-heap that tracks the position of each index: setting, changing and removing take time in proportion to the
+/// depth.
 ///
 /// ```
-/// use juniperdock_held::Heap;
+/// use juniperdock_wait_queue::Heap;
 ///
 /// let mut heap = Heap::default();
 /// for (index, key) in [(3, 30), (1, 10), (2, 20)] {
@@ -39,63 +38,63 @@
         self.nodes.is_empty()
     }
 
-    /// Puts an index in, or gives it another key.
+    /// Inserts an index, or changes its key.
     pub fn set(&mut self, index: u32, key: u64) {
         if self.at.len() <= index as usize {
-            self.at.resize(index as usize + 1, NOWHERE);
+            self.at.resize(index as usize + 1, ABSENT);
         }
         let mut at = self.at[index as usize] as usize;
-        if at == NOWHERE as usize {
+        if at == ABSENT as usize {
             at = self.nodes.len();
             self.nodes.push((key, index));
         }
         self.nodes[at] = (key, index);
-        let at = self.rise(at);
-        self.sink(at);
+        let at = self.sift_up(at);
+        self.sift_down(at);
     }
 
-    /// Takes an index out, if it is in.
+    /// Removes an index; returns whether it was present.
     pub fn remove(&mut self, index: u32) -> bool {
-        let Some(at) = self.at.get_mut(index as usize).filter(|at| **at != NOWHERE) else { return false };
-        let at = std::mem::replace(at, NOWHERE) as usize;
+        let Some(at) = self.at.get_mut(index as usize).filter(|at| **at != ABSENT) else { return false };
+        let at = std::mem::replace(at, ABSENT) as usize;
         self.nodes.swap_remove(at);
         if at < self.nodes.len() {
-            let at = self.rise(at);
-            self.sink(at);
+            let at = self.sift_up(at);
+            self.sift_down(at);
         }
         true
     }
 
-    fn rise(&mut self, mut at: usize) -> usize {
+    fn sift_up(&mut self, mut at: usize) -> usize {
         let node = self.nodes[at];
         while at > 0 {
-            let parent = (at - 1) / WIDE;
+            let parent = (at - 1) / ARITY;
             if self.nodes[parent] <= node {
                 break;
             }
-            self.put(at, self.nodes[parent]);
+            self.place(at, self.nodes[parent]);
             at = parent;
         }
-        self.put(at, node);
+        self.place(at, node);
         at
     }
 
-    fn sink(&mut self, mut at: usize) {
+    fn sift_down(&mut self, mut at: usize) {
         let node = self.nodes[at];
         loop {
-            let first = at * WIDE + 1;
-            let children = first..(first + WIDE).min(self.nodes.len());
+            let first = at * ARITY + 1;
+            let children = first..(first + ARITY).min(self.nodes.len());
             let Some(least) = children.min_by_key(|&child| self.nodes[child]) else { break };
             if self.nodes[least] >= node {
                 break;
             }
-            self.put(at, self.nodes[least]);
+            self.place(at, self.nodes[least]);
             at = least;
         }
-        self.put(at, node);
+        self.place(at, node);
     }
 
-    fn put(&mut self, at: usize, node: (u64, u32)) {
+    fn place(&mut self, at: usize, node: (u64, u32)) {
         self.nodes[at] = node;
         self.at[node.1 as usize] = at as u32;
     }
